--- a/src/main/java/mothcross/cli/ExprCommand.java
+++ b/src/main/java/mothcross/cli/ExprCommand.java
@@ -34,8 +34,8 @@
     /** {@code told} null: workloads and hops of the settings are not checked. */
     static RouteTable compiled(Rules rules, Start told, List<String> faults) {
         return RouteTable.compile(rules, told == null ? null : told.opening.workloads, told == null ? null
-            : told.opening.all,
-            told == null ? 1 : told.opening.directorsHere, told == null ? NO_HOPS_TOLD : told.mostHops, null, faults);
+            : told.opening.workloadTable,
+            told == null ? 1 : told.opening.directorsInZone, told == null ? NO_HOPS_TOLD : told.mostHops, null, faults);
     }
 
     private static final class Which {
--- a/src/main/java/mothcross/cli/FleetCommand.java
+++ b/src/main/java/mothcross/cli/FleetCommand.java
@@ -42,7 +42,7 @@
         Pace u = Pace.USUAL;
         Pace pace = new Pace(d.periodMs(), 0.3 * d.periodMs(), u.helpers(), u.doubts(), u.rings(), u.lowShare(),
             u.highShare(), d.silentMs(), u.settle(), d.holdMs(), u.forget());
-        int fixed = d.directors() > 0 ? d.directors() : start.opening.directorsHere;
+        int fixed = d.directors() > 0 ? d.directors() : start.opening.directorsInZone;
         List<InetSocketAddress> seeds = d.seeds().stream().map(FleetCommand::socket).toList();
         return new FleetNode(d.fleet(), start.name, socket(d.listen()), seeds, keys(d), d.file(), pace,
             new Parts(fixed, d.leaseMs(), 4 * d.periodMs()), relay == null ? null : socket(relay), skewMs, share);
--- a/src/main/java/mothcross/cli/Main.java
+++ b/src/main/java/mothcross/cli/Main.java
@@ -217,7 +217,7 @@
                     return plainly("no configuration: give --config or set ROUTER_CONFIG, or --operators");
                 }
                 if (s != null) System.out.println(s.name + " listens on " + s.listen + ", discovery " + s.discovery
-                    + ", workloads " + s.opening.workloads.keySet() + ", places " + s.opening.places
+                    + ", workloads " + s.opening.workloads.keySet() + ", places " + s.opening.zones
                     + ", kinds " + s.opening.kinds);
                 return 0;
             } catch (Start.Unusable e) {
--- a/src/main/java/mothcross/emulator/Against.java
+++ b/src/main/java/mothcross/emulator/Against.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import mothcross.DecisionWriter;
 import mothcross.Director;
-import mothcross.Narrowing;
-import mothcross.RoundReader;
+import mothcross.EventBatch;
+import mothcross.RouteConstraints;
 
 /**
  * An earlier build's module as a policy: its classes in a loader of its own, so that both builds are there at once.
@@ -32,10 +32,10 @@
     public Against(Path build) throws IOException {
         loader = new URLClassLoader(new URL[] {build.toUri().toURL()}, ClassLoader.getPlatformClassLoader());
         try {
-            Class<?> director = loader.loadClass("mothcross.Director");
-            reader = loader.loadClass("mothcross.RoundReader");
-            writer = loader.loadClass("mothcross.DecisionWriter");
-            make = loader.loadClass("mothcross.Decide").getConstructors()[0];
+            Class<?> director = type("Director");
+            reader = type("EventBatch");
+            writer = type("DecisionWriter");
+            make = type("CacheDirector").getConstructors()[0];
             for (Method m : director.getMethods()) calls.put(m.getName() + m.getParameterCount(), m);
         } catch (ClassNotFoundException | ArrayIndexOutOfBoundsException e) {
             throw new IOException(build + " holds no module: " + e.getMessage(), e);
@@ -43,6 +43,15 @@
         if (make.getParameterCount() != 8) throw new IOException(build + " holds a module that is made otherwise");
     }
 
+    /** A type of the module by today's simple name, or by the one it had earlier where the build lacks that. */
+    private Class<?> type(String today) throws ClassNotFoundException {
+        try {
+            return loader.loadClass("mothcross." + today);
+        } catch (ClassNotFoundException e) {
+            return loader.loadClass("mothcross." + EarlierNames.type(today));
+        }
+    }
+
     public Policy policy() {
         return (seed, workloads, places, may, told, caches, parents, purge) -> {
             Object[] args = {seed, workloads, places, may, told, caches, parents, purge};
@@ -67,14 +76,17 @@
                 return all;
             }
             if (theirs.isEnum()) {
-                for (Object c : theirs.getEnumConstants()) if (c.toString().equals(ours.toString())) return c;
+                Enum<?> constant = (Enum<?>) ours;
+                for (Object c : theirs.getEnumConstants()) {
+                    if (isNamed(((Enum<?>) c).name(), constant.getDeclaringClass(), constant.name())) return c;
+                }
             }
             RecordComponent[] parts = theirs.getRecordComponents();
             Class<?>[] types = new Class<?>[parts.length];
             Object[] values = new Object[parts.length];
             for (int i = 0; i < parts.length; i++) {
                 types[i] = parts[i].getType();
-                values[i] = over(ours.getClass().getMethod(parts[i].getName()).invoke(ours), types[i]);
+                values[i] = over(component(ours, parts[i].getName()), types[i]);
             }
             return theirs.getDeclaredConstructor(types).newInstance(values);
         } catch (ReflectiveOperationException | RuntimeException e) {
@@ -82,6 +94,19 @@
         }
     }
 
+    /** Whether a name in the earlier build is that of today's member, as it is or as it was. */
+    private static boolean isNamed(String theirs, Class<?> type, String today) {
+        return theirs.equals(today) || theirs.equals(EarlierNames.member(type, today));
+    }
+
+    /** The value of the component of one of our records that the earlier build calls {@code theirs}. */
+    private static Object component(Object ours, String theirs) throws ReflectiveOperationException {
+        for (RecordComponent c : ours.getClass().getRecordComponents()) {
+            if (isNamed(theirs, ours.getClass(), c.getName())) return c.getAccessor().invoke(ours);
+        }
+        throw new NoSuchMethodException(theirs);
+    }
+
     private static Object call(Method m, Object on, Object... args) {
         try {
             return m.invoke(on, args);
@@ -102,15 +127,17 @@
         }
 
         private void on(String name, Object... args) {
-            call(calls.get(name + args.length), module, args);
+            Method m = calls.get(name + args.length);
+            if (m == null) m = calls.get(EarlierNames.member(Director.class, name) + args.length);
+            call(m, module, args);
         }
 
-        @Override public void round(double now, RoundReader in, DecisionWriter out) {
+        @Override public void process(double now, EventBatch in, DecisionWriter out) {
             Object theirs = Proxy.newProxyInstance(loader, new Class<?>[] {reader}, (p, m, a) -> {
-                in.deliver(this);
+                in.deliverTo(this);
                 return null;
             });
-            on("round", now, theirs, written(out));
+            on("process", now, theirs, written(out));
         }
 
         private DecisionWriter last;
@@ -119,7 +146,10 @@
 
         private Object written(DecisionWriter out) {
             if (last == out) return lastWritten;
-            for (Method m : DecisionWriter.class.getMethods()) ours.put(m.getName() + m.getParameterCount(), m);
+            for (Method m : DecisionWriter.class.getMethods()) {
+                ours.put(m.getName() + m.getParameterCount(), m);
+                ours.put(EarlierNames.member(DecisionWriter.class, m.getName()) + m.getParameterCount(), m);
+            }
             last = out;
             lastWritten = Proxy.newProxyInstance(loader, new Class<?>[] {writer}, (p, m, a) ->
                 call(ours.get(m.getName() + m.getParameterCount()), out, a));
@@ -128,7 +158,7 @@
 
         @Override public void lookup(int l, int w, double expires, long object, int part, int group, double kb,
             boolean repeat,
-                                     boolean write, Narrowing by) {
+                                     boolean write, RouteConstraints by) {
             on("lookup", l, w, expires, object, part, group, kb, repeat, write);
         }
 
@@ -137,38 +167,38 @@
             on("hopEnded", l, hop, node, outcome, isLast, note, spent, sourceWait, report);
         }
 
-        @Override public void streamBegan(int l, int hop) {
-            on("streamBegan", l, hop);
+        @Override public void streamStarted(int l, int hop) {
+            on("streamStarted", l, hop);
         }
 
-        @Override public void clientLeft(int l) {
-            on("clientLeft", l);
+        @Override public void clientDisconnected(int l) {
+            on("clientDisconnected", l);
         }
 
-        @Override public void bell(long name) {
-            on("bell", name);
+        @Override public void timerFired(long name) {
+            on("timerFired", name);
         }
 
         @Override public void purged(long object, int group, double ago) {
             on("purged", object, group, ago);
         }
 
-        @Override public void probed(int node, int outcome, double spent, double[] report) {
-            on("probed", node, outcome, spent, report);
+        @Override public void probeCompleted(int node, int outcome, double spent, double[] report) {
+            on("probeCompleted", node, outcome, spent, report);
         }
 
-        @Override public void listBegins(int news) {
-            on("listBegins", news);
+        @Override public void listStarted(int news) {
+            on("listStarted", news);
         }
 
-        @Override public void listed(int node, String address, int place, int kind, int cell, int standing,
+        @Override public void nodeListed(int node, String address, int place, int kind, int cell, int standing,
             double units,
                                      double startedAt) {
-            on("listed", node, address, place, kind, cell, standing, units, startedAt);
+            on("nodeListed", node, address, place, kind, cell, standing, units, startedAt);
         }
 
-        @Override public void listEnds() {
-            on("listEnds");
+        @Override public void listFinished() {
+            on("listFinished");
         }
     }
 }
--- a/src/main/java/mothcross/emulator/Box.java
+++ b/src/main/java/mothcross/emulator/Box.java
@@ -78,7 +78,7 @@
         parentFills.clear();
         store.clear();
         held = 0;
-        for (Hop h : open) h.end(Director.BROKEN, 0, 0, null);
+        for (Hop h : open) h.end(Director.CONNECTION_LOST, 0, 0, null);
     }
 
     void start(double now) {
@@ -142,7 +142,7 @@
     void take(Hop h) {
         if (h.over || silent) return;
         if (!reachable()) {
-            h.end(Director.UNREACHED, 0, 0, null);
+            h.end(Director.CONNECT_FAILED, 0, 0, null);
             return;
         }
         if (w.clock.now < stalledUntil) {
@@ -150,7 +150,7 @@
             return;
         }
         if (held >= w.town.count("queue")) {
-            h.end(Director.FULL, 0, 0, null);
+            h.end(Director.REJECTED, 0, 0, null);
             return;
         }
         asked++;
@@ -159,7 +159,7 @@
         if (!bears(h.ownMs)) return;
         if (kind == ORIGIN) {
             fetch(h.key, h.kb, h.group, (copy, note) -> {
-                if (copy == null) ended(h, Director.FULL, 0, 0, null);
+                if (copy == null) ended(h, Director.REJECTED, 0, 0, null);
                 else send(h, copy, Director.FILLED_BY_ORIGIN, w.clock.now - h.sentAt);
             });
             return;
@@ -168,7 +168,7 @@
         if (c != null) {
             hits++;
             boolean past = w.fresh() > 0 && w.clock.now - c.minted() > w.fresh();
-            send(h, c, past ? Director.PAST_FRESH : Director.HIT, 0);
+            send(h, c, past ? Director.STALE_HIT : Director.HIT, 0);
         } else if (h.source == null) {
             ended(h, Director.MISS, 0, 0, null);
         } else {
@@ -192,7 +192,7 @@
             return;
         }
         h.on = pipe;
-        h.sending = pipe.add(h.ownMs, () -> ended(h, Director.HANDLED, note, sourceWait, copy));
+        h.sending = pipe.add(h.ownMs, () -> ended(h, Director.SUCCEEDED, note, sourceWait, copy));
         bytes += (long) h.kb;
     }
 
@@ -214,7 +214,7 @@
 
     private void fill(Hop h) {
         Fill under = fills.get(h.key);
-        boolean joins = (h.how & DecisionWriter.JOIN) != 0;
+        boolean joins = (h.how & DecisionWriter.COALESCE_FILLS) != 0;
         if (under != null && joins && under.begun > w.clock.now - (h.oldest > 0 ? h.oldest : Double.MAX_VALUE)) {
             under.waiting.add(h);
             return;
@@ -222,7 +222,7 @@
         Fill mine = new Fill(w.clock.now);
         mine.waiting.add(h);
         fills.put(h.key, mine);
-        boolean holdsOnly = (h.how & DecisionWriter.SOURCE_HOLDS_ONLY) != 0;
+        boolean holdsOnly = (h.how & DecisionWriter.SOURCE_CACHE_ONLY) != 0;
         double far = w.town.get("far_ms");
         w.clock.in(far, () -> h.source.ask(h.key, h.kb, h.ownMs, h.group, h.oldest, holdsOnly, (copy, note) ->
             w.clock.in(far, () -> {
@@ -241,7 +241,7 @@
             if (h.over) continue;
             if (copy == null) ended(h, Director.ERROR, note, waited, null);
             else if (h.oldest > 0 && copy.minted() < h.sentAt - h.oldest) fill(h);
-            else send(h, copy, h == first ? note : Director.JOINED, waited);
+            else send(h, copy, h == first ? note : Director.COALESCED, waited);
         }
     }
 
@@ -249,7 +249,7 @@
     private void ask(long key, double kb, double ownMs, int group, double oldest, boolean holdsOnly, Got got) {
         if (silent) return;
         if (!reachable()) {
-            got.got(null, Director.SOURCE_LOST);
+            got.got(null, Director.SOURCE_UNREACHABLE);
             return;
         }
         if (w.clock.now < stalledUntil) {
@@ -263,7 +263,7 @@
         }
         asked++;
         if (!bears(ownMs)) {
-            got.got(null, Director.SOURCE_LOST);
+            got.got(null, Director.SOURCE_UNREACHABLE);
             return;
         }
         Store.Copy c = good(key, oldest);
@@ -271,7 +271,7 @@
             hits++;
             pipe.add(ownMs, () -> got.got(c, Director.FILLED));
         } else if (holdsOnly) {
-            got.got(null, Director.SOURCE_LACKS);
+            got.got(null, Director.SOURCE_MISS);
         } else {
             Fetch f = parentFills.get(key);
             // One that began before what is asked for now may bring a copy too old: another is made.
@@ -332,10 +332,10 @@
         }
         shown = new double[Director.REPORT_SIZE];
         java.util.Arrays.fill(shown, Double.NaN);
-        shown[Director.HELD] = held;
-        shown[Director.CORES_BUSY] = Math.min(1, pipe.fill());
-        shown[Director.HIT_SHARE] = hitShare;
-        shown[Director.LINK_FILL] = kind == CACHE ? w.linkOf(place).fill() : parentFills.size();
+        shown[Director.REPORT_ACTIVE_REQUESTS] = held;
+        shown[Director.REPORT_CPU_SHARE] = Math.min(1, pipe.fill());
+        shown[Director.REPORT_HIT_RATIO] = hitShare;
+        shown[Director.REPORT_LINK_UTILIZATION] = kind == CACHE ? w.linkOf(place).fill() : parentFills.size();
         return shown;
     }
 
--- a/src/main/java/mothcross/emulator/Host.java
+++ b/src/main/java/mothcross/emulator/Host.java
@@ -3,15 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import mothcross.Allowances;
-import mothcross.ColdStart;
+import mothcross.Capabilities;
 import mothcross.DecisionWriter;
 import mothcross.Director;
-import mothcross.Knowledge;
-import mothcross.Places;
-import mothcross.RoundReader;
+import mothcross.EventBatch;
+import mothcross.SiteParameters;
+import mothcross.SlowStartLimits;
+import mothcross.Topology;
 import mothcross.Workload;
-import mothcross.door.Slots;
+import mothcross.adapter.LookupIndexAllocator;
 
 /**
  * One director of a run: the policy through its interface, unchanged, and the ways in and out. Owns indices, the hops
@@ -24,11 +24,11 @@
     private final Policy policy;
     private final SplittableRandom chance;
     private Director director;
-    private Slots slots;
+    private LookupIndexAllocator slots;
     private Demand.Lookup[] lookups;
     private final List<List<Hop>> hops = new ArrayList<>();
     private boolean atWork;
-    private final List<RoundReader> later = new ArrayList<>();
+    private final List<EventBatch> later = new ArrayList<>();
     boolean dead, booting;
     private final List<Runnable> missed = new ArrayList<>();
     int run;
@@ -76,7 +76,7 @@
 
     private void start() {
         Town t = w.town;
-        slots = new Slots();
+        slots = new LookupIndexAllocator();
         lookups = new Demand.Lookup[64];
         hops.clear();
         later.clear();
@@ -84,25 +84,26 @@
         int[] at = new int[places + 1];
         for (int i = 0; i < places; i++) at[i] = here;
         director = policy.make(chance.nextLong(), new Workload[] {workload(t, false), workload(t, true)},
-            new Places(place, at, here * places, Box.PARENT, Box.ORIGIN),
-            new Allowances(t.count("hops"), true, true, t.get("straight") > 0, true, 1000),
-            new Knowledge(true, true, false, t.get("flow_kb_ms"), t.get("link_flows")),
-            new ColdStart(t.get("cold_floor"), t.get("cold_ms"), t.get("cold_breaks"), t.get("cold_span")),
-            new ColdStart(t.get("parent_floor"), t.get("parent_cold_ms"), t.get("parent_breaks"), t.get("cold_span")),
-            t.get("purge_takes"));
+            new Topology(place, at, here * places, Box.PARENT, Box.ORIGIN),
+            new Capabilities(t.count("hops"), true, true, t.get("straight") > 0, true, 1000),
+            new SiteParameters(true, true, false, t.get("flow_kb_ms"), t.get("link_flows")),
+            new SlowStartLimits(t.get("cold_floor"), t.get("cold_ms"), t.get("cold_breaks"), t.get("cold_span")),
+            new SlowStartLimits(t.get("parent_floor"), t.get("parent_cold_ms"), t.get("parent_breaks"),
+            t.get("cold_span")), t.get("purge_takes"));
         w.check.starts(number);
         boolean wasDead = dead;
         dead = false;
         round(to -> {
-            to.listBegins(Director.REMEMBERED);
+            to.listStarted(Director.LIST_RESTORED);
             for (Box b : w.boxes) listed(to, b, b.standing);
-            to.listEnds();
+            to.listFinished();
         });
         dead = wasDead;
     }
 
     private static Workload workload(Town t, boolean once) {
-        return new Workload(once ? Workload.Effect.ONCE_ONLY : Workload.Effect.REPEATABLE, Workload.Group.ALL, 5000,
+        return new Workload(once ? Workload.Effect.NON_IDEMPOTENT : Workload.Effect.IDEMPOTENT,
+            Workload.DeduplicationScope.ALL, 5000,
             t.get("target"), t.get("stretch"), t.get("abandon"), 1, t.get("late_share"), t.get("fresh"), t.get("stale"),
             t.get("stale_share"), false);
     }
@@ -117,36 +118,36 @@
 
     private void listed(Director to, Box b, int standing) {
         w.check.told(number, b, standing);
-        to.listed(b.index, b.id, b.kind == Box.CACHE ? b.place : w.town.count("places"), b.kind, b.place, standing,
+        to.nodeListed(b.index, b.id, b.kind == Box.CACHE ? b.place : w.town.count("places"), b.kind, b.place, standing,
             b.units(), b.startedAt);
     }
 
     // ---- what comes in ----
 
-    private void round(RoundReader in) {
+    private void round(EventBatch in) {
         if (dead) return;
         if (atWork) {
             later.add(in);
             return;
         }
         atWork = true;
-        director.round(w.clock.now, in, this);
+        director.process(w.clock.now, in, this);
         atWork = false;
         while (!later.isEmpty() && !dead) {
-            RoundReader next = later.remove(0);
+            EventBatch next = later.remove(0);
             atWork = true;
-            director.round(w.clock.now, next, this);
+            director.process(w.clock.now, next, this);
             atWork = false;
         }
     }
 
     void news(Box b, int standing, double startedAt) {
         round(to -> {
-            to.listBegins(Director.CHANGES);
+            to.listStarted(Director.LIST_DELTA);
             w.check.told(number, b, standing);
-            to.listed(b.index, b.id, b.kind == Box.CACHE ? b.place : w.town.count("places"), b.kind, b.place, standing,
-                b.units(), startedAt);
-            to.listEnds();
+            to.nodeListed(b.index, b.id, b.kind == Box.CACHE ? b.place : w.town.count("places"), b.kind, b.place,
+                standing, b.units(), startedAt);
+            to.listFinished();
         });
     }
 
@@ -156,7 +157,7 @@
     }
 
     void ask(Demand.Lookup l) {
-        int at = l.index = slots.take();
+        int at = l.index = slots.allocate();
         while (at >= lookups.length) lookups = java.util.Arrays.copyOf(lookups, 2 * lookups.length);
         lookups[at] = l;
         while (hops.size() <= at) hops.add(new ArrayList<>());
@@ -168,8 +169,8 @@
     void left(Demand.Lookup l) {
         int at = l.index;
         if (lookups[at] != l) return;
-        slots.over(at);
-        round(to -> to.clientLeft(at));
+        slots.markOver(at);
+        round(to -> to.clientDisconnected(at));
         release(at);
     }
 
@@ -180,16 +181,16 @@
     private void ended(int at, int number, Box node, Hop h, int outcome, int note, double sourceWait, Store.Copy copy) {
         Demand.Lookup l = lookups[at];
         if (dead || l == null) return;
-        boolean handled = outcome == Director.HANDLED && !l.answered;
-        if (outcome == Director.HANDLED && copy != null) w.check.served(this.number, l, h, copy);
+        boolean handled = outcome == Director.SUCCEEDED && !l.answered;
+        if (outcome == Director.SUCCEEDED && copy != null) w.check.served(this.number, l, h, copy);
         if (handled) {
             w.check.answered(l, false);
             l.answered = true;
-            slots.over(at);
+            slots.markOver(at);
             w.result.handled(l.wish, w.elapsed(), note);
         }
         boolean last = l.answered;
-        h.neverRan = outcome == Director.UNREACHED || outcome == Director.FULL || outcome == Director.MISS;
+        h.neverRan = outcome == Director.CONNECT_FAILED || outcome == Director.REJECTED || outcome == Director.MISS;
         if (!slots.hopEnded(at, number)) return;
         double spent = w.clock.now - h.sentAt;
         double[] report = node.reachable() && outcome != Director.TIMED_OUT ? node.report() : null;
@@ -225,7 +226,7 @@
         if (b.silent) w.clock.in(w.town.get("connect_ms"), () -> {
             if (mine != run || h.over) return;
             h.drop();
-            ended(at, n, b, h, Director.UNREACHED, 0, 0, null);
+            ended(at, n, b, h, Director.CONNECT_FAILED, 0, 0, null);
         });
     }
 
@@ -235,15 +236,16 @@
         return false;
     }
 
-    @Override public void look(int lookup, int node, double giveUpAt) {
+    @Override public void sendCacheOnly(int lookup, int node, double giveUpAt) {
         send(lookup, node, node, giveUpAt, 0, 0, 0);
     }
 
-    @Override public void fetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge, int how) {
+    @Override public void sendFetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge,
+        int how) {
         send(lookup, node, source, giveUpAt, rank, maxAge, how);
     }
 
-    @Override public void callOff(int lookup, int hop) {
+    @Override public void cancelHop(int lookup, int hop) {
         List<Hop> all = hops.get(lookup);
         if (hop >= all.size() || all.get(hop).over) return;
         Hop h = all.get(hop);
@@ -252,7 +254,7 @@
         w.droppedAnywhere(h);
         w.clock.in(0, () -> {
             if (mine == run && !dead && slots.hopEnded(lookup, hop)) {
-                round(to -> to.hopEnded(lookup, hop, 0, Director.CALLED_OFF, true, 0, w.clock.now - h.sentAt, 0, null));
+                round(to -> to.hopEnded(lookup, hop, 0, Director.CANCELLED, true, 0, w.clock.now - h.sentAt, 0, null));
                 release(lookup);
             }
         });
@@ -263,7 +265,7 @@
         l.mayHaveRun = mayHaveRun(lookup);
         w.check.answered(l, bounced);
         l.answered = true;
-        slots.over(lookup);
+        slots.markOver(lookup);
         if (bounced) w.result.bounced++;
         else w.result.givenUp++;
         if (bounced) w.demandAt(place).again(l.wish, after);
@@ -273,28 +275,28 @@
         });
     }
 
-    @Override public void bounce(int lookup, double comeBackAfter) {
+    @Override public void reject(int lookup, double comeBackAfter) {
         answer(lookup, true, comeBackAfter);
     }
 
-    @Override public void giveUp(int lookup) {
+    @Override public void fail(int lookup) {
         answer(lookup, false, 0);
     }
 
     @Override public void probe(int node) {
         Box b = w.boxes.get(node);
-        w.clock.in(2 * w.town.get("near_ms"), () -> round(to -> to.probed(node,
-            b.reachable() ? Director.HANDLED : Director.UNREACHED, 2, b.reachable() ? b.report() : null)));
+        w.clock.in(2 * w.town.get("near_ms"), () -> round(to -> to.probeCompleted(node,
+            b.reachable() ? Director.SUCCEEDED : Director.CONNECT_FAILED, 2, b.reachable() ? b.report() : null)));
     }
 
-    @Override public void remind(double t, long name) {
+    @Override public void setTimer(double t, long name) {
         int mine = run;
         w.clock.at(t, () -> {
-            if (mine == run) round(to -> to.bell(name));
+            if (mine == run) round(to -> to.timerFired(name));
         });
     }
 
-    @Override public void followList(boolean on) { }
+    @Override public void watchNodeList(boolean on) { }
 
-    @Override public void say(String text) { }
+    @Override public void log(String text) { }
 }
--- a/src/main/java/mothcross/emulator/Policy.java
+++ b/src/main/java/mothcross/emulator/Policy.java
@@ -1,15 +1,15 @@
 package mothcross.emulator;
 
-import mothcross.Allowances;
-import mothcross.ColdStart;
+import mothcross.Capabilities;
 import mothcross.Director;
-import mothcross.Knowledge;
-import mothcross.Places;
+import mothcross.SiteParameters;
+import mothcross.SlowStartLimits;
+import mothcross.Topology;
 import mothcross.Workload;
 
 /** Makes the director of one host: the module itself, or what it is compared with. */
 @FunctionalInterface
 public interface Policy {
-    Director make(long seed, Workload[] workloads, Places places, Allowances may, Knowledge told, ColdStart caches,
-                  ColdStart parents, double purgeTakesMs);
+    Director make(long seed, Workload[] workloads, Topology places, Capabilities may, SiteParameters told,
+                  SlowStartLimits caches, SlowStartLimits parents, double purgeTakesMs);
 }
--- a/src/main/java/mothcross/emulator/Result.java
+++ b/src/main/java/mothcross/emulator/Result.java
@@ -31,7 +31,7 @@
 
     void handled(Demand.Wish w, double at, int note) {
         handled++;
-        if (note == mothcross.Director.HIT || note == mothcross.Director.PAST_FRESH) hits++;
+        if (note == mothcross.Director.HIT || note == mothcross.Director.STALE_HIT) hits++;
         if (w.handled) return;
         w.handled = true;
         w.inTime = at <= w.at + target + stretch * w.ownMs;
--- a/src/main/java/mothcross/emulator/Script.java
+++ b/src/main/java/mothcross/emulator/Script.java
@@ -158,7 +158,7 @@
         switch (l.what) {
             case "crash" -> boxes(w, l.whom).forEach(b -> {
                 b.stop();
-                w.tell(b, Director.GONE);
+                w.tell(b, Director.REMOVED);
                 c.in(l.lasts, () -> back(w, b));
             });
             case "vanish" -> boxes(w, l.whom).forEach(b -> {
@@ -174,7 +174,7 @@
                 c.in(4 * w.town.get("news_ms"), () -> {
                     if (b.standing != Director.DRAINING) return;
                     b.stop();
-                    w.tell(b, Director.GONE);
+                    w.tell(b, Director.REMOVED);
                     c.in(l.lasts, () -> back(w, b));
                 });
             });
--- a/src/main/java/mothcross/experiment/Commands.java
+++ b/src/main/java/mothcross/experiment/Commands.java
@@ -11,7 +11,7 @@
 import java.util.HexFormat;
 import java.util.concurrent.Callable;
 import java.util.stream.Stream;
-import mothcross.Decide;
+import mothcross.CacheDirector;
 import mothcross.operators.OperatorsFile;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -81,7 +81,7 @@
     }
 
     private static String build() {
-        try (InputStream in = Decide.class.getResourceAsStream("Decide.class")) {
+        try (InputStream in = CacheDirector.class.getResourceAsStream("CacheDirector.class")) {
             return hash(new String(in.readAllBytes(), StandardCharsets.ISO_8859_1)).substring(0, 8);
         } catch (IOException e) {
             throw new IllegalStateException(e);             // it was loaded from there
--- a/src/main/java/mothcross/membership/Belief.java
+++ b/src/main/java/mothcross/membership/Belief.java
@@ -81,7 +81,7 @@
     /** Where it should stand now; sets the reason. {@code heardAt}: when discovery last stood behind the list. */
     Standing now(double now, double heardAt, Ages ages) {
         if (told.told() == Director.DRAINING) return is(Standing.DRAINING, "told that it drains");
-        if (told.told() == Director.GONE) return is(Standing.GONE, why);
+        if (told.told() == Director.REMOVED) return is(Standing.GONE, why);
         if (!Double.isNaN(withheldAt)) {
             if (now - withheldAt <= ages.withheld()) return is(Standing.WITHHELD, "missing from a shrunken list");
             return is(Standing.GONE, "missing from a shrunken list for too long");
--- a/src/main/java/mothcross/membership/ListFile.java
+++ b/src/main/java/mothcross/membership/ListFile.java
@@ -115,7 +115,7 @@
             String id = text(in), host = text(in);
             int port = in.getInt(), place = in.getInt(), kind = in.getInt(), cell = in.getInt(), flags = in.get();
             int told = flags & ~UNBACKED;
-            if (told < Director.IN_SERVICE || told > Director.GONE) throw new IllegalArgumentException("standing");
+            if (told < Director.IN_SERVICE || told > Director.REMOVED) throw new IllegalArgumentException("standing");
             entries.put(id, new Told(id, host, port, names[place], names[kind], cell, told, number(in), number(in),
                 number(in), number(in), (flags & UNBACKED) == 0));
         }
--- a/src/main/java/mothcross/membership/Membership.java
+++ b/src/main/java/mothcross/membership/Membership.java
@@ -72,7 +72,7 @@
         for (Told t : from.entries().values()) {
             Belief b = new Belief(t);
             beliefs.put(t.id(), b);
-            if (t.told() != Director.GONE) byAddress.put(t.address(), b);
+            if (t.told() != Director.REMOVED) byAddress.put(t.address(), b);
             // Never shown to the module before: warm unless the list said when it started.
             if (t.startedAt() == 0) b.coldSince = Belief.LONG;
             settle(b, now);
@@ -136,7 +136,7 @@
         sawAny = true;
         Told t = new Told(id, host, port, place, kind, cell, standing, units, startedAt, now, 0, true);
         Belief b = beliefs.get(id);
-        if (b == null && standing == Director.GONE || drainsOnly && standing == Director.IN_SERVICE) return;
+        if (b == null && standing == Director.REMOVED || drainsOnly && standing == Director.IN_SERVICE) return;
         boolean isNew = b == null;
         if (isNew) {
             beliefs.put(id, b = new Belief(t));
@@ -146,7 +146,7 @@
         }
         boolean moved = !isNew && !b.told.address().equals(t.address());
         boolean restarted = !isNew && startedAt != 0 && startedAt != b.told.startedAt();
-        boolean back = !isNew && b.told.told() == Director.GONE;
+        boolean back = !isNew && b.told.told() == Director.REMOVED;
         boolean withheld = !Double.isNaN(b.withheldAt);
         if (moved || restarted || back) b.forgetEvidence();
         if (moved && byAddress.get(b.told.address()) == b) byAddress.remove(b.told.address());
@@ -160,7 +160,7 @@
         b.withheldAt = Double.NaN;
         b.thisRun = b.named = true;
         if (standing == Director.IN_SERVICE) namedInService++;
-        if (standing == Director.GONE) b.why = "told that it is gone";
+        if (standing == Director.REMOVED) b.why = "told that it is gone";
         else takeAddress(b, now);
         keep(b, standing != Director.IN_SERVICE);
         settle(b, now, moved || restarted);
@@ -169,7 +169,7 @@
     /** One box an address: whoever was told last has it, and what was there before is gone. */
     private void takeAddress(Belief b, double now) {
         Belief before = byAddress.put(b.told.address(), b);
-        if (before == null || before == b || before.told.told() == Director.GONE) return;
+        if (before == null || before == b || before.told.told() == Director.REMOVED) return;
         gone(before, "its address is that of " + b.told.id() + " now", now);
     }
 
@@ -194,7 +194,7 @@
         if (whole) {
             boolean shrunk = inServiceBefore >= FEW && namedInService < ages.shrunkBelow() * inServiceBefore;
             for (Belief b : new ArrayList<>(beliefs.values())) {
-                if (b.named || b.told.told() == Director.GONE) continue;
+                if (b.named || b.told.told() == Director.REMOVED) continue;
                 wentUnnamed++;
                 if (!shrunk) gone(b, "missing from the whole list", now);
                 else if (Double.isNaN(b.withheldAt)) {
@@ -268,7 +268,7 @@
     /** All is forgotten, and the numbers begin anew: only what discovery tells next is believed. */
     private void startOver(double now) {
         for (Belief b : new ArrayList<>(beliefs.values())) {
-            if (b.told.told() != Director.GONE) gone(b, "the list is started over", now);
+            if (b.told.told() != Director.REMOVED) gone(b, "the list is started over", now);
         }
         number = 0;
         behind = false;
@@ -284,9 +284,9 @@
      */
     public void hopEnded(String node, String source, int outcome, int note, boolean silent, double now) {
         switch (outcome) {
-            case Director.HANDLED, Director.MISS, Director.FULL, Director.ERROR -> answered(node, now);
-            case Director.UNREACHED, Director.BROKEN -> {
-                if (note != Director.ALONG) failed(node, outcome == Director.UNREACHED, now);
+            case Director.SUCCEEDED, Director.MISS, Director.REJECTED, Director.ERROR -> answered(node, now);
+            case Director.CONNECT_FAILED, Director.CONNECTION_LOST -> {
+                if (note != Director.COLLATERAL_FAILURE) failed(node, outcome == Director.CONNECT_FAILED, now);
             }
             case Director.TIMED_OUT -> {
                 if (silent) failed(node, false, now);
@@ -295,9 +295,9 @@
         }
         if (source == null) return;
         switch (note) {
-            case Director.FILLED, Director.FILLED_BY_ORIGIN, Director.SOURCE_REFUSED, Director.SOURCE_LACKS ->
+            case Director.FILLED, Director.FILLED_BY_ORIGIN, Director.SOURCE_REJECTED, Director.SOURCE_MISS ->
                 answered(source, now);
-            case Director.SOURCE_LOST -> failed(source, true, now);
+            case Director.SOURCE_UNREACHABLE -> failed(source, true, now);
             default -> { }
         }
     }
@@ -331,7 +331,7 @@
                 && now - Math.max(b.told.toldAt(), b.told.told() == Director.IN_SERVICE && b.told.backed() ? heardAt
                     : 0) > 2 * ages.old();
             if (!over) return false;
-            if (b.told.told() != Director.GONE) gone(b, "told too long ago", now);
+            if (b.told.told() != Director.REMOVED) gone(b, "told too long ago", now);
             kept = kept.minus(b.told.id());
             return true;
         });
@@ -339,7 +339,7 @@
     }
 
     private void gone(Belief b, String why, double now) {
-        b.told = b.told.as(Director.GONE, now);
+        b.told = b.told.as(Director.REMOVED, now);
         b.why = why;
         b.withheldAt = Double.NaN;
         byAddress.remove(b.told.address(), b);
@@ -355,7 +355,7 @@
         Standing was = b.standing, is = b.now(now, heardAt, ages);
         if (is == was && !anew) return;
         // A withheld box that stays away is gone for good.
-        if (is == Standing.GONE && b.told.told() != Director.GONE) {
+        if (is == Standing.GONE && b.told.told() != Director.REMOVED) {
             gone(b, b.why, now);
             return;
         }
@@ -391,7 +391,7 @@
     public Kept kept(String fleet, String director, double now) {
         PMap<String, Told> all = kept;
         for (Belief b : beliefs.values()) {
-            if (b.standing == Standing.WITHHELD) all = all.plus(b.told.id(), b.told.as(Director.GONE, b.withheldAt));
+            if (b.standing == Standing.WITHHELD) all = all.plus(b.told.id(), b.told.as(Director.REMOVED, b.withheldAt));
         }
         return new Kept(fleet, director, now, number, heardAt, all, List.copyOf(purges));
     }
--- a/src/main/java/mothcross/membership/Standing.java
+++ b/src/main/java/mothcross/membership/Standing.java
@@ -14,15 +14,15 @@
     /** Past the recent age, but the box itself answers. */
     PROVEN(Director.IN_SERVICE),
     /** Past the recent age and not heard of in this run: used cautiously. */
-    OLD(Director.UNSURE),
+    OLD(Director.UNCONFIRMED),
     /** Not there when it was asked for; it is tried again after a while. */
-    REFUSED(Director.GONE),
+    REFUSED(Director.REMOVED),
     /** Missing from a whole list that shrank strongly: not used, not yet forgotten. */
-    WITHHELD(Director.GONE),
+    WITHHELD(Director.REMOVED),
     /** Past the old age: not used. */
-    TOO_OLD(Director.GONE),
+    TOO_OLD(Director.REMOVED),
     DRAINING(Director.DRAINING),
-    GONE(Director.GONE);
+    GONE(Director.REMOVED);
 
     /** As the module knows it. */
     public final int use;
@@ -36,6 +36,6 @@
     }
 
     public boolean usable() {
-        return use == Director.IN_SERVICE || use == Director.UNSURE;
+        return use == Director.IN_SERVICE || use == Director.UNCONFIRMED;
     }
 }
--- a/src/main/java/mothcross/net/DiscoveryWatch.java
+++ b/src/main/java/mothcross/net/DiscoveryWatch.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import mothcross.Director;
-import mothcross.door.Opening;
+import mothcross.adapter.DirectorSettings;
 import mothcross.membership.Kept;
 import mothcross.membership.Purge;
 import mothcross.membership.Told;
@@ -60,7 +60,7 @@
                           double units, double started) {
         static Member of(JsonObject n) {
             String id = n.get("id").getAsString();
-            int standing = Opening.standing(n.get("phase").getAsString());
+            int standing = DirectorSettings.parseNodeStatus(n.get("phase").getAsString());
             if (standing < 0) throw new IllegalArgumentException("phase of " + id);
             return new Member(id, socket(n.get("host_port").getAsString()), n.get("locality").getAsString(),
                 n.get("flavor").getAsString(), n.get("cell").getAsInt(), standing, n.get("size").getAsDouble(),
@@ -103,9 +103,9 @@
         List<Purge> purges = purges(items);
         long last = known.get("no").getAsLong();
         desk.round(to -> {
-            news.begins(to, last, Director.REMEMBERED);
+            news.begins(to, last, Director.LIST_RESTORED);
             for (Member m : members) {
-                news.listed(to, m.id, m.at, desk.opening.places.indexOf(m.place), desk.opening.kinds.indexOf(m.kind),
+                news.listed(to, m.id, m.at, desk.opening.zones.indexOf(m.place), desk.opening.kinds.indexOf(m.kind),
                     m.cell, m.standing, m.units, m.started);
             }
             news.ends(to);
@@ -293,7 +293,7 @@
             if (kind <= 2) {
                 for (int r = at; r < end; r += RECORD) {
                     int state = bytes[r + 10];
-                    if (state < 0 || state > Director.GONE) return malformed("state " + state);
+                    if (state < 0 || state > Director.REMOVED) return malformed("state " + state);
                 }
             }
             desk.round(to -> {
@@ -306,7 +306,7 @@
         }
 
         private void list(Director to, long number, int kind, int at, int end) {
-            if (!news.begins(to, number, kind == 1 ? Director.WHOLE : Director.CHANGES)) return;
+            if (!news.begins(to, number, kind == 1 ? Director.LIST_SNAPSHOT : Director.LIST_DELTA)) return;
             for (int r = at; r < end; r += RECORD) {
                 InetSocketAddress socket;
                 try {
--- a/src/main/java/mothcross/net/Life.java
+++ b/src/main/java/mothcross/net/Life.java
@@ -171,8 +171,8 @@
     private static RouteTable table(Rules rules, Start told, RouteTable before) throws Start.Unusable {
         if (rules == null) return null;
         List<String> faults = new ArrayList<>();
-        RouteTable t = RouteTable.compile(rules, told.opening.workloads, told.opening.all, told.opening.directorsHere,
-            told.mostHops, before, faults);
+        RouteTable t = RouteTable.compile(rules, told.opening.workloads, told.opening.workloadTable,
+            told.opening.directorsInZone, told.mostHops, before, faults);
         if (t == null) throw new Start.Unusable(String.join("; ", faults));
         for (String n : t.notes()) LOG.atWarn().addKeyValue("note", n).log("routes: a part can never matter");
         LOG.atInfo().addKeyValue("rules", t.size()).addKeyValue("worst_steps", t.worst()).log("routes: compiled");
@@ -201,8 +201,8 @@
     public RouteTable compiled(Rules rules, List<String> faults) {
         RouteTable[] before = new RouteTable[1];
         desk.locked(() -> before[0] = desk.rules == null ? null : desk.rules.table());
-        return RouteTable.compile(rules, start.opening.workloads, start.opening.all, start.opening.directorsHere,
-            start.mostHops, before[0], faults);
+        return RouteTable.compile(rules, start.opening.workloads, start.opening.workloadTable,
+            start.opening.directorsInZone, start.mostHops, before[0], faults);
     }
 
     /** From the next lookup on; those under way keep what they began with. */
@@ -295,7 +295,7 @@
     /** SIGTERM: serves as long as requests may come, answers all that is open, then returns: {@link Ending}. */
     public void end() throws InterruptedException {
         double longest = 0;
-        for (Workload w : start.opening.all) longest = Math.max(longest, w.abandonMs());
+        for (Workload w : start.opening.workloadTable) longest = Math.max(longest, w.timeoutMs());
         desk.enter();
         try {
             desk.ready = false;
--- a/src/main/java/mothcross/net/Remembered.java
+++ b/src/main/java/mothcross/net/Remembered.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import mothcross.Director;
-import mothcross.door.Opening;
+import mothcross.adapter.DirectorSettings;
 import mothcross.membership.Ages;
 import mothcross.membership.Kept;
 import mothcross.membership.ListFile;
@@ -37,7 +37,7 @@
     private record Change(Told entry, Standing is, double coldSince) { }
 
     private final Desk desk;
-    private final Opening opening;
+    private final DirectorSettings opening;
     private final Membership membership;
     private WritePlan plan;
     private final ListKeeper keeper;
@@ -68,7 +68,7 @@
         this.fleet = fleet;
         this.director = director;
         this.startedAt = wall;
-        this.membership = new Membership(ages, opening.purgesRunMs, new SplittableRandom(opening.chanceOfEdges), this);
+        this.membership = new Membership(ages, opening.purgeRetentionMs, new SplittableRandom(opening.edgeSeed), this);
         this.writes = keeper.mayWrite();
         this.writer = new Thread(this::writeAll, "list");
         writer.setDaemon(true);
@@ -112,8 +112,8 @@
         }
         desk.witness(this);
         desk.round(to -> {
-            to.listBegins(Director.REMEMBERED);
-            to.listEnds();
+            to.listStarted(Director.LIST_RESTORED);
+            to.listFinished();
             flush(to);
             for (Purge p : membership.purges()) desk.purged(to, p.object(), p.group(), p.at());
         });
@@ -153,7 +153,7 @@
     }
 
     @Override public boolean begins(Director to, long number, int news) {
-        Membership.Taken taken = membership.begins(number, news != Director.CHANGES, now());
+        Membership.Taken taken = membership.begins(number, news != Director.LIST_DELTA, now());
         switch (taken) {
             case OLDER -> older(number);
             case STARTED_OVER -> LOG.atWarn().addKeyValue("event", number)
@@ -173,7 +173,7 @@
 
     @Override public void listed(Director to, String id, InetSocketAddress address, int place, int kind, int cell,
                                  int standing, double units, double startedAt) {
-        membership.told(id, address.getHostString(), address.getPort(), name(opening.places, place),
+        membership.told(id, address.getHostString(), address.getPort(), name(opening.zones, place),
             name(opening.kinds, kind), cell, standing, units, startedAt, now());
     }
 
@@ -271,12 +271,12 @@
         if (!pending.isEmpty()) {
             List<Change> all = new ArrayList<>(pending.values());
             pending.clear();
-            desk.listBegins(to, Director.CHANGES);
+            desk.listBegins(to, Director.LIST_DELTA);
             for (Change c : all) {
                 Told t = c.entry;
-                int place = opening.places.indexOf(t.place()), kind = opening.kinds.indexOf(t.kind());
+                int place = opening.zones.indexOf(t.place()), kind = opening.kinds.indexOf(t.kind());
                 // A box of a place or kind that the settings no longer have can't be used.
-                int use = place < 0 || kind < 0 ? Director.GONE : c.is.use;
+                int use = place < 0 || kind < 0 ? Director.REMOVED : c.is.use;
                 desk.listed(to, t.id(), new InetSocketAddress(t.host(), t.port()), place, kind, t.cell(), use,
                     t.units(), c.coldSince);
             }
--- a/src/main/java/mothcross/net/Routing.java
+++ b/src/main/java/mothcross/net/Routing.java
@@ -1,7 +1,7 @@
 package mothcross.net;
 
 import java.net.InetSocketAddress;
-import mothcross.Narrowing;
+import mothcross.RouteConstraints;
 import mothcross.expr.Frame;
 import mothcross.expr.Inputs;
 import mothcross.route.Asked;
@@ -86,9 +86,9 @@
         return o;
     }
 
-    static Narrowing narrowing(RouteTable.Outcome o, int mostHops) {
+    static RouteConstraints narrowing(RouteTable.Outcome o, int mostHops) {
         if (!o.placed && o.weight == 1 && o.mostHops == mostHops) return null;
-        return new Narrowing(o.placed, o.placedBy, o.mostHops, o.weight);
+        return new RouteConstraints(o.placed, o.placedBy, o.mostHops, o.weight);
     }
 
     @Override public void read(int number, Frame f, int slot) {
--- a/src/main/java/mothcross/net/Start.java
+++ b/src/main/java/mothcross/net/Start.java
@@ -10,8 +10,8 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import mothcross.door.Fields;
-import mothcross.door.Opening;
+import mothcross.adapter.DirectorSettings;
+import mothcross.adapter.FieldMap;
 
 /**
  * What a director is told at its start, read from its file. Owns the way from JSON to the names and values
@@ -30,14 +30,14 @@
 
     public final String name;
     public final InetSocketAddress listen, discovery;
-    public final Opening opening;
+    public final DirectorSettings opening;
     public final int sockets, mostHops;
     public final double memoryMb;
     final JsonObject known, settings;
     /** When the file was written, Unix ms: as old as what it knows. */
     final double writtenAt;
 
-    private Start(String name, InetSocketAddress listen, InetSocketAddress discovery, Opening opening,
+    private Start(String name, InetSocketAddress listen, InetSocketAddress discovery, DirectorSettings opening,
                   int sockets, double memoryMb, int mostHops, JsonObject known, double writtenAt,
                   JsonObject settings) {
         this.name = name;
@@ -69,7 +69,7 @@
         }
         try {
             return of(JsonParser.parseString(text).getAsJsonObject(), listen, needsKnown, writtenAt);
-        } catch (Fields.Malformed e) {
+        } catch (FieldMap.MalformedFieldException e) {
             throw new Unusable(file + ": " + e.getMessage());
         } catch (RuntimeException e) {
             throw new Unusable(file + ": " + String.valueOf(e.getMessage()).replace('\n', ' '));
@@ -80,7 +80,7 @@
         JsonObject settings = need(all, "settings").getAsJsonObject();
         boolean has = needsKnown || all.has("known") && !all.get("known").isJsonNull();
         JsonObject known = has ? need(all, "known").getAsJsonObject() : null;
-        Fields flat = new Fields("settings");
+        FieldMap flat = new FieldMap("settings");
         flatten(flat, "", settings);
         long seed = new BigInteger(need(all, "seed").getAsString(), 16).longValue();
         if (has) {
@@ -90,9 +90,9 @@
         JsonObject limits = need(all, "limits").getAsJsonObject();
         return new Start(all.has("name") ? all.get("name").getAsString() : "",
             DiscoveryWatch.socket(listen != null ? listen : need(all, "listen").getAsString()),
-            DiscoveryWatch.socket(need(all, "bulletin").getAsString()), new Opening(flat, seed),
+            DiscoveryWatch.socket(need(all, "bulletin").getAsString()), new DirectorSettings(flat, seed),
             need(limits, "sockets").getAsInt(), need(limits, "memory_mb").getAsDouble(),
-            flat.small("Caps.MaxAttempts"), known, writtenAt, settings);
+            flat.intValue("Caps.MaxAttempts"), known, writtenAt, settings);
     }
 
     private static JsonElement need(JsonObject in, String field) {
@@ -102,7 +102,7 @@
     }
 
     /** As the simulator's first message has it: paths with dots, plain lists with commas, others counted. */
-    private static void flatten(Fields into, String path, JsonElement e) {
+    private static void flatten(FieldMap into, String path, JsonElement e) {
         if (e.isJsonObject()) {
             for (var f : e.getAsJsonObject().entrySet()) {
                 flatten(into, path.isEmpty() ? f.getKey() : path + "." + f.getKey(), f.getValue());
--- a/src/main/java/mothcross/route/RouteTable.java
+++ b/src/main/java/mothcross/route/RouteTable.java
@@ -151,8 +151,9 @@
             if (only != null && !only.contains(w.getKey())) continue;
             Workload a = all[w.getValue()], b = all[to];
             String wider = b.effect().compareTo(a.effect()) < 0 ? "may run again"
-                : a.effect() == Workload.Effect.TAGGED && b.effect() == Workload.Effect.TAGGED
-                    && (b.repeatsDroppedBy().compareTo(a.repeatsDroppedBy()) < 0 || b.rememberedMs() > a.rememberedMs())
+                : a.effect() == Workload.Effect.DEDUPLICATED && b.effect() == Workload.Effect.DEDUPLICATED
+                    && (b.deduplicationScope().compareTo(a.deduplicationScope()) < 0
+                    || b.deduplicationWindowMs() > a.deduplicationWindowMs())
                     ? "is remembered more widely or longer"
                 : fresh(b) > fresh(a) || fresh(b) + b.staleMs() > fresh(a) + a.staleMs() ? "takes older copies" : null;
             if (wider == null || a == b) continue;
--- a/src/test/java/mothcross/BelievedRulesTest.java
+++ b/src/test/java/mothcross/BelievedRulesTest.java
@@ -77,7 +77,7 @@
         final World w;
         final String name;
         final Membership m;
-        final Decide decide;
+        final CacheDirector decide;
         final Map<String, Object[]> pending = new HashMap<>();
         final Map<Integer, Ask> asks = new HashMap<>();
         final Set<String> out = new HashSet<>();            // the checker's: told as draining or gone
@@ -92,38 +92,39 @@
             out.addAll(toldOut);
             purged.putAll(toldPurged);
             m = new Membership(AGES, 2 * PURGE_TAKES, w.chance.split(), this);
-            Workload safe = new Workload(Workload.Effect.REPEATABLE, Workload.Group.ALL, 5000, 400, 2, 3000, 2, 0.15,
-                0, 0,
+            Workload safe = new Workload(Workload.Effect.IDEMPOTENT, Workload.DeduplicationScope.ALL, 5000, 400, 2,
+                3000, 2, 0.15, 0, 0,
                 0.5, false);
-            Workload once = new Workload(Workload.Effect.ONCE_ONLY, Workload.Group.ALL, 5000, 400, 2, 3000, 2, 0.15,
-                0, 0, 0.5,
+            Workload once = new Workload(Workload.Effect.NON_IDEMPOTENT, Workload.DeduplicationScope.ALL, 5000, 400, 2,
+                3000, 2, 0.15, 0, 0, 0.5,
                 false);
-            decide = new Decide(w.chance.nextLong(), new Workload[] {safe, once}, new Places(0, new int[] {3}, 3, 1, 2),
-                new Allowances(4, true, true, false, true, 1000), new Knowledge(true, true, false, 10, 0),
-                new ColdStart(FLOOR, WARM, BREAKS, SPAN), new ColdStart(0.1, WARM, 2, SPAN), PURGE_TAKES);
+            decide = new CacheDirector(w.chance.nextLong(), new Workload[] {safe, once},
+                new Topology(0, new int[] {3}, 3, 1, 2),
+                new Capabilities(4, true, true, false, true, 1000), new SiteParameters(true, true, false, 10, 0),
+                new SlowStartLimits(FLOOR, WARM, BREAKS, SPAN), new SlowStartLimits(0.1, WARM, 2, SPAN), PURGE_TAKES);
             round(to -> {
-                to.listBegins(Director.REMEMBERED);
-                to.listEnds();
+                to.listStarted(Director.LIST_RESTORED);
+                to.listFinished();
                 if (disk != null) m.restore(ListFile.read(disk, "f", name, w.now, 1000).kept(), w.now);
                 for (Purge p : m.purges()) to.purged(p.object(), p.group(), Math.max(0, w.now - p.at()));
             });
             tick();
         }
 
-        void round(RoundReader in) {
+        void round(EventBatch in) {
             assertTrue(!atWork);
             atWork = true;
-            decide.round(w.now, to -> {
-                in.deliver(to);
+            decide.process(w.now, to -> {
+                in.deliverTo(to);
                 if (pending.isEmpty()) return;
-                to.listBegins(Director.CHANGES);
+                to.listStarted(Director.LIST_DELTA);
                 for (Map.Entry<String, Object[]> e : pending.entrySet()) {
                     String id = e.getKey();
-                    to.listed(IDS.indexOf(id), id, 0, id.equals("p") ? 1 : id.equals("o") ? 2 : 0, 0,
+                    to.nodeListed(IDS.indexOf(id), id, 0, id.equals("p") ? 1 : id.equals("o") ? 2 : 0, 0,
                         ((Standing) e.getValue()[0]).use, UNITS, (double) e.getValue()[1]);
                 }
                 pending.clear();
-                to.listEnds();
+                to.listFinished();
             }, this);
             atWork = false;
         }
@@ -206,9 +207,9 @@
             int hop = a.ended.size();
             a.ended.add(false);
             double sentAt = w.now;
-            int outcome = !b.up ? Director.UNREACHED : w.chance.nextInt(20) == 0 ? Director.FULL
-                : w.chance.nextInt(30) == 0 ? Director.BROKEN : Director.HANDLED;
-            boolean ran = outcome == Director.HANDLED || outcome == Director.BROKEN;
+            int outcome = !b.up ? Director.CONNECT_FAILED : w.chance.nextInt(20) == 0 ? Director.REJECTED
+                : w.chance.nextInt(30) == 0 ? Director.CONNECTION_LOST : Director.SUCCEEDED;
+            boolean ran = outcome == Director.SUCCEEDED || outcome == Director.CONNECTION_LOST;
             boolean onlyOne = a.workload == 1 && ran;
             if (onlyOne) a.mayHaveRun = true;
             w.at(w.now + (b.up ? 3 + w.chance.nextInt(60) : 1), () -> end(lookup, hop, node, source, outcome, sentAt));
@@ -219,21 +220,21 @@
             if (dead || a.ended.get(hop)) return;
             a.ended.set(hop, true);
             a.out--;
-            boolean handled = outcome == Director.HANDLED && a.answers == 0;
+            boolean handled = outcome == Director.SUCCEEDED && a.answers == 0;
             if (handled) a.answers++;
             if (handled) w.answered++;
-            int note = outcome == Director.HANDLED ? Director.HIT : 0;
+            int note = outcome == Director.SUCCEEDED ? Director.HIT : 0;
             round(to -> {
                 to.hopEnded(lookup, hop, node, outcome, a.answers > 0, note, w.now - sentAt, 0, null);
                 m.hopEnded(IDS.get(node), source == node ? null : IDS.get(source), outcome, note, false, w.now);
             });
         }
 
-        @Override public void look(int lookup, int node, double giveUpAt) {
+        @Override public void sendCacheOnly(int lookup, int node, double giveUpAt) {
             send(lookup, node, node);
         }
 
-        @Override public void fetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge,
+        @Override public void sendFetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge,
             int how) {
             Double at = purged.get(asks.get(lookup).group);
             if (at != null && w.now - at < PURGE_TAKES) {
@@ -243,10 +244,10 @@
             send(lookup, node, source);
         }
 
-        @Override public void callOff(int lookup, int hop) {
+        @Override public void cancelHop(int lookup, int hop) {
             Ask a = asks.get(lookup);
             if (a.ended.get(hop)) return;
-            w.at(w.now, () -> end(lookup, hop, 0, 0, Director.CALLED_OFF, w.now));
+            w.at(w.now, () -> end(lookup, hop, 0, 0, Director.CANCELLED, w.now));
         }
 
         private void answer(int lookup, boolean bounce) {
@@ -256,25 +257,25 @@
             assertTrue(!(bounce && a.workload == 1 && a.mayHaveRun), w.seed + " rule 2: bounced what may have run");
         }
 
-        @Override public void bounce(int lookup, double comeBackAfter) {
+        @Override public void reject(int lookup, double comeBackAfter) {
             answer(lookup, true);
         }
 
-        @Override public void giveUp(int lookup) {
+        @Override public void fail(int lookup) {
             answer(lookup, false);
         }
 
         @Override public void probe(int node) { }
 
-        @Override public void remind(double t, long bell) {
+        @Override public void setTimer(double t, long bell) {
             w.at(Math.max(t, w.now), () -> {
-                if (!dead) round(to -> to.bell(bell));
+                if (!dead) round(to -> to.timerFired(bell));
             });
         }
 
-        @Override public void followList(boolean on) { }
+        @Override public void watchNodeList(boolean on) { }
 
-        @Override public void say(String text) { }
+        @Override public void log(String text) { }
     }
 
     @Test public void fiveRulesOverRandomHistories() {
@@ -344,7 +345,7 @@
         long number = w.log.size() + 1;
         switch (w.chance.nextInt(5)) {
             case 0 -> w.log.add(new Event(number, Director.DRAINING, id, -1, w.now));
-            case 1 -> w.log.add(new Event(number, Director.GONE, id, -1, w.now));
+            case 1 -> w.log.add(new Event(number, Director.REMOVED, id, -1, w.now));
             case 2 -> w.log.add(new Event(number, Director.IN_SERVICE, id, -1, w.now));
             case 3 -> w.log.add(new Event(number, 0, null, w.chance.nextInt(12), w.now));
             default -> w.boxes.get(id).up = false;
--- a/src/test/java/mothcross/emulator/EmulatorTest.java
+++ b/src/test/java/mothcross/emulator/EmulatorTest.java
@@ -5,10 +5,10 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.*;
-import mothcross.Director;
 import mothcross.DecisionWriter;
-import mothcross.Narrowing;
-import mothcross.RoundReader;
+import mothcross.Director;
+import mothcross.EventBatch;
+import mothcross.RouteConstraints;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -132,8 +132,8 @@
     private abstract static class Spoilt implements Director {
         Director in;
 
-        @Override public void round(double now, RoundReader r, DecisionWriter out) {
-            in.round(now, to -> r.deliver(this), spoils(out));
+        @Override public void process(double now, EventBatch r, DecisionWriter out) {
+            in.process(now, to -> r.deliverTo(this), spoils(out));
         }
 
         DecisionWriter spoils(DecisionWriter out) {
@@ -141,7 +141,7 @@
         }
 
         @Override public void lookup(int l, int w, double e, long o, int p, int g, double kb, boolean r, boolean wr,
-            Narrowing by) {
+            RouteConstraints by) {
             in.lookup(l, w, e, o, p, g, kb, r, wr, by);
         }
 
@@ -150,36 +150,36 @@
             in.hopEnded(l, h, n, o, last, note, s, w, r);
         }
 
-        @Override public void streamBegan(int l, int h) {
-            in.streamBegan(l, h);
+        @Override public void streamStarted(int l, int h) {
+            in.streamStarted(l, h);
         }
 
-        @Override public void clientLeft(int l) {
-            in.clientLeft(l);
+        @Override public void clientDisconnected(int l) {
+            in.clientDisconnected(l);
         }
 
-        @Override public void bell(long n) {
-            in.bell(n);
+        @Override public void timerFired(long n) {
+            in.timerFired(n);
         }
 
         @Override public void purged(long o, int g, double ago) {
             in.purged(o, g, ago);
         }
 
-        @Override public void probed(int n, int o, double s, double[] r) {
-            in.probed(n, o, s, r);
+        @Override public void probeCompleted(int n, int o, double s, double[] r) {
+            in.probeCompleted(n, o, s, r);
         }
 
-        @Override public void listBegins(int n) {
-            in.listBegins(n);
+        @Override public void listStarted(int n) {
+            in.listStarted(n);
         }
 
-        @Override public void listed(int n, String a, int p, int k, int c, int s, double u, double t) {
-            in.listed(n, a, p, k, c, s, u, t);
+        @Override public void nodeListed(int n, String a, int p, int k, int c, int s, double u, double t) {
+            in.nodeListed(n, a, p, k, c, s, u, t);
         }
 
-        @Override public void listEnds() {
-            in.listEnds();
+        @Override public void listFinished() {
+            in.listFinished();
         }
     }
 
@@ -200,18 +200,18 @@
         finds(1, spoilt(() -> new Spoilt() {
             @Override public void hopEnded(int l, int h, int n, int o, boolean last, int note, double s, double w,
                 double[] r) {
-                if (o == HANDLED || l % 50 != 0) in.hopEnded(l, h, n, o, last, note, s, w, r);
+                if (o == SUCCEEDED || l % 50 != 0) in.hopEnded(l, h, n, o, last, note, s, w, r);
             }
         }), "3000 origin-stop for 9000", SMALL);
         finds(2, spoilt(() -> new Spoilt() {
             @Override public void lookup(int l, int w, double e, long o, int p, int g, double kb, boolean r,
-                boolean wr, Narrowing by) {
+                boolean wr, RouteConstraints by) {
                 in.lookup(l, 0, e, o, p, g, kb, r, wr, by);
             }
         }), "3000 crash caches 0.4 for 3000\n8000 crash caches 0.4 for 3000", SMALL.with("once_only", 0.5));
         finds(3, spoilt(() -> new Spoilt() {
-            @Override public void listed(int n, String a, int p, int k, int c, int s, double u, double t) {
-                in.listed(n, a, p, k, c, s == DRAINING ? IN_SERVICE : s, u, t);
+            @Override public void nodeListed(int n, String a, int p, int k, int c, int s, double u, double t) {
+                in.nodeListed(n, a, p, k, c, s == DRAINING ? IN_SERVICE : s, u, t);
             }
         }), "3000 drain cache 1 for 3000", SMALL);
         finds(4, Baselines.ALL.get("no-cold-budget"), "4000 crash place 0 for 3000", SMALL.with("load",
@@ -264,7 +264,8 @@
 
     /** The same build through a loader of its own plays the same run to the byte; a folder without one is refused. */
     @Test public void anEarlierBuildPlaysBesideThisOne() throws Exception {
-        java.nio.file.Path here = java.nio.file.Path.of(mothcross.Decide.class.getProtectionDomain().getCodeSource()
+        java.nio.file.Path here =
+            java.nio.file.Path.of(mothcross.CacheDirector.class.getProtectionDomain().getCodeSource()
             .getLocation().toURI());
         Script s = Script.of("3000 crash caches 0.4 for 3000\n5000 purge by 20 for 1000\n"
             + "6000 kill director 0 for 2000");
--- a/src/test/java/mothcross/membership/MembershipTest.java
+++ b/src/test/java/mothcross/membership/MembershipTest.java
@@ -73,7 +73,7 @@
                 double since = 0;
                 for (String x : p) {
                     if (x.equals("drains")) standing = Director.DRAINING;
-                    if (x.equals("gone")) standing = Director.GONE;
+                    if (x.equals("gone")) standing = Director.REMOVED;
                     if (x.startsWith("since=")) since = Double.parseDouble(x.substring(6));
                 }
                 m.told(id[0], id.length > 1 ? id[1] : id[0], 1, "here", "cache", 0, standing, 4, since, t);
@@ -176,7 +176,7 @@
                     int standing = chance.nextInt(3);
                     play.list(t, false, ++event, List.of(id + (standing == 1 ? ",drains" : standing == 2 ? ",gone"
                         : "")));
-                    if (told.containsKey(id) || standing != Director.GONE) told.put(id, standing);
+                    if (told.containsKey(id) || standing != Director.REMOVED) told.put(id, standing);
                 } else if (what == 1) {
                     play.m.purged(++event, -1, step, t, t);
                     purges.put(step, t);
--- a/src/test/java/mothcross/net/DrainPathsTest.java
+++ b/src/test/java/mothcross/net/DrainPathsTest.java
@@ -154,8 +154,9 @@
                 Fleet.until("asked", () -> life.desk().openLookups() == asked || waits(life) > 0);
             }
             int waiting = waits(life), asked = clients.size();
-            Fleet.until("the silent node's connection is ended", () -> ends(life, mothcross.Director.BROKEN) > 0);
-            assertEquals(ends(life, mothcross.Director.BROKEN), asked - waiting, "begun, and may have run");
+            Fleet.until("the silent node's connection is ended",
+                () -> ends(life, mothcross.Director.CONNECTION_LOST) > 0);
+            assertEquals(ends(life, mothcross.Director.CONNECTION_LOST), asked - waiting, "begun, and may have run");
             Fleet.until("all have their answer", () -> life.desk().openLookups() <= waiting);
             assertEquals(life.desk().count.givenUp, asked - waiting);
         } finally {
--- a/src/test/java/mothcross/net/KilledTest.java
+++ b/src/test/java/mothcross/net/KilledTest.java
@@ -100,7 +100,7 @@
                     + (killed - e.getValue()) / 1e6 + " ms before the kill, is not on disk; the last is " + k.number());
             }
             Map<String, Integer> onDisk = new TreeMap<>();
-            for (Told t : k.entries().values()) if (t.told() != Director.GONE) onDisk.put(t.id(), t.told());
+            for (Told t : k.entries().values()) if (t.told() != Director.REMOVED) onDisk.put(t.id(), t.told());
             assertEquals(onDisk, after.get((int) k.number()), "seed " + seed + ": the list after event " + k.number());
             return due;
         }
--- a/src/test/java/mothcross/route/RouteTest.java
+++ b/src/test/java/mothcross/route/RouteTest.java
@@ -18,12 +18,13 @@
 public class RouteTest {
     private static final Map<String, Integer> NAMES = new LinkedHashMap<>(Map.of("pages", 0, "cards", 1, "bookings",
         2));
-    private static final Workload[] ALL = {workload(Workload.Effect.REPEATABLE, 0, 0),
-        workload(Workload.Effect.REPEATABLE, 8000,
-        20_000), workload(Workload.Effect.ONCE_ONLY, 0, 0)};
+    private static final Workload[] ALL = {workload(Workload.Effect.IDEMPOTENT, 0, 0),
+        workload(Workload.Effect.IDEMPOTENT, 8000,
+        20_000), workload(Workload.Effect.NON_IDEMPOTENT, 0, 0)};
 
     private static Workload workload(Workload.Effect effect, double fresh, double stale) {
-        return new Workload(effect, Workload.Group.ALL, 5000, 400, 2, 3000, 2, 0.15, fresh, stale, 0.5, false);
+        return new Workload(effect, Workload.DeduplicationScope.ALL, 5000, 400, 2, 3000, 2, 0.15, fresh, stale, 0.5,
+            false);
     }
 
     private static Rules.Rule rule(String name, String match, String workload, String key) {
