--- a/src/main/java/mothcross/cli/FleetCommand.java
+++ b/src/main/java/mothcross/cli/FleetCommand.java
@@ -11,11 +11,11 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.function.DoubleConsumer;
-import mothcross.fleet.Pace;
-import mothcross.fleet.Parts;
+import mothcross.fleet.FailureDetectorSettings;
+import mothcross.fleet.LimitShare;
+import mothcross.fleet.net.AdminClient;
+import mothcross.fleet.net.FleetMessageCodec;
 import mothcross.fleet.net.FleetNode;
-import mothcross.fleet.net.Question;
-import mothcross.fleet.net.Wire;
 import mothcross.net.Start;
 import mothcross.operators.Directors;
 import mothcross.operators.OperatorsFile;
@@ -39,13 +39,14 @@
 
     /** The member that the operators' part asks for, before it begins. */
     static FleetNode node(Directors d, Start start, String relay, long skewMs, DoubleConsumer share) {
-        Pace u = Pace.USUAL;
-        Pace pace = new Pace(d.periodMs(), 0.3 * d.periodMs(), u.helpers(), u.doubts(), u.rings(), u.lowShare(),
-            u.highShare(), d.silentMs(), u.settle(), d.holdMs(), u.forget());
+        FailureDetectorSettings u = FailureDetectorSettings.DEFAULTS;
+        FailureDetectorSettings pace = new FailureDetectorSettings(d.periodMs(), 0.3 * d.periodMs(),
+            u.indirectProbes(), u.suspicionRounds(), u.rings(), u.lowShare(),
+            u.highShare(), d.silentMs(), u.proposalDelayMs(), d.holdMs(), u.forgetAfterMs());
         int fixed = d.directors() > 0 ? d.directors() : start.opening.directorsInZone;
         List<InetSocketAddress> seeds = d.seeds().stream().map(FleetCommand::socket).toList();
         return new FleetNode(d.fleet(), start.name, socket(d.listen()), seeds, keys(d), d.file(), pace,
-            new Parts(fixed, d.leaseMs(), 4 * d.periodMs()), relay == null ? null : socket(relay), skewMs, share);
+            new LimitShare(fixed, d.leaseMs(), 4 * d.periodMs()), relay == null ? null : socket(relay), skewMs, share);
     }
 
     /** Says farewell before the director ends. */
@@ -59,8 +60,9 @@
         };
     }
 
-    static List<Wire.Key> keys(Directors d) {
-        return d.keys().stream().map(k -> new Wire.Key(k.id(), k.secret().getBytes(StandardCharsets.UTF_8))).toList();
+    static List<FleetMessageCodec.Key> keys(Directors d) {
+        return d.keys().stream().map(k -> new FleetMessageCodec.Key(k.id(),
+            k.secret().getBytes(StandardCharsets.UTF_8))).toList();
     }
 
     static InetSocketAddress socket(String at) {
@@ -93,7 +95,7 @@
             if (d == null) throw new IOException("the file has no part fleet");
             InetSocketAddress to = socket(at == null ? d.listen() : at);
             try {
-                return JsonParser.parseString(Question.ask(to, d.fleet(), keys(d), what, body)).getAsJsonObject();
+                return JsonParser.parseString(AdminClient.ask(to, d.fleet(), keys(d), what, body)).getAsJsonObject();
             } catch (IOException e) {
                 throw new IOException("no answer from " + to + ": " + e.getMessage(), e);
             }
--- a/src/main/java/mothcross/cli/Main.java
+++ b/src/main/java/mothcross/cli/Main.java
@@ -149,7 +149,7 @@
                 if (both.fleet != null && both.changes == null) {
                     try {
                         FleetNode n = FleetCommand.node(both.fleet, start, relay, skewMs, life::share);
-                        n.begin();
+                        n.start();
                         beside = FleetCommand.ending(n);
                     } catch (java.io.IOException e) {
                         Runtime.getRuntime().removeShutdownHook(end);
--- a/src/main/java/mothcross/cli/PolicyCommand.java
+++ b/src/main/java/mothcross/cli/PolicyCommand.java
@@ -59,9 +59,9 @@
                              boolean tellsPlan, Consumer<Main.Beside> ends) throws IOException, InterruptedException {
         FleetNode fleet = FleetCommand.node(d, start, relay, skewMs, life::share);
         InetSocketAddress at = FleetCommand.socket(d.listen());
-        PolicyNode policy = new PolicyNode(d.fleet(), start.name, fleet.firstLife(), at.getHostString(), at.getPort(),
-            c.voters(), fleet::members, c.leaseMs(), c.dir(), new Tables(life), fleet::send);
-        fleet.beside(policy);
+        PolicyNode policy = new PolicyNode(d.fleet(), start.name, fleet.initialIncarnation(), at.getHostString(),
+            at.getPort(), c.voters(), fleet::members, c.leaseMs(), c.dir(), new Tables(life), fleet::send);
+        fleet.attach(policy);
         life.follows(policy, tellsPlan);
         Main.Beside b = new Main.Beside() {
             @Override public void after() throws InterruptedException {
@@ -71,7 +71,7 @@
             }
         };
         ends.accept(b);
-        fleet.begin();
+        fleet.start();
         policy.begin();
         while (!policy.awaitSeat(SAYS_EVERY_MS)) {
             LOG.atWarn().addKeyValue("why", policy.whyNot()).log("policy: waits for its voters before it serves");
--- a/src/main/java/mothcross/cli/RigCommand.java
+++ b/src/main/java/mothcross/cli/RigCommand.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import java.util.TreeMap;
 import java.util.SplittableRandom;
+import java.util.TreeMap;
 import java.util.concurrent.Callable;
 import java.util.concurrent.ConcurrentSkipListMap;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -17,7 +17,7 @@
 import java.util.concurrent.atomic.DoubleAccumulator;
 import java.util.concurrent.atomic.LongAdder;
 import java.util.stream.LongStream;
-import mothcross.fleet.Pace;
+import mothcross.fleet.FailureDetectorSettings;
 import mothcross.policy.Book;
 import mothcross.rig.FaultScript;
 import mothcross.rig.FleetRules;
@@ -154,7 +154,7 @@
                @Option(names = "--events", description = "prints every event") boolean events) throws IOException {
         try {
             if (read(script).hasPolicy()) return said(policy(read(script), seed).rules);
-            Virtual v = Virtual.play(read(script), Pace.USUAL, seed, null);
+            Virtual v = Virtual.play(read(script), FailureDetectorSettings.DEFAULTS, seed, null);
             if (events) v.history.events.forEach(e -> System.out.println(Math.round(e.at()) + " " + e.kind() + " "
                 + e.name() + (e.members().isEmpty() ? "" : " " + e.number() + " " + e.members()) + " " + e.text()));
             return said(v.check(), v.history.events.size());
@@ -209,7 +209,7 @@
         DoubleAccumulator most = new DoubleAccumulator(Math::max, 0);
         LongStream.range(from, from + histories).parallel().forEach(seed -> {
             FaultScript s = FaultScript.drawn(new SplittableRandom(seed));
-            Virtual v = Virtual.play(s, Pace.USUAL, seed, null);
+            Virtual v = Virtual.play(s, FailureDetectorSettings.DEFAULTS, seed, null);
             most.accumulate(v.mostParts - 1);
             FleetRules r = v.check();
             if (r.broken.isEmpty()) return;
@@ -233,7 +233,7 @@
 
     private static boolean fails(FaultScript s, long seed) {
         if (s.hasPolicy()) return !policy(s, seed).rules.broken.isEmpty();
-        return !Virtual.play(s, Pace.USUAL, seed, null).check().broken.isEmpty();
+        return !Virtual.play(s, FailureDetectorSettings.DEFAULTS, seed, null).check().broken.isEmpty();
     }
 
 }
--- a/src/main/java/mothcross/policy/Book.java
+++ b/src/main/java/mothcross/policy/Book.java
@@ -11,7 +11,7 @@
  * The one value that the register holds: who votes, who may serve, the plan in force, the change under way, and how the
  * last ones ended, and how long a lease is, the same for all. Each decided book has the revision after the one that
  * it was made from. Owns what a book holds; how
- * one follows from another is {@link Move}'s. {@code whole} false: the roll has only the one it was cut for.
+ * one follows from another is {@link Event}'s. {@code whole} false: the roll has only the one it was cut for.
  */
 public record Book(long revision, double leaseMs, Voters voters, Map<String, Seat> roll, Plan plan, Change change,
                    List<Ended> lately, boolean whole) {
--- a/src/main/java/mothcross/policy/net/PolicyNode.java
+++ b/src/main/java/mothcross/policy/net/PolicyNode.java
@@ -40,7 +40,7 @@
  * Owns the one thread that it runs on, and the order in which a write comes before what rests on it; must never decide
  * anything, nor send from a step whose write has failed.
  */
-public final class PolicyNode implements FleetNode.Beside, Current, AutoCloseable {
+public final class PolicyNode implements FleetNode.MessageHandler, Current, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("mothcross.policy");
     private static final int MOST_WAITING = 4096;
     private static final long LEAVE_MS = 1500, ASKED_MS = 3000;
@@ -240,7 +240,7 @@
 
     // ---- the fleet's messages ----
 
-    @Override public void heard(String from, byte[] body) {
+    @Override public void onMessage(String from, byte[] body) {
         later(() -> {
             Said s = Codec.said(body);
             if (s == null) {
@@ -252,14 +252,14 @@
         });
     }
 
-    @Override public void refused(String host, int port) {
+    @Override public void onConnectionRefused(String host, int port) {
         later(() -> party.refused(host, port));
     }
 
     // ---- the operators' questions ----
 
     /** {@code what} is a word and its arguments; the answer is JSON. */
-    @Override public String asked(String what, byte[] body) {
+    @Override public String onAdminRequest(String what, byte[] body) {
         String[] answer = new String[1];
         Object done = new Object();
         synchronized (done) {
--- a/src/main/java/mothcross/rig/Real.java
+++ b/src/main/java/mothcross/rig/Real.java
@@ -34,8 +34,8 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import mothcross.fleet.Message;
-import mothcross.fleet.net.Question;
-import mothcross.fleet.net.Wire;
+import mothcross.fleet.net.AdminClient;
+import mothcross.fleet.net.FleetMessageCodec;
 
 /**
  * A script played among real processes of this program on loopback. All that a director sends to another goes through
@@ -684,10 +684,10 @@
     }
 
     private static JsonObject ask(Proc p, String what, byte[] body) throws IOException {
-        JsonObject o = JsonParser.parseString(Question.ask(new InetSocketAddress(HERE, p.port), "rig",
-            List.of(new Wire.Key(1, "of this play and no other".getBytes(java.nio.charset.StandardCharsets.UTF_8))),
-                what,
-            body)).getAsJsonObject();
+        JsonObject o = JsonParser.parseString(AdminClient.ask(new InetSocketAddress(HERE, p.port), "rig",
+            List.of(new FleetMessageCodec.Key(1,
+                "of this play and no other".getBytes(java.nio.charset.StandardCharsets.UTF_8))),
+            what, body)).getAsJsonObject();
         if (o.has("failed")) throw new IOException(o.get("failed").getAsString());
         return o;
     }
