--- a/src/main/java/mothcross/CacheDirector.java
+++ b/src/main/java/mothcross/CacheDirector.java
@@ -205,7 +205,7 @@
         l.originFailed |= note == ORIGIN_FAILED;
         h.sourceBlamed = h.source != h.node && (bySource || unclear);
         boolean own = !bySource && note != ORIGIN_FAILED;
-        h.nodeBlamed = own && outcome != CONNECTION_LOST;     // what ran and was cut off is held there: ask again
+        h.nodeBlamed = own && outcome != CONNECTION_LOST;  // what ran and was cut off is held there: ask again
         if (h.sourceBlamed && note != SOURCE_MISS) health.bad(h.source, outcome);
         if (note == ORIGIN_FAILED || h.source.tier == Node.ORIGIN && h.sourceBlamed) behind.told(Behind.ONCE);
         if (own && outcome != REJECTED && outcome != MISS && note != COLLATERAL_FAILURE && !h.err) {
@@ -759,7 +759,7 @@
             // one that never comes: what an origin held back still gives, passed through, is asked for again.
             boolean refill = bound < Double.POSITIVE_INFINITY || coldOf(n).isCold(n) || behind.isHeldBack();
             int rank = refill && !l.passing ? Admission.MIDDLE_RANK : l.rank;
-            if (n.tier == Node.ORIGIN) out.sendCacheOnly(l.index, n.index, until);     // it holds all, always fresh
+            if (n.tier == Node.ORIGIN) out.sendCacheOnly(l.index, n.index, until);  // it holds all, always fresh
             else out.sendFetch(l.index, n.index, until, source.index, rank, usual ? 0 : oldest, how);
             return true;
         }
--- a/src/main/java/mothcross/cli/PolicyCommand.java
+++ b/src/main/java/mothcross/cli/PolicyCommand.java
@@ -23,7 +23,7 @@
 import mothcross.operators.OperatorsFile;
 import mothcross.operators.Part;
 import mothcross.policy.Plan;
-import mothcross.policy.net.InService;
+import mothcross.policy.net.PolicyActivator;
 import mothcross.policy.net.PolicyNode;
 import mothcross.route.RouteTable;
 import mothcross.route.Rules;
@@ -72,15 +72,16 @@
         };
         ends.accept(b);
         fleet.start();
-        policy.begin();
-        while (!policy.awaitSeat(SAYS_EVERY_MS)) {
-            LOG.atWarn().addKeyValue("why", policy.whyNot()).log("policy: waits for its voters before it serves");
+        policy.start();
+        while (!policy.awaitRegistration(SAYS_EVERY_MS)) {
+            LOG.atWarn().addKeyValue("why", policy.notReadyReason())
+                .log("policy: waits for its voters before it serves");
         }
         return b;
     }
 
     /** Texts of the policy as tables of routes. */
-    private record Tables(Life life) implements InService {
+    private record Tables(Life life) implements PolicyActivator {
         @Override public Object compile(String digest, byte[] text, List<String> faults) {
             try {
                 Rules r = OperatorsFile.policy("policy", new String(text, StandardCharsets.UTF_8)).part(Part.ROUTES);
@@ -91,7 +92,7 @@
             }
         }
 
-        @Override public void take(Plan plan, Object main, Object trial) {
+        @Override public void activate(Plan plan, Object main, Object trial) {
             life.take(plan, table(main), table(trial));
         }
 
--- a/src/main/java/mothcross/cli/RigCommand.java
+++ b/src/main/java/mothcross/cli/RigCommand.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.stream.LongStream;
 import mothcross.fleet.FailureDetectorSettings;
-import mothcross.policy.Book;
+import mothcross.policy.PolicyRegister;
 import mothcross.rig.FaultScript;
 import mothcross.rig.FleetRules;
 import mothcross.rig.History;
@@ -190,7 +190,7 @@
         AtomicInteger bad = new AtomicInteger();
         if (ofPolicy) {
             AtomicLong starts = new AtomicLong(), overlaps = new AtomicLong();
-            Map<Book.Outcome, LongAdder> ends = new ConcurrentSkipListMap<>();
+            Map<PolicyRegister.Outcome, LongAdder> ends = new ConcurrentSkipListMap<>();
             LongStream.range(from, from + histories).parallel().forEach(seed -> {
                 SplittableRandom r0 = new SplittableRandom(seed);
                 FaultScript s = voters ? FaultScript.drawnVoters(r0) : FaultScript.drawnPolicy(r0);
--- a/src/main/java/mothcross/fleet/FleetMember.java
+++ b/src/main/java/mothcross/fleet/FleetMember.java
@@ -744,7 +744,7 @@
         proposableSince = Double.NaN;
         tries++;
         counters.add(FleetCounters.Event.PROPOSED);
-        for (MemberRecord f : named) rumours.tell(new Candidate(f));     // who does not know them can't agree
+        for (MemberRecord f : named) rumours.tell(new Candidate(f));  // who does not know them can't agree
         proposal(new Proposal(view.digest, view.number, ballot.nextRound(), name, gone, List.copyOf(in), new BitSet()),
             now);
     }
--- a/src/main/java/mothcross/fleet/LinkMonitor.java
+++ b/src/main/java/mothcross/fleet/LinkMonitor.java
@@ -16,7 +16,7 @@
     double outWorked = Double.NEGATIVE_INFINITY;        // it had a question that we sent straight
     double outFailed = Double.NEGATIVE_INFINITY;        // it had not
     double inWorked = Double.NEGATIVE_INFINITY;         // anything came straight from it
-    GossipItem.LinkStatus told = GossipItem.LinkStatus.FINE;                    // what we have told the others
+    GossipItem.LinkStatus told = GossipItem.LinkStatus.FINE;  // what we have told the others
     int seq;
     double toldAt, clearedAt = Double.NEGATIVE_INFINITY;
 
--- a/src/main/java/mothcross/fleet/PeerState.java
+++ b/src/main/java/mothcross/fleet/PeerState.java
@@ -5,8 +5,8 @@
 
 /** All that one director holds of another name, apart from its own edge to it. */
 final class PeerState {
-    MemberRecord fact;                                          // what the view, or what came after it, has of it
-    MemberRecord candidate;                                     // stands over it, and is no part of the view yet
+    MemberRecord fact;                                  // what the view, or what came after it, has of it
+    MemberRecord candidate;                             // stands over it, and is no part of the view yet
     /** The newest word of a watcher, and when it came. */
     private static final class Said {
         final GossipItem.Accusation what;
--- a/src/main/java/mothcross/fleet/View.java
+++ b/src/main/java/mothcross/fleet/View.java
@@ -15,7 +15,7 @@
  */
 public final class View {
     public final long number, digest;
-    private final List<MemberRecord> members;                   // by name
+    private final List<MemberRecord> members;           // by name
     private final Map<String, Integer> at = new HashMap<>();
     private final int rings;
     private int[][] watchers, watched;                  // made when first asked for: many views are only compared
--- a/src/main/java/mothcross/membership/Membership.java
+++ b/src/main/java/mothcross/membership/Membership.java
@@ -14,7 +14,7 @@
 /**
  * What is believed about the boxes of the fleet while discovery may be down: the list, how old each entry's
  * word is, what the boxes show of themselves, and what news changes. States and moves stand at {@link Belief}
- * and {@link Status}. It is told the time, the chance and all news, and says through {@link Changes} what
+ * and {@link Standing}. It is told the time, the chance and all news, and says through {@link Changes} what
  * changes for the module. Must never read a clock, a file or a socket, never apply an event twice, and never
  * hold up or soften a drain.
  */
--- a/src/main/java/mothcross/net/Rulebook.java
+++ b/src/main/java/mothcross/net/Rulebook.java
@@ -63,7 +63,7 @@
 
     /** The table that a lookup of this object goes by; null where that has no rules. */
     Routing of(long object) {
-        return plan != null && plan.tries(director, object) ? trial : main;
+        return plan != null && plan.isOnTrial(director, object) ? trial : main;
     }
 
     String line() {
--- a/src/test/java/mothcross/rig/PolicyTest.java
+++ b/src/test/java/mothcross/rig/PolicyTest.java
@@ -8,11 +8,11 @@
 import java.util.*;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import mothcross.policy.Holder;
-import mothcross.policy.Party;
 import mothcross.policy.Plan;
-import mothcross.policy.Said;
-import mothcross.policy.Turn;
+import mothcross.policy.PolicyMessage;
+import mothcross.policy.PolicyParticipant;
+import mothcross.policy.PolicyReplica;
+import mothcross.policy.ProposalNumber;
 import mothcross.policy.Voter;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -153,7 +153,7 @@
     // ---- planted faults: each has to be found within the hard cases and a few drawn histories ----
 
     private interface Hears extends PolicyPlay.Spoils {
-        @Override Said hears(String who, String from, Said s);
+        @Override PolicyMessage hears(String who, String from, PolicyMessage s);
     }
 
     private static PolicyPlay.Spoils hears(Hears h) {
@@ -171,25 +171,29 @@
     @DataProvider public Object[][] planted() {
         return new Object[][] {
             {"what is accepted is not on disk", keeps((b, w) -> b)},
-            {"promises are forgotten", keeps((b, w) -> new Voter.State(w.mark(), Turn.NONE, w.acceptedAt(),
-                w.accepted()))},
+            {"promises are forgotten", keeps((b, w) -> new Voter.State(w.storeId(), ProposalNumber.NONE,
+                w.acceptedNumber(), w.accepted()))},
             {"leases never end", new PolicyPlay.Spoils() {
-                @Override public boolean mayStart(Party p, double now) {
-                    return p.holder().stopped(Double.NEGATIVE_INFINITY) == Holder.Stopped.NO;
+                @Override public boolean mayStart(PolicyParticipant p, double now) {
+                    return p.holder().stopReason(Double.NEGATIVE_INFINITY) == PolicyReplica.StopReason.NO;
                 }
             }},
-            {"who is behind counts as ready", hears((who, from, s) -> s instanceof Said.Standing t && t.far()
-                != Said.Far.TAKEN ? new Said.Standing(t.life(), t.since(), t.plan(), Said.Far.READY, "") : s)},
-            {"a no counts as ready", hears((who, from, s) -> s instanceof Said.Standing t && t.far() == Said.Far.NO
-                ? new Said.Standing(t.life(), t.since(), t.plan(), Said.Far.READY, "") : s)},
-            {"voters always say yes", hears((who, from, s) -> s instanceof Said.YouMay y
-                ? new Said.YouMay(y.number(), y.mark(), true, 0) : s)},
-            {"a decided book is not told", hears((who, from, s) -> s instanceof Said.Decided ? null : s)},
-            {"who drives asks nobody", hears((who, from, s) -> s instanceof Said.HowFar || s instanceof Said.Standing
-                ? null : s)},
-            {"texts are not passed on", hears((who, from, s) -> s instanceof Said.Chunk ? null : s)},
+            {"who is behind counts as ready", hears((who, from, s) -> s instanceof PolicyMessage.ProgressReport t
+                && t.progress() != PolicyMessage.Progress.TAKEN
+                ? new PolicyMessage.ProgressReport(t.incarnation(), t.stageRevision(), t.plan(),
+                    PolicyMessage.Progress.READY, "") : s)},
+            {"a no counts as ready", hears((who, from, s) -> s instanceof PolicyMessage.ProgressReport t
+                && t.progress() == PolicyMessage.Progress.NO
+                ? new PolicyMessage.ProgressReport(t.incarnation(), t.stageRevision(), t.plan(),
+                    PolicyMessage.Progress.READY, "") : s)},
+            {"voters always say yes", hears((who, from, s) -> s instanceof PolicyMessage.LeaseReply y
+                ? new PolicyMessage.LeaseReply(y.number(), y.storeId(), true, 0) : s)},
+            {"a decided book is not told", hears((who, from, s) -> s instanceof PolicyMessage.Decided ? null : s)},
+            {"who drives asks nobody", hears((who, from, s) -> s instanceof PolicyMessage.ProgressRequest
+                || s instanceof PolicyMessage.ProgressReport ? null : s)},
+            {"texts are not passed on", hears((who, from, s) -> s instanceof PolicyMessage.TextChunk ? null : s)},
             {"one who has not heard decides by another plan", new PolicyPlay.Spoils() {
-                @Override public boolean mayStart(Party p, double now) {
+                @Override public boolean mayStart(PolicyParticipant p, double now) {
                     return p.holder().plan() >= 0;
                 }
             }}};
@@ -209,8 +213,8 @@
     /** A trial by share takes the same objects everywhere, and about as many as it says. */
     @Test public void aTrialIsOfTheSameObjectsEverywhere() {
         Plan p = new Plan(1, "a", "b", new Plan.Canary(List.of(), 0.1), false);
-        long n = IntStream.range(0, 10_000).filter(i -> p.tries("n1", i)).count();
+        long n = IntStream.range(0, 10_000).filter(i -> p.isOnTrial("n1", i)).count();
         assertTrue(n > 800 && n < 1200, n + " of 10,000");
-        assertTrue(IntStream.range(0, 1000).allMatch(i -> p.tries("n1", i) == p.tries("n2", i)));
+        assertTrue(IntStream.range(0, 1000).allMatch(i -> p.isOnTrial("n1", i) == p.isOnTrial("n2", i)));
     }
 }
