--- a/src/test/java/mothcross/net/DrainPathsTest.java
+++ b/src/test/java/mothcross/net/DrainPathsTest.java
@@ -11,6 +11,9 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.util.*;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import mothcross.Director;
 import mothcross.net.ServeTest.Outside;
 import org.testng.annotations.Test;
 
@@ -18,6 +21,14 @@
 public class DrainPathsTest {
     private static final String ASK = "GET /api/v2/books/%02x HTTP/1.1|Req-Id: %016x|Req-Wait-Ms: 2900|"
         + "Content-Length: %d||%s";
+    /** More requests with this body than the socket of a node that reads nothing takes. */
+    private static final int REQUESTS = 230;
+    private static final String BODY = "z".repeat(16_000);
+    private static final Pattern BEGUN_REQUEST = Pattern.compile("want ([0-9a-f]{16}) ");
+    private static final Pattern WHOLE_REQUEST = Pattern.compile(BEGUN_REQUEST + "\\S+ " + BODY.length() + "\r\n" + BODY
+        + "\r\n");
+    /** The answer to a liveness question, which may come unasked: it only shows that the node is there. */
+    private static final String ALIVE = "l0 FIT - 0||";
 
     private static Life told(Map<String, String> start, Map<String, Outside> parties, String listen) throws Exception {
         String told = Outside.told(start, parties);
@@ -102,27 +113,22 @@
             "n1", Outside.listening("tight", "cache", 1), "o1", Outside.listening("node", "origin", 2)));
         // So many nodes that each gets one connection.
         for (int i = 0; i < 60; i++) parties.put("x" + i, Outside.listening("refused", "parent", 100 + i));
-        int asks = 230;
         Life life = told(Map.of("connect", "3", "sockets", "380", "streams", "1000",
             "straight", "true"), parties, null);
         List<Outside> clients = new ArrayList<>();
         try {
             life.begin();
             Outside n1 = parties.get("n1"), bulletin = parties.get("bulletin");
-            for (int i = 0; i < asks; i++) {
-                Outside c = Outside.client("c" + i, life.port());
-                clients.add(c);
-                c.write(String.format(ASK, i, i + 1, 16_000, "z".repeat(16_000)), false);
-            }
+            for (int i = 0; i < REQUESTS; i++) clients.add(ask(life, i));
             Fleet.until("all asked, and some wait for a full socket", () -> waits(life) > 0
-                && life.desk().openLookups() == asks);
+                && life.desk().openLookups() == REQUESTS);
             assertEquals(bulletin.read(), "2");
             bulletin.write(drains(3, n1, 1, 0), false);
             Fleet.until("what waits goes back", () -> waits(life) == 0);
             long back = notSent(life);
-            assertTrue(back > 0 && back < asks, "went back: " + back);
+            assertTrue(back > 0 && back < REQUESTS, "went back: " + back);
             Fleet.until("the module has decided anew: the link is full", () -> life.desk().count.bounced == back);
-            for (long i = back; i < asks; i++) assertTrue(n1.read().startsWith("want "), "begun before the news");
+            for (long i = back; i < REQUESTS; i++) assertTrue(n1.read().startsWith("want "), "begun before the news");
             life.release();
             assertTrue(n1.gone(), "nothing begun after it");
         } finally {
@@ -133,8 +139,9 @@
     }
 
     /**
-     * A silent node's connection is ended from here, while one request's bytes are with the system in part: that one
-     * may have run, for all that is known here, and is not sent again; those that had not begun are.
+     * A silent node's connection is ended from here while one request is written in part: that one may have run, for
+     * all that is known here, and is not sent again. Those that were never handed to the socket go back to the module,
+     * and none of their bytes reach the node.
      */
     @Test(timeOut = 60_000) public void whatHadBegunToLeaveMayHaveRun() throws Exception {
         Map<String, Outside> parties = new TreeMap<>(Map.of("bulletin", Outside.listening("node", "bulletin", 99),
@@ -142,22 +149,30 @@
         for (int i = 0; i < 60; i++) parties.put("x" + i, Outside.listening("refused", "parent", 100 + i));
         Life life = told(Map.of("connect", "0.4", "sockets", "380", "streams", "1000", "effect", "unsafe", "probing",
             "true"), parties, null);
+        Outside node = parties.get("n1");
+        FirstAttempts attempts = new FirstAttempts(node.port());
+        life.desk().locked(() -> life.desk().witness(attempts));
         List<Outside> clients = new ArrayList<>();
         try {
             life.begin();
-            for (int i = 0; i < 2 || waits(life) == 0; i++) {
-                if (i == 1) Fleet.until("the first is written", () -> waits(life) == 0);
-                Outside c = Outside.client("c" + i, life.port());
-                clients.add(c);
-                c.write(String.format(ASK, i, i + 1, 16_000, "z".repeat(16_000)), false);
-                int asked = i + 1;
-                Fleet.until("asked", () -> life.desk().openLookups() == asked || waits(life) > 0);
+            for (int i = 0; i < REQUESTS; i++) {
+                clients.add(ask(life, i));
+                node.write(ALIVE, false);               // the silence that ends the connection starts after the last
             }
-            int waiting = waits(life), asked = clients.size();
-            Fleet.until("the silent node's connection is ended", () -> ends(life, mothcross.Director.BROKEN) > 0);
-            assertEquals(ends(life, mothcross.Director.BROKEN), asked - waiting, "begun, and may have run");
-            Fleet.until("all have their answer", () -> life.desk().openLookups() <= waiting);
-            assertEquals(life.desk().count.givenUp, asked - waiting);
+            Fleet.until("all asked, and some wait for a full socket", () -> waits(life) > 0
+                && life.desk().openLookups() == REQUESTS);
+            Fleet.until("the silent node's connection is ended", () -> attempts.ended() == REQUESTS);
+            List<FirstAttempt> handed = attempts.handed(true), neverHanded = attempts.handed(false);
+            for (FirstAttempt a : handed) assertEquals(a.outcome, Director.BROKEN, "may have run: " + a);
+            for (FirstAttempt a : neverHanded) assertEquals(a.outcome, Director.UNREACHED, "never ran: " + a);
+            assertFalse(neverHanded.isEmpty(), "some still wait when the connection ends");
+            Set<String> written = ids(handed.stream().filter(FirstAttempt::written).toList());
+            assertEquals(handed.size() - written.size(), 1, "one write is under way when the connection ends");
+            Fleet.until("all have their answer", () -> life.desk().openLookups() <= neverHanded.size());
+            assertEquals(life.desk().count.givenUp, handed.size());
+            String received = node.readToEnd();
+            assertTrue(ids(WHOLE_REQUEST, received).containsAll(written), "what was written reaches the node");
+            assertTrue(ids(handed).containsAll(ids(BEGUN_REQUEST, received)), "nothing else reaches the node");
         } finally {
             life.release();
             for (Outside o : clients) o.release();
@@ -165,8 +180,53 @@
         }
     }
 
+    /** How the first attempt of a request ended, and whether it had been handed to the socket and wholly written. */
+    private record FirstAttempt(String id, int outcome, boolean handed, boolean written) { }
+
+    /** Records the first attempts at one node as they end, under the lock that guards handing them to a socket. */
+    private static final class FirstAttempts implements Witness {
+        private final int nodePort;
+        private final List<FirstAttempt> ended = new ArrayList<>();
+
+        FirstAttempts(int nodePort) {
+            this.nodePort = nodePort;
+        }
+
+        @Override public synchronized void saw(Hop hop) {
+            if (hop.number > 0 || hop.node.address.getPort() != nodePort) return;
+            boolean handed = hop.written != null;
+            boolean written = handed && hop.written.isWritten();
+            ended.add(new FirstAttempt(Bytes.text(hop.lookup.id), hop.outcome, handed, written));
+        }
+
+        @Override public void roundEnds(Director to) { }
+
+        synchronized int ended() {
+            return ended.size();
+        }
+
+        synchronized List<FirstAttempt> handed(boolean handed) {
+            return ended.stream().filter(a -> a.handed == handed).toList();
+        }
+    }
+
+    private static Set<String> ids(List<FirstAttempt> attempts) {
+        return attempts.stream().map(FirstAttempt::id).collect(Collectors.toSet());
+    }
+
+    private static Set<String> ids(Pattern request, String received) {
+        return request.matcher(received).results().map(m -> m.group(1)).collect(Collectors.toSet());
+    }
+
+    /** Sends one request with a large body from a new client. */
+    private static Outside ask(Life life, int i) throws IOException {
+        Outside client = Outside.client("c" + i, life.port());
+        client.write(String.format(ASK, i, i + 1, BODY.length(), BODY), false);
+        return client;
+    }
+
     private static long notSent(Life life) {
-        return ends(life, mothcross.Director.NOT_SENT);
+        return ends(life, Director.NOT_SENT);
     }
 
     private static long ends(Life life, int how) {
--- a/src/test/java/mothcross/net/ServeTest.java
+++ b/src/test/java/mothcross/net/ServeTest.java
@@ -435,6 +435,12 @@
             return s.toString().stripTrailing();
         }
 
+        /** All bytes that can still be read, until the director's end of the connection. */
+        String readToEnd() throws IOException {
+            if (socket == null) accept();
+            return new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
+        }
+
         /** Something is there to be read. */
         boolean answered() {
             try {
