--- a/src/main/java/mothcross/Decide.java
+++ b/src/main/java/mothcross/CacheDirector.java
@@ -3,20 +3,20 @@
 import java.util.*;
 
 /**
- * Every decision of a director. Called once a round through {@link Director#round}, the interface that
+ * Every decision of a director. Called once a round through {@link Director#process}, the interface that
  * Director.java defines: the reader delivers what came in to the handlers here, and each decision goes
  * at once into the round's {@link DecisionWriter}. One instance is one director; it knows only what its
  * own rounds bring. docs/design.md says which part follows the design and where it is extended.
  */
-public final class Decide implements Director {
+public final class CacheDirector implements Director {
     private static final long TUNE = 0, FOLLOW_AGAIN = 1, OVERDUE = 2;
     private static final int ANY = 0, HEALTHY = 1, IN_TIME = 2;
 
     private final SplittableRandom chance;
     private final Workload[] workloads;
-    private final Places places;
-    private final Allowances may;
-    private final Knowledge told;
+    private final Topology places;
+    private final Capabilities may;
+    private final SiteParameters told;
     private final Admission admission;
     private final Placement placement = new Placement();
     private final Health health = new Health();
@@ -31,8 +31,8 @@
     private double now;
     private DecisionWriter out;
 
-    public Decide(long seed, Workload[] workloads, Places places, Allowances may, Knowledge told,
-                  ColdStart caches, ColdStart parents, double purgeTakesMs) {
+    public CacheDirector(long seed, Workload[] workloads, Topology places, Capabilities may, SiteParameters told,
+                  SlowStartLimits caches, SlowStartLimits parents, double purgeTakesMs) {
         this.chance = new SplittableRandom(seed);
         this.workloads = workloads;
         this.places = places;
@@ -42,27 +42,27 @@
         this.meanMs = new double[workloads.length];
         this.fillsBad = new double[workloads.length];
         this.purges = new Purges(purgeTakesMs);
-        int directorsHere = Math.max(1, places.directorsAt()[places.own()]);
+        int directorsHere = Math.max(1, places.directorsPerZone()[places.ownZone()]);
         this.admission = new Admission(chance.split(), directorsHere);
-        this.fills = new Link(directorsHere, told.linkFlows() > 0 ? told.linkFlows() : Double.NaN);
+        this.fills = new Link(directorsHere, told.zoneLinkFlows() > 0 ? told.zoneLinkFlows() : Double.NaN);
         this.coldCaches = new ColdBudgets(caches, directorsHere);
         this.coldParents = new ColdBudgets(parents, Math.max(1, places.directors()));
     }
 
-    @Override public void round(double at, RoundReader in, DecisionWriter writer) {
+    @Override public void process(double at, EventBatch in, DecisionWriter writer) {
         now = at;
         if (out == null) {
-            writer.remind(now + Admission.ROUND_MS, TUNE);
-            if (told.listOnRequest()) writer.followList(true);
+            writer.setTimer(now + Admission.ROUND_MS, TUNE);
+            if (told.listOnRequest()) writer.watchNodeList(true);
         }
         out = writer;
-        in.deliver(this);
+        in.deliverTo(this);
     }
 
     // ---- lookups ----
 
     @Override public void lookup(int index, int workload, double expires, long object, int part, int group,
-                                 double sizeKb, boolean repeat, boolean write, Narrowing by) {
+                                 double sizeKb, boolean repeat, boolean write, RouteConstraints by) {
         while (index >= lookups.length) lookups = Arrays.copyOf(lookups, 2 * lookups.length);
         Lookup l = lookups[index] = new Lookup();
         Workload w = l.w = workloads[workload];
@@ -71,16 +71,16 @@
         l.object = object;
         l.group = group;
         l.key = mix(object + mix(part));
-        l.placedBy = by != null && by.placed() ? mix(by.placedBy()) : l.key;
-        l.weight = by == null ? 1 : by.weight();
+        l.placedBy = by != null && by.hasPlacementKey() ? mix(by.placementKey()) : l.key;
+        l.weight = by == null ? 1 : by.importanceShare();
         l.expires = expires;
-        l.hops = new Hop[by == null ? may.maxHops() : Math.min(by.mostHops(), may.maxHops())];
+        l.hops = new Hop[by == null ? may.maxHops() : Math.min(by.maxHops(), may.maxHops())];
         l.sized = sizeKb > 0 && told.flowKbPerMs() > 0;
         l.ownMs = l.sized ? sizeKb / told.flowKbPerMs() : meanMs[workload];
-        l.aim = Math.min(expires, now + w.targetMs() + w.targetStretch() * l.ownMs);
+        l.aim = Math.min(expires, now + w.targetMs() + w.targetSizeFactor() * l.ownMs);
         l.open = true;
-        l.passing = w.neverKept() || write;
-        if (l.sized && meanMs[workload] == 0) meanMs[workload] = Math.min(l.ownMs, w.abandonMs());
+        l.passing = w.uncacheable() || write;
+        if (l.sized && meanMs[workload] == 0) meanMs[workload] = Math.min(l.ownMs, w.timeoutMs());
         l.kb = sizeKb > 0 ? sizeKb : 1;                // where untold, c and K are in objects
         if (!l.passing && admission.admits(l.kb)) l.rank = Admission.MIDDLE_RANK;
         if (!hop(l)) gate.finish(l);
@@ -89,7 +89,7 @@
     /** The ordinary path and every further hop: cache and parent by the ranking, then the origin. */
     private boolean hop(Lookup l) {
         Node node = null;
-        if (l.passing && may.straightToSource()) node = placement.first(Node.ORIGIN, l, false, HEALTHY);
+        if (l.passing && may.bypassCache()) node = placement.first(Node.ORIGIN, l, false, HEALTHY);
         if (node == null) node = placement.first(Node.CACHE, l, false, HEALTHY);
         // Down the ranking past a cache that would be late, as past one that fails: slow, stalled, crowded.
         if (node != null && node.tier == Node.CACHE && !node.link.inTime(l)) {
@@ -99,7 +99,7 @@
         // Guards against an outage that looks total: a wrongly set aside cache still beats no answer.
         if (node == null && l.hopCount == 0) node = placement.first(Node.CACHE, l, false, ANY);
         // Straight hops share the place's link with the fills, and crowd it when all caches are gone.
-        boolean straight = node == null && !l.again && may.straightToSource() && fills.inTime(l);
+        boolean straight = node == null && !l.again && may.bypassCache() && fills.inTime(l);
         if (straight) node = placement.first(Node.PARENT, l, false, HEALTHY);
         if (straight && node == null) node = placement.first(Node.ORIGIN, l, false, HEALTHY);
         if (node == null) return false;
@@ -130,22 +130,22 @@
         if (h.source != h.node) h.source.link.add(-1);
         l.out--;
         if (h.fills) fills.add(-1);
-        if (outcome == TIMED_OUT || outcome == HANDLED && l.out > 0) overdue.earn(2);
+        if (outcome == TIMED_OUT || outcome == SUCCEEDED && l.out > 0) overdue.earn(2);
         if (report != null) {
-            h.node.hitShare = report[HIT_SHARE];
-            if (report[CORES_BUSY] >= 0) h.node.busy += 0.2 * (report[CORES_BUSY] - h.node.busy);
+            h.node.hitShare = report[REPORT_HIT_RATIO];
+            if (report[REPORT_CPU_SHARE] >= 0) h.node.busy += 0.2 * (report[REPORT_CPU_SHARE] - h.node.busy);
         }
         // An error that nothing explains may be the lookup's own: what a client made up, all nodes refuse.
-        h.err = outcome == ERROR && note == 0 && told.failuresExplained()
-            && l.w.effect() != Workload.Effect.ONCE_ONLY;
+        h.err = outcome == ERROR && note == 0 && told.failureReasonsReported()
+            && l.w.effect() != Workload.Effect.NON_IDEMPOTENT;
         if (h.err) l.errors++;
-        boolean unasked = note == HIT || note == PAST_FRESH || note == JOINED || outcome == UNREACHED;
+        boolean unasked = note == HIT || note == STALE_HIT || note == COALESCED || outcome == CONNECT_FAILED;
         if (unasked) h.source.tokens += h.sourceCharge;
-        if (h.source != h.node && !unasked && !h.err && note != ALONG) {
-            double bad = outcome != HANDLED || now > l.aim ? 1 : 0;
+        if (h.source != h.node && !unasked && !h.err && note != COLLATERAL_FAILURE) {
+            double bad = outcome != SUCCEEDED || now > l.aim ? 1 : 0;
             fillsBad[l.workload] += 0.05 * (bad - fillsBad[l.workload]);
         }
-        if (outcome == HANDLED) {
+        if (outcome == SUCCEEDED) {
             h.node.failuresInRow = 0;
             coldOf(h.node).carried(h.node, meanMs[l.workload]);
             boolean filled = note == FILLED || note == FILLED_BY_ORIGIN;
@@ -157,7 +157,7 @@
             }
             if (!l.passing && hop == 0 && h.node.tier == Node.CACHE && note != 0) {
                 admission.answers++;
-                if (note == HIT || note == PAST_FRESH) admission.hits++;
+                if (note == HIT || note == STALE_HIT) admission.hits++;
             }
             // Only what was handled teaches, and proves errors before it: what clients make up never is.
             double mean = meanMs[l.workload], weight = mean == 0 ? 1 : 0.02;
@@ -170,10 +170,10 @@
             further.earn(Further.EARNED);
             proofs.earn(Further.EARNED);
         } else {
-            h.neverRan = outcome == FULL || outcome == UNREACHED || outcome == NOT_SENT || outcome == MISS;
+            h.neverRan = outcome == REJECTED || outcome == CONNECT_FAILED || outcome == NOT_SENT || outcome == MISS;
             blame(l, h, outcome, note);
         }
-        if (last || outcome == HANDLED) {
+        if (last || outcome == SUCCEEDED) {
             l.open = false;
             gate.callOffRest(l);
         }
@@ -181,7 +181,7 @@
         boolean lookedOnly = outcome == MISS && (h.source == h.node || h.heldOnly);
         boolean hopeless = lookedOnly || l.originFailed && l.w.staleMs() == 0 || l.errors > 1;
         boolean worthIt = !hopeless && l.expires - now > l.ownMs
-            && (h.err ? proofs : further).affords(h.neverRan || note == ALONG);
+            && (h.err ? proofs : further).affords(h.neverRan || note == COLLATERAL_FAILURE);
         if (!(worthIt && hop(l))) gate.finish(l);
     }
 
@@ -198,60 +198,60 @@
 
     /** Whose failure was it? What is told decides; where nothing is told, cache and source share it. */
     private void blame(Lookup l, Hop h, int outcome, int note) {
-        if (outcome == CALLED_OFF || outcome == NOT_SENT) return;
-        boolean bySource = note == SOURCE_REFUSED || note == SOURCE_LOST || note == SOURCE_LACKS;
+        if (outcome == CANCELLED || outcome == NOT_SENT) return;
+        boolean bySource = note == SOURCE_REJECTED || note == SOURCE_UNREACHABLE || note == SOURCE_MISS;
         boolean unclear = outcome == TIMED_OUT
-            || !told.failuresExplained() && (outcome == FULL || outcome == MISS || outcome == ERROR);
+            || !told.failureReasonsReported() && (outcome == REJECTED || outcome == MISS || outcome == ERROR);
         l.originFailed |= note == ORIGIN_FAILED;
         h.sourceBlamed = h.source != h.node && (bySource || unclear);
         boolean own = !bySource && note != ORIGIN_FAILED;
-        h.nodeBlamed = own && outcome != BROKEN;     // what ran and was cut off is held there: ask again
-        if (h.sourceBlamed && note != SOURCE_LACKS) health.bad(h.source, outcome);
+        h.nodeBlamed = own && outcome != CONNECTION_LOST;     // what ran and was cut off is held there: ask again
+        if (h.sourceBlamed && note != SOURCE_MISS) health.bad(h.source, outcome);
         if (note == ORIGIN_FAILED || h.source.tier == Node.ORIGIN && h.sourceBlamed) behind.told(Behind.ONCE);
-        if (own && outcome != FULL && outcome != MISS && note != ALONG && !h.err) health.bad(h.node, outcome);
+        if (own && outcome != REJECTED && outcome != MISS && note != COLLATERAL_FAILURE && !h.err) health.bad(h.node, outcome);
     }
 
-    @Override public void streamBegan(int index, int hop) {
+    @Override public void streamStarted(int index, int hop) {
         if (index < lookups.length && lookups[index] != null) lookups[index].streaming = true;
     }
 
-    @Override public void clientLeft(int index) {
+    @Override public void clientDisconnected(int index) {
         Lookup l = lookups[index];
         l.open = false;
         gate.callOffRest(l);
     }
 
-    @Override public void bell(long name) {
+    @Override public void timerFired(long name) {
         int at = (int) Math.min(name - OVERDUE, lookups.length - 1);
         if (at >= 0 && lookups[at] != null) askAgain(lookups[at]);
-        if (name == FOLLOW_AGAIN) out.followList(true);
-        if (name == TUNE) out.remind(now + admission.tune(placement.reportedHitShare()), TUNE);
+        if (name == FOLLOW_AGAIN) out.watchNodeList(true);
+        if (name == TUNE) out.setTimer(now + admission.tune(placement.reportedHitShare()), TUNE);
     }
 
     @Override public void purged(long object, int group, double ago) {
         purges.heard(object, group, now - ago);
     }
 
-    @Override public void probed(int node, int outcome, double spent, double[] report) { }
+    @Override public void probeCompleted(int node, int outcome, double spent, double[] report) { }
 
     // ---- the list ----
 
-    @Override public void listBegins(int news) {
-        placement.whole = news == WHOLE || news == REMEMBERED;
+    @Override public void listStarted(int news) {
+        placement.whole = news == LIST_SNAPSHOT || news == LIST_RESTORED;
         if (placement.whole) for (Node n : placement.nodes) if (n != null) n.named = false;
-        if (news == LIST_FAILED && told.listOnRequest()) {
-            out.remind(now + 300 + 400 * chance.nextDouble(), FOLLOW_AGAIN);
+        if (news == LIST_UNAVAILABLE && told.listOnRequest()) {
+            out.setTimer(now + 300 + 400 * chance.nextDouble(), FOLLOW_AGAIN);
         }
     }
 
-    @Override public void listed(int index, String address, int place, int kind, int cell, int standing,
+    @Override public void nodeListed(int index, String address, int place, int kind, int cell, int standing,
                                  double units, double startedAt) {
         while (placement.nodes.size() <= index) placement.nodes.add(null);
         Node n = placement.nodes.get(index);
         long hash = 0;
         for (int i = 0; i < address.length(); i++) hash = mix(hash * 31 + address.charAt(i));
         if (n != null && n.hash != hash) n = null;      // another one's index, which is gone
-        boolean back = n == null ? !placement.first : n.standing == GONE && standing == IN_SERVICE;
+        boolean back = n == null ? !placement.first : n.standing == REMOVED && standing == IN_SERVICE;
         double size = units > 0 ? units : 1;
         if (n == null) {
             placement.nodes.set(index, n = new Node());
@@ -261,11 +261,11 @@
                 : kind == places.originKind() ? Node.ORIGIN : Node.CACHE;
             n.place = place;
             n.cell = cell;
-            boolean known = n.tier == Node.CACHE && told.unitsAreLinks();
+            boolean known = n.tier == Node.CACHE && told.unitsAreLinkCapacity();
             n.link = new Link(coldOf(n).directors, known ? size : Double.NaN);
         }
         List<Node> ranked = placement.ranked.get(n.tier);
-        if ((n.tier != Node.CACHE || place == places.own()) && !ranked.contains(n)) ranked.add(n);
+        if ((n.tier != Node.CACHE || place == places.ownZone()) && !ranked.contains(n)) ranked.add(n);
         n.standing = standing;
         n.units = size;
         n.named = true;
@@ -277,9 +277,9 @@
         }
     }
 
-    @Override public void listEnds() {
-        if (placement.whole) for (Node n : placement.nodes) if (n != null && !n.named) n.standing = GONE;
-        for (List<Node> tier : placement.ranked) tier.removeIf(n -> n.standing == GONE);
+    @Override public void listFinished() {
+        if (placement.whole) for (Node n : placement.nodes) if (n != null && !n.named) n.standing = REMOVED;
+        for (List<Node> tier : placement.ranked) tier.removeIf(n -> n.standing == REMOVED);
         placement.whole = placement.first = false;
     }
 
@@ -508,7 +508,7 @@
             if (++n.failuresInRow < LIMIT) return;
             n.asideUntil = now + ASIDE_MS + ASIDE_RANDOM_MS * chance.nextDouble();
             // Guards against a restart the list has not told yet: what could not be reached returns cold.
-            if (outcome == UNREACHED && n.tier != Node.ORIGIN) coldOf(n).startsAt(n, now);
+            if (outcome == CONNECT_FAILED && n.tier != Node.ORIGIN) coldOf(n).startsAt(n, now);
         }
     }
 
@@ -607,11 +607,11 @@
     /** This director's part of what a cold node bears, in whole lookups, each after a random phase. */
     private final class ColdBudgets {
         private static final double MARGIN = 0.6, SAVED = 0.3, LATELY_MS = 5000, LEARN = 0.2, IDLE = 0.1;
-        private final ColdStart terms;
+        private final SlowStartLimits terms;
         private final int directors;
         private double bore;
 
-        ColdBudgets(ColdStart terms, int directors) {
+        ColdBudgets(SlowStartLimits terms, int directors) {
             this.terms = terms;
             this.directors = directors;
         }
@@ -625,16 +625,16 @@
 
         boolean isCold(Node n) {
             if (n.tier == Node.ORIGIN) return false;
-            return n.standing == UNSURE || n.startedAt != 0 && now - n.startedAt < terms.warmMs();
+            return n.standing == UNCONFIRMED || n.startedAt != 0 && now - n.startedAt < terms.warmUpMs();
         }
 
         boolean affords(Node n) {
             if (!isCold(n)) return true;
             // Guards against a start that nobody told: an unsure node may have started only now.
-            double warmth = n.standing == UNSURE ? 0 : Math.max(0, now - n.startedAt) / terms.warmMs();
-            double share = terms.floor() + (1 - terms.floor()) * warmth;
-            double flows = MARGIN * terms.breaksAt() * share * link(n);
-            double most = SAVED * flows * terms.spanMs(), whole = Arrays.stream(meanMs).max().getAsDouble();
+            double warmth = n.standing == UNCONFIRMED ? 0 : Math.max(0, now - n.startedAt) / terms.warmUpMs();
+            double share = terms.initialShare() + (1 - terms.initialShare()) * warmth;
+            double flows = MARGIN * terms.overloadFactor() * share * link(n);
+            double most = SAVED * flows * terms.overloadWindowMs(), whole = Arrays.stream(meanMs).max().getAsDouble();
             // Guards against directors that start along with it, and know only now how much a lookup is.
             n.tokens += flows * (now - n.tokensAt) - n.phase * whole;
             n.tokensAt = now;
@@ -657,7 +657,7 @@
 
         /** This director's part of a link, in flows; untold, what it bore warm, or what its like did. */
         private double link(Node n) {
-            if (told.unitsAreLinks()) return n.units / directors;
+            if (told.unitsAreLinkCapacity()) return n.units / directors;
             if (n.bears > 0) return n.bears;
             return placement.ranked.get(n.tier).stream().filter(x -> x.bears > 0)
                 .mapToDouble(x -> x.bears).average().orElse(bore);
@@ -694,17 +694,17 @@
         boolean mayReach(Lookup l, Node n) {
             if (!l.open || l.streaming || now >= l.expires || l.hopCount >= l.hops.length) return false;
             if (!takesMore(n)) return false;
-            if (l.out > 0 && !may.secondCopies()) return false;
-            if (l.w.effect() == Workload.Effect.REPEATABLE) return true;
+            if (l.out > 0 && !may.hedging()) return false;
+            if (l.w.effect() == Workload.Effect.IDEMPOTENT) return true;
             Hop ran = mayHaveRun(l);
             if (ran == null) return true;
-            if (l.w.effect() == Workload.Effect.ONCE_ONLY) return false;
-            boolean sameGroup = switch (l.w.repeatsDroppedBy()) {
+            if (l.w.effect() == Workload.Effect.NON_IDEMPOTENT) return false;
+            boolean sameGroup = switch (l.w.deduplicationScope()) {
                 case ALL -> true;
-                case PLACE -> n.place == ran.node.place;
+                case ZONE -> n.place == ran.node.place;
                 case CELL -> n.cell == ran.node.cell;
             };
-            return sameGroup && now < ran.sentAt + l.w.rememberedMs();
+            return sameGroup && now < ran.sentAt + l.w.deduplicationWindowMs();
         }
 
         boolean mayFillFrom(Node n) {                  // rules 3 and 4 for a source
@@ -713,7 +713,7 @@
 
         /** One hop at a time tries a node of an old list, until the caller says that it is in service. */
         private boolean takesMore(Node n) {
-            boolean listed = n.standing == IN_SERVICE || n.standing == UNSURE && n.link.out < 1;
+            boolean listed = n.standing == IN_SERVICE || n.standing == UNCONFIRMED && n.link.out < 1;
             return listed && coldOf(n).affords(n);
         }
 
@@ -737,28 +737,28 @@
             if (source != n) h.sourceCharge = coldOf(source).charge(source, work);
             l.out++;
             l.overdueAt = l.aim - 1.5 * l.ownMs;
-            if (l.hopCount == 1 && may.secondCopies() && overdue.left >= 1 && l.overdueAt > now) {
-                out.remind(l.overdueAt, OVERDUE + l.index);
+            if (l.hopCount == 1 && may.hedging() && overdue.left >= 1 && l.overdueAt > now) {
+                out.setTimer(l.overdueAt, OVERDUE + l.index);
             }
             n.link.add(1);
             if (source != n) source.link.add(1);
             double bound = purges.bound(l), fresh = l.w.freshMs();
             // Guards against sources that fail or lag: a copy past its fresh time is taken where it earns
             // more than a fill does lately, or where there will be none.
-            double filled = 1 - fillsBad[l.workload] * (1 - l.w.lateShare());
-            boolean stale = source == n || h.heldOnly || l.w.staleShare() > filled
+            double filled = 1 - fillsBad[l.workload] * (1 - l.w.lateValueShare());
+            boolean stale = source == n || h.heldOnly || l.w.staleValueShare() > filled
                 || l.hopCount > 1 && l.hops[l.hopCount - 2].sourceBlamed;
             double oldest = fresh == 0 ? bound : Math.min(bound, fresh + (stale ? l.w.staleMs() : 0));
             boolean usual = oldest == fresh || oldest == Double.POSITIVE_INFINITY;
-            int how = may.joinFills() ? DecisionWriter.JOIN : 0;
-            if (fresh > 0 && source != n && !coldOf(source).isCold(source)) how |= DecisionWriter.RENEW;
-            if (h.heldOnly) how |= DecisionWriter.SOURCE_HOLDS_ONLY;
+            int how = may.fillCoalescing() ? DecisionWriter.COALESCE_FILLS : 0;
+            if (fresh > 0 && source != n && !coldOf(source).isCold(source)) how |= DecisionWriter.REVALIDATE;
+            if (h.heldOnly) how |= DecisionWriter.SOURCE_CACHE_ONLY;
             // Guards against a slow refill after a purge or a start: c is tuned for a full cache. And against
             // one that never comes: what an origin held back still gives, passed through, is asked for again.
             boolean refill = bound < Double.POSITIVE_INFINITY || coldOf(n).isCold(n) || behind.isHeldBack();
             int rank = refill && !l.passing ? Admission.MIDDLE_RANK : l.rank;
-            if (n.tier == Node.ORIGIN) out.look(l.index, n.index, until);     // it holds all, always fresh
-            else out.fetch(l.index, n.index, until, source.index, rank, usual ? 0 : oldest, how);
+            if (n.tier == Node.ORIGIN) out.sendCacheOnly(l.index, n.index, until);     // it holds all, always fresh
+            else out.sendFetch(l.index, n.index, until, source.index, rank, usual ? 0 : oldest, how);
             return true;
         }
 
@@ -766,16 +766,16 @@
         void finish(Lookup l) {
             if (!l.open) return;
             l.open = false;
-            boolean harmless = l.w.effect() == Workload.Effect.REPEATABLE || mayHaveRun(l) == null
-                || l.w.effect() == Workload.Effect.TAGGED && l.w.repeatsDroppedBy() == Workload.Group.ALL;
-            if (harmless) out.bounce(l.index, may.longestWaitMs() * (0.2 + 0.3 * chance.nextDouble()));
-            else out.giveUp(l.index);
+            boolean harmless = l.w.effect() == Workload.Effect.IDEMPOTENT || mayHaveRun(l) == null
+                || l.w.effect() == Workload.Effect.DEDUPLICATED && l.w.deduplicationScope() == Workload.DeduplicationScope.ALL;
+            if (harmless) out.reject(l.index, may.maxRetryAfterMs() * (0.2 + 0.3 * chance.nextDouble()));
+            else out.fail(l.index);
             callOffRest(l);
         }
 
         void callOffRest(Lookup l) {
-            if (!may.callOff()) return;
-            for (int i = 0; i < l.hopCount; i++) if (!l.hops[i].ended) out.callOff(l.index, i);
+            if (!may.cancellation()) return;
+            for (int i = 0; i < l.hopCount; i++) if (!l.hops[i].ended) out.cancelHop(l.index, i);
         }
     }
 }
--- a/src/main/java/mothcross/RoundReader.java
+++ b/src/main/java/mothcross/EventBatch.java
@@ -1,6 +1,6 @@
 package mothcross;
 
 /** One round's lines, handed to the director's handlers in the order in which they came. */
-public interface RoundReader {
-    void deliver(Director to);
+public interface EventBatch {
+    void deliverTo(Director to);
 }
--- a/src/main/java/mothcross/Workload.java
+++ b/src/main/java/mothcross/Workload.java
@@ -1,11 +1,11 @@
 package mothcross;
 
 /** A kind of lookup, as told at start. */
-public record Workload(Effect effect, Group repeatsDroppedBy, double rememberedMs, double targetMs,
-                       double targetStretch, double abandonMs, double importance, double lateShare,
-                       double freshMs, double staleMs, double staleShare, boolean neverKept) {
-    public enum Effect { REPEATABLE, TAGGED, ONCE_ONLY }
+public record Workload(Effect effect, DeduplicationScope deduplicationScope, double deduplicationWindowMs, double targetMs,
+                       double targetSizeFactor, double timeoutMs, double importance, double lateValueShare,
+                       double freshMs, double staleMs, double staleValueShare, boolean uncacheable) {
+    public enum Effect { IDEMPOTENT, DEDUPLICATED, NON_IDEMPOTENT }
 
     /** Which nodes drop the repeats of a tagged lookup. */
-    public enum Group { ALL, PLACE, CELL }
+    public enum DeduplicationScope { ALL, ZONE, CELL }
 }
--- a/src/main/java/mothcross/door/Fields.java
+++ b/src/main/java/mothcross/adapter/FieldMap.java
@@ -1,14 +1,14 @@
-package mothcross.door;
+package mothcross.adapter;
 
 import java.util.Arrays;
 
 /** Named values as a director's start or a line of the simulator's wire has them; seconds come out as ms. */
-public class Fields {
+public class FieldMap {
     /** What was told can't be used; the text says where and why, on one line. */
-    public static final class Malformed extends RuntimeException {
+    public static final class MalformedFieldException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
-        public Malformed(String text) {
+        public MalformedFieldException(String text) {
             super(text);
         }
     }
@@ -18,7 +18,7 @@
     private String[] values = new String[16];
     private int count;
 
-    public Fields(String where) {
+    public FieldMap(String where) {
         this.where = where;
     }
 
@@ -31,8 +31,8 @@
         values[count++] = value;
     }
 
-    public Malformed bad(String field, String value) {
-        return new Malformed(where + ": field " + field + " has unusable value '" + value + "'");
+    public MalformedFieldException malformed(String field, String value) {
+        return new MalformedFieldException(where + ": field " + field + " has unusable value '" + value + "'");
     }
 
     public String text(String field, String otherwise) {
@@ -42,7 +42,7 @@
 
     public String text(String field) {
         String v = text(field, null);
-        if (v == null) throw new Malformed(where + ": required field " + field + " is missing");
+        if (v == null) throw new MalformedFieldException(where + ": required field " + field + " is missing");
         return v;
     }
 
@@ -55,32 +55,32 @@
         return parse(field, text(field));
     }
 
-    public double ms(String field, double otherwise) {
+    public double milliseconds(String field, double otherwise) {
         return 1000 * number(field, otherwise / 1000);
     }
 
-    public double ms(String field) {
+    public double milliseconds(String field) {
         return 1000 * number(field);
     }
 
-    public long whole(String field, long otherwise) {
+    public long longValue(String field, long otherwise) {
         String v = text(field, null);
         return v == null ? otherwise : parseWhole(field, v);
     }
 
-    public long whole(String field) {
+    public long longValue(String field) {
         return parseWhole(field, text(field));
     }
 
-    public int small(String field, int otherwise) {
-        long v = whole(field, otherwise);
-        if (v != (int) v) throw bad(field, Long.toString(v));
+    public int intValue(String field, int otherwise) {
+        long v = longValue(field, otherwise);
+        if (v != (int) v) throw malformed(field, Long.toString(v));
         return (int) v;
     }
 
-    public int small(String field) {
+    public int intValue(String field) {
         text(field);
-        return small(field, 0);
+        return intValue(field, 0);
     }
 
     public boolean flag(String field) {
@@ -103,10 +103,10 @@
     private double parse(String field, String v) {
         try {
             double d = Double.parseDouble(v);
-            if (Double.isNaN(d) || Double.isInfinite(d)) throw bad(field, v);
+            if (Double.isNaN(d) || Double.isInfinite(d)) throw malformed(field, v);
             return d;
         } catch (NumberFormatException e) {
-            throw bad(field, v);
+            throw malformed(field, v);
         }
     }
 
@@ -115,7 +115,7 @@
             return Long.parseLong(v);
         } catch (NumberFormatException e) {
             double d = parse(field, v);
-            if (d != Math.rint(d)) throw bad(field, v);
+            if (d != Math.rint(d)) throw malformed(field, v);
             return (long) d;
         }
     }
--- a/src/main/java/mothcross/door/Slots.java
+++ b/src/main/java/mothcross/adapter/LookupIndexAllocator.java
@@ -1,16 +1,16 @@
-package mothcross.door;
+package mothcross.adapter;
 
 import java.util.Arrays;
 
 /** The small indices of lookups. One is free again once its lookup is over and none of its hops is out. */
-public final class Slots {
+public final class LookupIndexAllocator {
     private int[] hopsOut = new int[64];
     private int[] hopsSent = new int[64];
     private boolean[] over = new boolean[64];
     private int[] free = new int[64];
     private int freeCount, used;
 
-    public int take() {
+    public int allocate() {
         int at = freeCount > 0 ? free[--freeCount] : used++;
         if (at == free.length) {
             hopsOut = Arrays.copyOf(hopsOut, 2 * at);
@@ -45,7 +45,7 @@
         return over[at];
     }
 
-    public void over(int at) {
+    public void markOver(int at) {
         over[at] = true;
     }
 
--- a/src/main/java/mothcross/emulator/Baselines.java
+++ b/src/main/java/mothcross/emulator/Baselines.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import mothcross.Allowances;
-import mothcross.ColdStart;
-import mothcross.Decide;
+import mothcross.CacheDirector;
+import mothcross.Capabilities;
 import mothcross.DecisionWriter;
 import mothcross.Director;
-import mothcross.Narrowing;
-import mothcross.Places;
-import mothcross.RoundReader;
+import mothcross.EventBatch;
+import mothcross.RouteConstraints;
+import mothcross.SlowStartLimits;
+import mothcross.Topology;
 
 /**
  * What the module is compared with: simple rules through the same interface. They keep rules 1 and 3 and bound ages
@@ -21,19 +21,19 @@
  */
 public final class Baselines {
     /** By name; {@code decide} is the module itself. */
-    public static final Map<String, Policy> ALL = new LinkedHashMap<>();
+    public static final Map<String, DirectorFactory> ALL = new LinkedHashMap<>();
 
     static {
         ALL.put("decide", (seed, w, places, may, told, caches, parents, purge) ->
-            new Decide(seed, w, places, may, told, caches, parents, purge));
+            new CacheDirector(seed, w, places, may, told, caches, parents, purge));
         ALL.put("random", plain(Choice.RANDOM, 0, 1));
         ALL.put("least-out", plain(Choice.LEAST_OUT, 0, 1));
         ALL.put("rendezvous", plain(Choice.RENDEZVOUS, 0, 1));
         ALL.put("threshold", plain(Choice.RENDEZVOUS, 1500, 1));
-        ALL.put("no-cold-budget", (seed, w, places, may, told, caches, parents, purge) -> new Decide(seed, w, places,
+        ALL.put("no-cold-budget", (seed, w, places, may, told, caches, parents, purge) -> new CacheDirector(seed, w, places,
             may, told,
-            new ColdStart(1, 0, caches.breaksAt(), caches.spanMs()), new ColdStart(1, 0, parents.breaksAt(),
-                parents.spanMs()), purge));
+            new SlowStartLimits(1, 0, caches.overloadFactor(), caches.overloadWindowMs()), new SlowStartLimits(1, 0, parents.overloadFactor(),
+                parents.overloadWindowMs()), purge));
         ALL.put("all-hops", plain(Choice.RENDEZVOUS, 0, 99));
     }
 
@@ -41,7 +41,7 @@
 
     private Baselines() { }
 
-    private static Policy plain(Choice how, double keepsUpToKb, int further) {
+    private static DirectorFactory plain(Choice how, double keepsUpToKb, int further) {
         return (seed, w, places, may, told, caches, parents, purge) -> new Plain(how, keepsUpToKb, further, seed,
             places, may, purge);
     }
@@ -66,15 +66,15 @@
         private final double keepsUpToKb, purgeMs;
         private final int further;
         private final SplittableRandom chance;
-        private final Places places;
-        private final Allowances may;
+        private final Topology places;
+        private final Capabilities may;
         private final Map<Integer, Node> nodes = new LinkedHashMap<>();
         private final Map<Integer, Ask> asks = new LinkedHashMap<>();
         private final Map<Integer, Double> purged = new LinkedHashMap<>();
         private double now;
         private DecisionWriter out;
 
-        Plain(Choice how, double keepsUpToKb, int further, long seed, Places places, Allowances may, double purgeMs) {
+        Plain(Choice how, double keepsUpToKb, int further, long seed, Topology places, Capabilities may, double purgeMs) {
             this.how = how;
             this.keepsUpToKb = keepsUpToKb;
             this.further = further;
@@ -84,15 +84,15 @@
             this.purgeMs = purgeMs;
         }
 
-        @Override public void round(double at, RoundReader in, DecisionWriter writer) {
+        @Override public void process(double at, EventBatch in, DecisionWriter writer) {
             now = at;
             out = writer;
-            in.deliver(this);
+            in.deliverTo(this);
         }
 
         @Override public void lookup(int index, int workload, double expires, long object, int part, int group,
             double sizeKb,
-                                     boolean repeat, boolean write, Narrowing by) {
+                                     boolean repeat, boolean write, RouteConstraints by) {
             Ask a = new Ask();
             a.index = index;
             a.key = object;
@@ -143,16 +143,16 @@
             Double at = purged.get(a.group);
             double oldest = at != null && now - at < purgeMs + 500 ? Math.max(1, now - at) : 0;
             int rank = keepsUpToKb == 0 || a.kb <= keepsUpToKb ? 2 : 0;
-            out.fetch(a.index, n.index, a.expires, from == null ? n.index : from.index, rank, oldest,
-                DecisionWriter.JOIN);
+            out.sendFetch(a.index, n.index, a.expires, from == null ? n.index : from.index, rank, oldest,
+                DecisionWriter.COALESCE_FILLS);
             return true;
         }
 
         private void end(Ask a) {
             if (!a.open) return;
             a.open = false;
-            if (a.once && a.mayHaveRun) out.giveUp(a.index);
-            else out.bounce(a.index, 100);
+            if (a.once && a.mayHaveRun) out.fail(a.index);
+            else out.reject(a.index, 100);
         }
 
         @Override public void hopEnded(int index, int hop, int node, int outcome, boolean last, int note, double spent,
@@ -162,34 +162,34 @@
             Node n = a.out.get(hop);
             if (n != null) n.out--;
             a.out.set(hop, null);
-            if (last || outcome == HANDLED) a.open = false;
-            boolean neverRan = outcome == FULL || outcome == UNREACHED || outcome == NOT_SENT || outcome == MISS;
+            if (last || outcome == SUCCEEDED) a.open = false;
+            boolean neverRan = outcome == REJECTED || outcome == CONNECT_FAILED || outcome == NOT_SENT || outcome == MISS;
             if (neverRan && a.hops == 1) a.mayHaveRun = false;
             if (a.open && !hop(a)) end(a);
         }
 
-        @Override public void streamBegan(int lookup, int hop) { }
+        @Override public void streamStarted(int lookup, int hop) { }
 
-        @Override public void clientLeft(int lookup) {
+        @Override public void clientDisconnected(int lookup) {
             Ask a = asks.get(lookup);
             if (a != null) a.open = false;
         }
 
-        @Override public void bell(long name) { }
+        @Override public void timerFired(long name) { }
 
         @Override public void purged(long object, int group, double ago) {
             purged.merge(group, now - ago, Math::max);
         }
 
-        @Override public void probed(int node, int outcome, double spent, double[] report) { }
+        @Override public void probeCompleted(int node, int outcome, double spent, double[] report) { }
 
-        @Override public void listBegins(int news) { }
+        @Override public void listStarted(int news) { }
 
-        @Override public void listed(int index, String address, int place, int kind, int cell, int standing,
+        @Override public void nodeListed(int index, String address, int place, int kind, int cell, int standing,
             double units,
                                      double startedAt) {
             int tier = kind == places.parentKind() ? 1 : kind == places.originKind() ? 2 : 0;
-            if (tier == 0 && place != places.own()) return;
+            if (tier == 0 && place != places.ownZone()) return;
             Node n = nodes.computeIfAbsent(index, k -> new Node());
             n.index = index;
             n.tier = tier;
@@ -199,6 +199,6 @@
             n.hash = h;
         }
 
-        @Override public void listEnds() { }
+        @Override public void listFinished() { }
     }
 }
--- /dev/null
+++ b/src/main/java/mothcross/emulator/DirectorFactory.java
@@ -0,0 +1,15 @@
+package mothcross.emulator;
+
+import mothcross.Capabilities;
+import mothcross.Director;
+import mothcross.SiteParameters;
+import mothcross.SlowStartLimits;
+import mothcross.Topology;
+import mothcross.Workload;
+
+/** Makes the director of one host: the module itself, or what it is compared with. */
+@FunctionalInterface
+public interface DirectorFactory {
+    Director make(long seed, Workload[] workloads, Topology places, Capabilities may, SiteParameters told, SlowStartLimits caches,
+                  SlowStartLimits parents, double purgeTakesMs);
+}
--- a/src/main/java/mothcross/emulator/Against.java
+++ b/src/main/java/mothcross/emulator/EarlierBuild.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import mothcross.DecisionWriter;
 import mothcross.Director;
-import mothcross.Narrowing;
-import mothcross.RoundReader;
+import mothcross.EventBatch;
+import mothcross.RouteConstraints;
 
 /**
  * An earlier build's module as a policy: its classes in a loader of its own, so that both builds are there at once.
@@ -22,14 +22,14 @@
  * between the two sets of types, by name; what the earlier one does not know (a narrowing) is left out. Must never mix
  * classes of the two.
  */
-public final class Against {
+public final class EarlierBuild {
     private final ClassLoader loader;
     private final Class<?> reader, writer;
     private final Constructor<?> make;
     private final Map<String, Method> calls = new HashMap<>();
 
     /** {@code build}: a jar, or a folder of classes. Throws where it holds no module that can be called. */
-    public Against(Path build) throws IOException {
+    public EarlierBuild(Path build) throws IOException {
         loader = new URLClassLoader(new URL[] {build.toUri().toURL()}, ClassLoader.getPlatformClassLoader());
         try {
             Class<?> director = loader.loadClass("mothcross.Director");
@@ -43,7 +43,7 @@
         if (make.getParameterCount() != 8) throw new IOException(build + " holds a module that is made otherwise");
     }
 
-    public Policy policy() {
+    public DirectorFactory policy() {
         return (seed, workloads, places, may, told, caches, parents, purge) -> {
             Object[] args = {seed, workloads, places, may, told, caches, parents, purge};
             for (int i = 0; i < args.length; i++) args[i] = over(args[i], make.getParameterTypes()[i]);
@@ -105,9 +105,9 @@
             call(calls.get(name + args.length), module, args);
         }
 
-        @Override public void round(double now, RoundReader in, DecisionWriter out) {
+        @Override public void process(double now, EventBatch in, DecisionWriter out) {
             Object theirs = Proxy.newProxyInstance(loader, new Class<?>[] {reader}, (p, m, a) -> {
-                in.deliver(this);
+                in.deliverTo(this);
                 return null;
             });
             on("round", now, theirs, written(out));
@@ -128,7 +128,7 @@
 
         @Override public void lookup(int l, int w, double expires, long object, int part, int group, double kb,
             boolean repeat,
-                                     boolean write, Narrowing by) {
+                                     boolean write, RouteConstraints by) {
             on("lookup", l, w, expires, object, part, group, kb, repeat, write);
         }
 
@@ -137,15 +137,15 @@
             on("hopEnded", l, hop, node, outcome, isLast, note, spent, sourceWait, report);
         }
 
-        @Override public void streamBegan(int l, int hop) {
+        @Override public void streamStarted(int l, int hop) {
             on("streamBegan", l, hop);
         }
 
-        @Override public void clientLeft(int l) {
+        @Override public void clientDisconnected(int l) {
             on("clientLeft", l);
         }
 
-        @Override public void bell(long name) {
+        @Override public void timerFired(long name) {
             on("bell", name);
         }
 
@@ -153,21 +153,21 @@
             on("purged", object, group, ago);
         }
 
-        @Override public void probed(int node, int outcome, double spent, double[] report) {
+        @Override public void probeCompleted(int node, int outcome, double spent, double[] report) {
             on("probed", node, outcome, spent, report);
         }
 
-        @Override public void listBegins(int news) {
+        @Override public void listStarted(int news) {
             on("listBegins", news);
         }
 
-        @Override public void listed(int node, String address, int place, int kind, int cell, int standing,
+        @Override public void nodeListed(int node, String address, int place, int kind, int cell, int standing,
             double units,
                                      double startedAt) {
             on("listed", node, address, place, kind, cell, standing, units, startedAt);
         }
 
-        @Override public void listEnds() {
+        @Override public void listFinished() {
             on("listEnds");
         }
     }
--- a/src/main/java/mothcross/emulator/Host.java
+++ b/src/main/java/mothcross/emulator/SimulatedDirector.java
@@ -3,39 +3,39 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import mothcross.Allowances;
-import mothcross.ColdStart;
+import mothcross.Capabilities;
 import mothcross.DecisionWriter;
 import mothcross.Director;
-import mothcross.Knowledge;
-import mothcross.Places;
-import mothcross.RoundReader;
+import mothcross.EventBatch;
+import mothcross.SiteParameters;
+import mothcross.SlowStartLimits;
+import mothcross.Topology;
 import mothcross.Workload;
-import mothcross.door.Slots;
+import mothcross.adapter.LookupIndexAllocator;
 
 /**
  * One director of a run: the policy through its interface, unchanged, and the ways in and out. Owns indices, the hops
  * that are
  * out and the bells; must never let the policy see what its rounds do not bring.
  */
-final class Host implements DecisionWriter {
-    private final World w;
+final class SimulatedDirector implements DecisionWriter {
+    private final Simulation w;
     final int number, place;
-    private final Policy policy;
+    private final DirectorFactory policy;
     private final SplittableRandom chance;
     private Director director;
-    private Slots slots;
-    private Demand.Lookup[] lookups;
+    private LookupIndexAllocator slots;
+    private LoadGenerator.Lookup[] lookups;
     private final List<List<Hop>> hops = new ArrayList<>();
     private boolean atWork;
-    private final List<RoundReader> later = new ArrayList<>();
+    private final List<EventBatch> later = new ArrayList<>();
     boolean dead, booting;
     private final List<Runnable> missed = new ArrayList<>();
     int run;
     long sent;
     double newsDue;
 
-    Host(World w, int number, int place, Policy policy, SplittableRandom chance) {
+    SimulatedDirector(Simulation w, int number, int place, DirectorFactory policy, SplittableRandom chance) {
         this.w = w;
         this.number = number;
         this.place = place;
@@ -75,34 +75,34 @@
     }
 
     private void start() {
-        Town t = w.town;
-        slots = new Slots();
-        lookups = new Demand.Lookup[64];
+        ScenarioParameters t = w.town;
+        slots = new LookupIndexAllocator();
+        lookups = new LoadGenerator.Lookup[64];
         hops.clear();
         later.clear();
         int places = t.count("places"), here = t.count("directors");
         int[] at = new int[places + 1];
         for (int i = 0; i < places; i++) at[i] = here;
         director = policy.make(chance.nextLong(), new Workload[] {workload(t, false), workload(t, true)},
-            new Places(place, at, here * places, Box.PARENT, Box.ORIGIN),
-            new Allowances(t.count("hops"), true, true, t.get("straight") > 0, true, 1000),
-            new Knowledge(true, true, false, t.get("flow_kb_ms"), t.get("link_flows")),
-            new ColdStart(t.get("cold_floor"), t.get("cold_ms"), t.get("cold_breaks"), t.get("cold_span")),
-            new ColdStart(t.get("parent_floor"), t.get("parent_cold_ms"), t.get("parent_breaks"), t.get("cold_span")),
+            new Topology(place, at, here * places, SimulatedNode.PARENT, SimulatedNode.ORIGIN),
+            new Capabilities(t.count("hops"), true, true, t.get("straight") > 0, true, 1000),
+            new SiteParameters(true, true, false, t.get("flow_kb_ms"), t.get("link_flows")),
+            new SlowStartLimits(t.get("cold_floor"), t.get("cold_ms"), t.get("cold_breaks"), t.get("cold_span")),
+            new SlowStartLimits(t.get("parent_floor"), t.get("parent_cold_ms"), t.get("parent_breaks"), t.get("cold_span")),
             t.get("purge_takes"));
         w.check.starts(number);
         boolean wasDead = dead;
         dead = false;
         round(to -> {
-            to.listBegins(Director.REMEMBERED);
-            for (Box b : w.boxes) listed(to, b, b.standing);
-            to.listEnds();
+            to.listStarted(Director.LIST_RESTORED);
+            for (SimulatedNode b : w.boxes) listed(to, b, b.standing);
+            to.listFinished();
         });
         dead = wasDead;
     }
 
-    private static Workload workload(Town t, boolean once) {
-        return new Workload(once ? Workload.Effect.ONCE_ONLY : Workload.Effect.REPEATABLE, Workload.Group.ALL, 5000,
+    private static Workload workload(ScenarioParameters t, boolean once) {
+        return new Workload(once ? Workload.Effect.NON_IDEMPOTENT : Workload.Effect.IDEMPOTENT, Workload.DeduplicationScope.ALL, 5000,
             t.get("target"), t.get("stretch"), t.get("abandon"), 1, t.get("late_share"), t.get("fresh"), t.get("stale"),
             t.get("stale_share"), false);
     }
@@ -112,41 +112,41 @@
         booting = false;
         missed.clear();
         for (List<Hop> all : hops) for (Hop h : all) if (h != null && !h.over) h.drop();
-        for (Demand.Lookup l : lookups) if (l != null && !l.answered) w.demandAt(place).again(l.wish, 500);
+        for (LoadGenerator.Lookup l : lookups) if (l != null && !l.answered) w.demandAt(place).again(l.wish, 500);
     }
 
-    private void listed(Director to, Box b, int standing) {
+    private void listed(Director to, SimulatedNode b, int standing) {
         w.check.told(number, b, standing);
-        to.listed(b.index, b.id, b.kind == Box.CACHE ? b.place : w.town.count("places"), b.kind, b.place, standing,
+        to.nodeListed(b.index, b.id, b.kind == SimulatedNode.CACHE ? b.place : w.town.count("places"), b.kind, b.place, standing,
             b.units(), b.startedAt);
     }
 
     // ---- what comes in ----
 
-    private void round(RoundReader in) {
+    private void round(EventBatch in) {
         if (dead) return;
         if (atWork) {
             later.add(in);
             return;
         }
         atWork = true;
-        director.round(w.clock.now, in, this);
+        director.process(w.clock.now, in, this);
         atWork = false;
         while (!later.isEmpty() && !dead) {
-            RoundReader next = later.remove(0);
+            EventBatch next = later.remove(0);
             atWork = true;
-            director.round(w.clock.now, next, this);
+            director.process(w.clock.now, next, this);
             atWork = false;
         }
     }
 
-    void news(Box b, int standing, double startedAt) {
+    void news(SimulatedNode b, int standing, double startedAt) {
         round(to -> {
-            to.listBegins(Director.CHANGES);
+            to.listStarted(Director.LIST_DELTA);
             w.check.told(number, b, standing);
-            to.listed(b.index, b.id, b.kind == Box.CACHE ? b.place : w.town.count("places"), b.kind, b.place, standing,
+            to.nodeListed(b.index, b.id, b.kind == SimulatedNode.CACHE ? b.place : w.town.count("places"), b.kind, b.place, standing,
                 b.units(), startedAt);
-            to.listEnds();
+            to.listFinished();
         });
     }
 
@@ -155,21 +155,21 @@
         round(to -> to.purged(-1, group, w.clock.now - at));
     }
 
-    void ask(Demand.Lookup l) {
-        int at = l.index = slots.take();
+    void ask(LoadGenerator.Lookup l) {
+        int at = l.index = slots.allocate();
         while (at >= lookups.length) lookups = java.util.Arrays.copyOf(lookups, 2 * lookups.length);
         lookups[at] = l;
         while (hops.size() <= at) hops.add(new ArrayList<>());
         hops.get(at).clear();
-        Demand.Wish x = l.wish;
+        LoadGenerator.Wish x = l.wish;
         round(to -> to.lookup(at, l.onceOnly ? 1 : 0, l.expires, x.object, 0, x.group, x.kb, x.tries > 1, false));
     }
 
-    void left(Demand.Lookup l) {
+    void left(LoadGenerator.Lookup l) {
         int at = l.index;
         if (lookups[at] != l) return;
-        slots.over(at);
-        round(to -> to.clientLeft(at));
+        slots.markOver(at);
+        round(to -> to.clientDisconnected(at));
         release(at);
     }
 
@@ -177,19 +177,19 @@
         if (slots.release(at)) lookups[at] = null;
     }
 
-    private void ended(int at, int number, Box node, Hop h, int outcome, int note, double sourceWait, Store.Copy copy) {
-        Demand.Lookup l = lookups[at];
+    private void ended(int at, int number, SimulatedNode node, Hop h, int outcome, int note, double sourceWait, CacheStore.Copy copy) {
+        LoadGenerator.Lookup l = lookups[at];
         if (dead || l == null) return;
-        boolean handled = outcome == Director.HANDLED && !l.answered;
-        if (outcome == Director.HANDLED && copy != null) w.check.served(this.number, l, h, copy);
+        boolean handled = outcome == Director.SUCCEEDED && !l.answered;
+        if (outcome == Director.SUCCEEDED && copy != null) w.check.served(this.number, l, h, copy);
         if (handled) {
             w.check.answered(l, false);
             l.answered = true;
-            slots.over(at);
+            slots.markOver(at);
             w.result.handled(l.wish, w.elapsed(), note);
         }
         boolean last = l.answered;
-        h.neverRan = outcome == Director.UNREACHED || outcome == Director.FULL || outcome == Director.MISS;
+        h.neverRan = outcome == Director.CONNECT_FAILED || outcome == Director.REJECTED || outcome == Director.MISS;
         if (!slots.hopEnded(at, number)) return;
         double spent = w.clock.now - h.sentAt;
         double[] report = node.reachable() && outcome != Director.TIMED_OUT ? node.report() : null;
@@ -200,8 +200,8 @@
     // ---- what the policy decides ----
 
     private void send(int at, int node, int source, double giveUpAt, int rank, double maxAge, int how) {
-        Demand.Lookup l = lookups[at];
-        Box b = w.boxes.get(node), from = source == node ? null : w.boxes.get(source);
+        LoadGenerator.Lookup l = lookups[at];
+        SimulatedNode b = w.boxes.get(node), from = source == node ? null : w.boxes.get(source);
         l.mayHaveRun = mayHaveRun(at);
         w.check.sent(number, l, b, from);
         sent++;
@@ -225,7 +225,7 @@
         if (b.silent) w.clock.in(w.town.get("connect_ms"), () -> {
             if (mine != run || h.over) return;
             h.drop();
-            ended(at, n, b, h, Director.UNREACHED, 0, 0, null);
+            ended(at, n, b, h, Director.CONNECT_FAILED, 0, 0, null);
         });
     }
 
@@ -235,15 +235,15 @@
         return false;
     }
 
-    @Override public void look(int lookup, int node, double giveUpAt) {
+    @Override public void sendCacheOnly(int lookup, int node, double giveUpAt) {
         send(lookup, node, node, giveUpAt, 0, 0, 0);
     }
 
-    @Override public void fetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge, int how) {
+    @Override public void sendFetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge, int how) {
         send(lookup, node, source, giveUpAt, rank, maxAge, how);
     }
 
-    @Override public void callOff(int lookup, int hop) {
+    @Override public void cancelHop(int lookup, int hop) {
         List<Hop> all = hops.get(lookup);
         if (hop >= all.size() || all.get(hop).over) return;
         Hop h = all.get(hop);
@@ -252,18 +252,18 @@
         w.droppedAnywhere(h);
         w.clock.in(0, () -> {
             if (mine == run && !dead && slots.hopEnded(lookup, hop)) {
-                round(to -> to.hopEnded(lookup, hop, 0, Director.CALLED_OFF, true, 0, w.clock.now - h.sentAt, 0, null));
+                round(to -> to.hopEnded(lookup, hop, 0, Director.CANCELLED, true, 0, w.clock.now - h.sentAt, 0, null));
                 release(lookup);
             }
         });
     }
 
     private void answer(int lookup, boolean bounced, double after) {
-        Demand.Lookup l = lookups[lookup];
+        LoadGenerator.Lookup l = lookups[lookup];
         l.mayHaveRun = mayHaveRun(lookup);
         w.check.answered(l, bounced);
         l.answered = true;
-        slots.over(lookup);
+        slots.markOver(lookup);
         if (bounced) w.result.bounced++;
         else w.result.givenUp++;
         if (bounced) w.demandAt(place).again(l.wish, after);
@@ -273,28 +273,28 @@
         });
     }
 
-    @Override public void bounce(int lookup, double comeBackAfter) {
+    @Override public void reject(int lookup, double comeBackAfter) {
         answer(lookup, true, comeBackAfter);
     }
 
-    @Override public void giveUp(int lookup) {
+    @Override public void fail(int lookup) {
         answer(lookup, false, 0);
     }
 
     @Override public void probe(int node) {
-        Box b = w.boxes.get(node);
-        w.clock.in(2 * w.town.get("near_ms"), () -> round(to -> to.probed(node,
-            b.reachable() ? Director.HANDLED : Director.UNREACHED, 2, b.reachable() ? b.report() : null)));
+        SimulatedNode b = w.boxes.get(node);
+        w.clock.in(2 * w.town.get("near_ms"), () -> round(to -> to.probeCompleted(node,
+            b.reachable() ? Director.SUCCEEDED : Director.CONNECT_FAILED, 2, b.reachable() ? b.report() : null)));
     }
 
-    @Override public void remind(double t, long name) {
+    @Override public void setTimer(double t, long name) {
         int mine = run;
         w.clock.at(t, () -> {
-            if (mine == run) round(to -> to.bell(name));
+            if (mine == run) round(to -> to.timerFired(name));
         });
     }
 
-    @Override public void followList(boolean on) { }
+    @Override public void watchNodeList(boolean on) { }
 
-    @Override public void say(String text) { }
+    @Override public void log(String text) { }
 }
--- a/src/main/java/mothcross/emulator/Box.java
+++ b/src/main/java/mothcross/emulator/SimulatedNode.java
@@ -13,7 +13,7 @@
  * is
  * there. Owns its state; must never know which policy asks, and falls over for good when pushed past what it bears.
  */
-final class Box {
+final class SimulatedNode {
     static final int CACHE = 0, PARENT = 1, ORIGIN = 2;
 
     /** A fill under way, and the hops that wait for it. */
@@ -26,12 +26,12 @@
         }
     }
 
-    private final World w;
+    private final Simulation w;
     final int index, kind, place;
     final String id;
     private final double flows;
-    private final Pipe pipe;
-    private final Store store;
+    private final BandwidthLink pipe;
+    private final CacheStore store;
     private final Map<Long, Fill> fills = new HashMap<>();
     private final Map<Integer, Double> purgedAt = new HashMap<>();      // bounded by the groups there are
     private final ArrayDeque<double[]> work = new ArrayDeque<>();
@@ -47,16 +47,16 @@
     /** The most that came within a span, as a share of what pushes it over. */
     double nearest;
 
-    Box(World w, int index, int kind, int place) {
+    SimulatedNode(Simulation w, int index, int kind, int place) {
         this.w = w;
         this.index = index;
         this.kind = kind;
         this.place = place;
         this.id = (kind == CACHE ? "c" : kind == PARENT ? "p" : "o") + index;
-        Town t = w.town;
+        ScenarioParameters t = w.town;
         flows = t.get(kind == CACHE ? "cache_flows" : kind == PARENT ? "parent_flows" : "origin_flows");
-        pipe = new Pipe(w.clock, flows);
-        store = new Store(1000 * t.get(kind == PARENT ? "parent_mb" : "cache_mb"));
+        pipe = new BandwidthLink(w.clock, flows);
+        store = new CacheStore(1000 * t.get(kind == PARENT ? "parent_mb" : "cache_mb"));
     }
 
     double units() {
@@ -78,7 +78,7 @@
         parentFills.clear();
         store.clear();
         held = 0;
-        for (Hop h : open) h.end(Director.BROKEN, 0, 0, null);
+        for (Hop h : open) h.end(Director.CONNECTION_LOST, 0, 0, null);
     }
 
     void start(double now) {
@@ -114,7 +114,7 @@
         if (up) store.purge(group, at);
     }
 
-    private void keep(long key, Store.Copy c) {
+    private void keep(long key, CacheStore.Copy c) {
         if (c.minted() >= purgedAt.getOrDefault(c.group(), Double.NEGATIVE_INFINITY)) store.put(key, c);
     }
 
@@ -123,7 +123,7 @@
     /** A lookup comes, as hop or as fill: counted against what a cold box bears. */
     private boolean bears(double ownMs) {
         if (kind == ORIGIN) return true;
-        Town t = w.town;
+        ScenarioParameters t = w.town;
         double span = t.get("cold_span"), now = w.clock.now, warmth = warmth();
         if (warmth >= 1) return true;
         work.add(new double[] {now, ownMs});
@@ -142,7 +142,7 @@
     void take(Hop h) {
         if (h.over || silent) return;
         if (!reachable()) {
-            h.end(Director.UNREACHED, 0, 0, null);
+            h.end(Director.CONNECT_FAILED, 0, 0, null);
             return;
         }
         if (w.clock.now < stalledUntil) {
@@ -150,7 +150,7 @@
             return;
         }
         if (held >= w.town.count("queue")) {
-            h.end(Director.FULL, 0, 0, null);
+            h.end(Director.REJECTED, 0, 0, null);
             return;
         }
         asked++;
@@ -159,16 +159,16 @@
         if (!bears(h.ownMs)) return;
         if (kind == ORIGIN) {
             fetch(h.key, h.kb, h.group, (copy, note) -> {
-                if (copy == null) ended(h, Director.FULL, 0, 0, null);
+                if (copy == null) ended(h, Director.REJECTED, 0, 0, null);
                 else send(h, copy, Director.FILLED_BY_ORIGIN, w.clock.now - h.sentAt);
             });
             return;
         }
-        Store.Copy c = good(h.key, h.oldest);
+        CacheStore.Copy c = good(h.key, h.oldest);
         if (c != null) {
             hits++;
             boolean past = w.fresh() > 0 && w.clock.now - c.minted() > w.fresh();
-            send(h, c, past ? Director.PAST_FRESH : Director.HIT, 0);
+            send(h, c, past ? Director.STALE_HIT : Director.HIT, 0);
         } else if (h.source == null) {
             ended(h, Director.MISS, 0, 0, null);
         } else {
@@ -177,22 +177,22 @@
     }
 
     /** A copy no older than the hop takes, or than its fresh time where it does not say. */
-    private Store.Copy good(long key, double oldest) {
-        Store.Copy c = store.get(key);
+    private CacheStore.Copy good(long key, double oldest) {
+        CacheStore.Copy c = store.get(key);
         if (c == null) return null;
         double age = w.clock.now - c.minted(), most = oldest > 0 ? oldest : w.fresh() > 0 ? w.fresh()
             : Double.MAX_VALUE;
         return age <= most ? c : null;
     }
 
-    private void send(Hop h, Store.Copy copy, int note, double sourceWait) {
+    private void send(Hop h, CacheStore.Copy copy, int note, double sourceWait) {
         if (h.over) {
             held--;
             w.closed(this, h);
             return;
         }
         h.on = pipe;
-        h.sending = pipe.add(h.ownMs, () -> ended(h, Director.HANDLED, note, sourceWait, copy));
+        h.sending = pipe.add(h.ownMs, () -> ended(h, Director.SUCCEEDED, note, sourceWait, copy));
         bytes += (long) h.kb;
     }
 
@@ -201,7 +201,7 @@
         if (w.closed(this, h)) held--;
     }
 
-    private void ended(Hop h, int outcome, int note, double sourceWait, Store.Copy copy) {
+    private void ended(Hop h, int outcome, int note, double sourceWait, CacheStore.Copy copy) {
         if (w.closed(this, h)) held--;
         h.end(outcome, note, sourceWait, copy);
     }
@@ -209,12 +209,12 @@
     // ---- fills ----
 
     private interface Got {
-        void got(Store.Copy copy, int note);
+        void got(CacheStore.Copy copy, int note);
     }
 
     private void fill(Hop h) {
         Fill under = fills.get(h.key);
-        boolean joins = (h.how & DecisionWriter.JOIN) != 0;
+        boolean joins = (h.how & DecisionWriter.COALESCE_FILLS) != 0;
         if (under != null && joins && under.begun > w.clock.now - (h.oldest > 0 ? h.oldest : Double.MAX_VALUE)) {
             under.waiting.add(h);
             return;
@@ -222,7 +222,7 @@
         Fill mine = new Fill(w.clock.now);
         mine.waiting.add(h);
         fills.put(h.key, mine);
-        boolean holdsOnly = (h.how & DecisionWriter.SOURCE_HOLDS_ONLY) != 0;
+        boolean holdsOnly = (h.how & DecisionWriter.SOURCE_CACHE_ONLY) != 0;
         double far = w.town.get("far_ms");
         w.clock.in(far, () -> h.source.ask(h.key, h.kb, h.ownMs, h.group, h.oldest, holdsOnly, (copy, note) ->
             w.clock.in(far, () -> {
@@ -231,17 +231,17 @@
         })));
     }
 
-    private void filled(Fill f, Hop first, Store.Copy copy, int note) {
+    private void filled(Fill f, Hop first, CacheStore.Copy copy, int note) {
         fills.remove(first.key, f);
         if (!up) return;
-        if (copy != null && first.rank > 0) keep(first.key, new Store.Copy(copy.minted(), copy.kb(), copy.group(),
+        if (copy != null && first.rank > 0) keep(first.key, new CacheStore.Copy(copy.minted(), copy.kb(), copy.group(),
             first.rank));
         double waited = w.clock.now - f.begun;
         for (Hop h : f.waiting) {
             if (h.over) continue;
             if (copy == null) ended(h, Director.ERROR, note, waited, null);
             else if (h.oldest > 0 && copy.minted() < h.sentAt - h.oldest) fill(h);
-            else send(h, copy, h == first ? note : Director.JOINED, waited);
+            else send(h, copy, h == first ? note : Director.COALESCED, waited);
         }
     }
 
@@ -249,7 +249,7 @@
     private void ask(long key, double kb, double ownMs, int group, double oldest, boolean holdsOnly, Got got) {
         if (silent) return;
         if (!reachable()) {
-            got.got(null, Director.SOURCE_LOST);
+            got.got(null, Director.SOURCE_UNREACHABLE);
             return;
         }
         if (w.clock.now < stalledUntil) {
@@ -263,15 +263,15 @@
         }
         asked++;
         if (!bears(ownMs)) {
-            got.got(null, Director.SOURCE_LOST);
+            got.got(null, Director.SOURCE_UNREACHABLE);
             return;
         }
-        Store.Copy c = good(key, oldest);
+        CacheStore.Copy c = good(key, oldest);
         if (c != null) {
             hits++;
             pipe.add(ownMs, () -> got.got(c, Director.FILLED));
         } else if (holdsOnly) {
-            got.got(null, Director.SOURCE_LACKS);
+            got.got(null, Director.SOURCE_MISS);
         } else {
             Fetch f = parentFills.get(key);
             // One that began before what is asked for now may bring a copy too old: another is made.
@@ -296,7 +296,7 @@
 
     private final Map<Long, Fetch> parentFills = new HashMap<>();   // each ends with its answer
 
-    private void parentGot(Fetch f, long key, double ownMs, Store.Copy copy) {
+    private void parentGot(Fetch f, long key, double ownMs, CacheStore.Copy copy) {
         parentFills.remove(key, f);
         if (!up) return;
         if (copy != null) keep(key, copy);
@@ -318,7 +318,7 @@
         w.originKb += kb;
         double minted = w.clock.now;
         w.clock.in(w.town.get("origin_ms"), () -> pipe.add(kb / w.town.get("flow_kb_ms"),
-            () -> got.got(new Store.Copy(minted, kb, group, 1), Director.FILLED_BY_ORIGIN)));
+            () -> got.got(new CacheStore.Copy(minted, kb, group, 1), Director.FILLED_BY_ORIGIN)));
     }
 
     /** What answers tell of its load, no fresher than reports are. */
@@ -332,10 +332,10 @@
         }
         shown = new double[Director.REPORT_SIZE];
         java.util.Arrays.fill(shown, Double.NaN);
-        shown[Director.HELD] = held;
-        shown[Director.CORES_BUSY] = Math.min(1, pipe.fill());
-        shown[Director.HIT_SHARE] = hitShare;
-        shown[Director.LINK_FILL] = kind == CACHE ? w.linkOf(place).fill() : parentFills.size();
+        shown[Director.REPORT_ACTIVE_REQUESTS] = held;
+        shown[Director.REPORT_CPU_SHARE] = Math.min(1, pipe.fill());
+        shown[Director.REPORT_HIT_RATIO] = hitShare;
+        shown[Director.REPORT_LINK_UTILIZATION] = kind == CACHE ? w.linkOf(place).fill() : parentFills.size();
         return shown;
     }
 
--- a/src/main/java/mothcross/fleet/Ballot.java
+++ b/src/main/java/mothcross/fleet/Ballot.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import mothcross.fleet.Item.Proposal;
+import mothcross.fleet.GossipItem.Proposal;
 
 /**
  * The proposals to change one view, and the votes on them. A proposal is open for {@link #LASTS_MS} from when it was
@@ -28,7 +28,7 @@
 
     /** Whether it is about this view, by one of its members, in a round that is not over. */
     boolean concerns(Proposal p) {
-        return p.base() == view.digest && p.round() > closed && view.place(p.maker()) >= 0;
+        return p.baseDigest() == view.digest && p.round() > closed && view.place(p.proposer()) >= 0;
     }
 
     List<Proposal> open() {
--- a/src/main/java/mothcross/fleet/Counts.java
+++ b/src/main/java/mothcross/fleet/FleetCounters.java
@@ -5,22 +5,22 @@
 import java.util.TreeMap;
 
 /** How often what happened, and each move of a member's judgement; read by nobody who decides. */
-public final class Counts {
-    public enum Move { PHASE, LATE, NEW_LIFE, NOT_OURS, OLD_LIFE, WANTS, STEPPED_BACK, ACCUSED, CLEARED, REFUTED, APART,
+public final class FleetCounters {
+    public enum Event { PHASE, LATE, NEW_LIFE, NOT_OURS, OLD_LIFE, WANTS, STEPPED_BACK, ACCUSED, CLEARED, REFUTED, APART,
         TOGETHER, PROPOSED, VIEW, ALONE }
 
-    private final EnumMap<Move, Long> moves = new EnumMap<>(Move.class);
-    private final long[][] judged = new long[Judged.values().length][Judged.values().length];
+    private final EnumMap<Event, Long> moves = new EnumMap<>(Event.class);
+    private final long[][] judged = new long[MemberHealth.values().length][MemberHealth.values().length];
 
-    void add(Move m) {
+    void add(Event m) {
         moves.merge(m, 1L, Long::sum);
     }
 
-    void moved(Judged from, Judged to) {
+    void moved(MemberHealth from, MemberHealth to) {
         judged[from.ordinal()][to.ordinal()]++;
     }
 
-    public long of(Move m) {
+    public long of(Event m) {
         return moves.getOrDefault(m, 0L);
     }
 
@@ -28,8 +28,8 @@
     public Map<String, Long> all() {
         Map<String, Long> all = new TreeMap<>();
         moves.forEach((m, n) -> all.put(m.name().toLowerCase(java.util.Locale.ROOT), n));
-        for (Judged a : Judged.values()) {
-            for (Judged b : Judged.values()) {
+        for (MemberHealth a : MemberHealth.values()) {
+            for (MemberHealth b : MemberHealth.values()) {
                 long n = judged[a.ordinal()][b.ordinal()];
                 if (n > 0) all.put((a + "_to_" + b).toLowerCase(java.util.Locale.ROOT), n);
             }
--- a/src/main/java/mothcross/fleet/Member.java
+++ b/src/main/java/mothcross/fleet/FleetMember.java
@@ -12,11 +12,11 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.UnaryOperator;
-import mothcross.fleet.Item.Accusation;
-import mothcross.fleet.Item.Candidate;
-import mothcross.fleet.Item.Edge;
-import mothcross.fleet.Item.Proposal;
-import mothcross.fleet.Item.Refutal;
+import mothcross.fleet.GossipItem.Accusation;
+import mothcross.fleet.GossipItem.Candidate;
+import mothcross.fleet.GossipItem.LinkStatus;
+import mothcross.fleet.GossipItem.Proposal;
+import mothcross.fleet.GossipItem.Refutation;
 import mothcross.fleet.Message.Kind;
 import mothcross.fleet.Message.Send;
 
@@ -26,21 +26,21 @@
  * on fewer than HIGH of its watchers' word, change a view without more than half of it, or accuse while it is late
  * itself. docs/design/fleet.md has the promises by number.
  */
-public final class Member {
+public final class FleetMember {
     /** What the one beside it wants to know. */
-    public interface News {
-        void view(View v, boolean apart, Cause cause);
+    public interface MemberListener {
+        void view(View v, boolean apart, ViewCause cause);
 
         /** It agrees to a change of the view with this digest. */
         void votes(long base, int round);
 
-        void judged(String name, Judged from, Judged to, int accusing);
+        void judged(String name, MemberHealth from, MemberHealth to, int accusing);
 
         void self(Phase p, long life);
     }
 
     /** VOTED by more than half, MERGED with another's, TOLD by one whose view it takes, the rest change no members. */
-    public enum Cause { BEGINS, VOTED, MERGED, TOLD, NUMBERED, APART }
+    public enum ViewCause { BEGINS, VOTED, MERGED, TOLD, NUMBERED, APART }
 
     /** JOINING: not in the view, or in it with an older life. OUT: it was put out and waits until it is steady. */
     public enum Phase { JOINING, IN, OUT, STEPPED_BACK, LEFT }
@@ -56,18 +56,18 @@
     public final String name;
     private final String host;
     private final int port;
-    private final Pace pace;
+    private final FailureDetectorSettings pace;
     private final SplittableRandom chance;
-    private final News news;
+    private final MemberListener news;
     private final UnaryOperator<View> shared;
     private final List<Address> contacts = new ArrayList<>();
-    private final Map<String, Peer> peers = new HashMap<>();
-    private final Map<String, Watch> watches = new LinkedHashMap<>();
+    private final Map<String, PeerState> peers = new HashMap<>();
+    private final Map<String, LinkMonitor> watches = new LinkedHashMap<>();
     private final Set<String> accused = new HashSet<>(), candidates = new java.util.TreeSet<>();
-    private final Rumours rumours = new Rumours();
+    private final GossipQueue rumours = new GossipQueue();
     private final List<Send> out = new ArrayList<>();
-    public final Counts count = new Counts();
-    private long life;
+    public final FleetCounters counters = new FleetCounters();
+    private long incarnation;
     private Phase phase = Phase.JOINING;
     private View view;
     private boolean apart;
@@ -78,17 +78,17 @@
     private double wantedAt = Double.NEGATIVE_INFINITY;
     private double outSteadySince = Double.NaN, outHeardAt = Double.NEGATIVE_INFINITY;
     private double lastAnswer = Double.NEGATIVE_INFINITY, viewHeardAt, toldOfLater = Double.NEGATIVE_INFINITY;
-    private Fact rival;
+    private MemberRecord rival;
     private double rivalAt;
 
     /**
-     * {@code life} is this start's incarnation, higher than any before; {@code contacts} are the seeds and the
+     * {@code incarnation} is this start's incarnation, higher than any before; {@code contacts} are the seeds and the
      * addresses kept. {@code shared} may give back an equal view that exists already.
      */
-    public Member(String name, long life, String host, int port, Collection<Address> contacts, Pace pace,
-                  SplittableRandom chance, News news, UnaryOperator<View> shared) {
+    public FleetMember(String name, long life, String host, int port, Collection<Address> contacts, FailureDetectorSettings pace,
+                  SplittableRandom chance, MemberListener news, UnaryOperator<View> shared) {
         this.name = name;
-        this.life = life;
+        this.incarnation = life;
         this.host = host;
         this.port = port;
         this.pace = pace;
@@ -100,7 +100,7 @@
     }
 
     /** When it wants to be told the time again at the latest. */
-    public double next() {
+    public double nextTickAt() {
         return Math.min(askAt, roundAt);
     }
 
@@ -112,18 +112,18 @@
         return phase;
     }
 
-    public long life() {
-        return life;
+    public long incarnation() {
+        return incarnation;
     }
 
     /** It sees too little of the view to change it: it puts nobody out, and knows that it may be the one cut off. */
-    public boolean apart() {
+    public boolean isPartitioned() {
         return apart;
     }
 
-    public Judged judged(String of) {
-        Peer p = peers.get(of);
-        return p == null ? Judged.FINE : p.judged;
+    public MemberHealth healthOf(String of) {
+        PeerState p = peers.get(of);
+        return p == null ? MemberHealth.FINE : p.judged;
     }
 
     // ---- time ----
@@ -132,14 +132,14 @@
         out.clear();
         if (over()) return out;
         if (Double.isNaN(startedAt)) begin(now);
-        if (now < next()) return out;
+        if (now < nextTickAt()) return out;
         double late = now - due;
-        if (late > pace.period()) overslept(now, late);
+        if (late > pace.probePeriodMs()) overslept(now, late);
         if (now >= askAt) askHelpers();
         if (now >= roundAt) round(now);
         judgeAll(now);
         propose(now);
-        due = next();
+        due = nextTickAt();
         return out;
     }
 
@@ -149,32 +149,32 @@
 
     private void begin(double now) {
         startedAt = due = roundAt = roundSince = viewHeardAt = now;
-        Fact own = own();
+        MemberRecord own = own();
         peer(name).fact = own;
         view = shared.apply(new View(1, List.of(own), pace.rings()));
         ballot = new Ballot(view);
         become(Phase.IN);
-        news.view(view, false, Cause.BEGINS);
+        news.view(view, false, ViewCause.BEGINS);
     }
 
-    private Fact own() {
-        Peer p = peers.get(name);
-        return new Fact(name, life, host, port, Fact.Standing.IN, p == null || p.fact == null ? 0 : p.fact.turn());
+    private MemberRecord own() {
+        PeerState p = peers.get(name);
+        return new MemberRecord(name, incarnation, host, port, MemberRecord.Status.IN, p == null || p.fact == null ? 0 : p.fact.evictions());
     }
 
     private void become(Phase p) {
         if (phase == p) return;
         phase = p;
-        count.add(Counts.Move.PHASE);
-        news.self(p, life);
+        counters.add(FleetCounters.Event.PHASE);
+        news.self(p, incarnation);
     }
 
     /** A pause, a starved core or a step of the clock: what was not heard meanwhile is nobody's fault. */
     private void overslept(double now, double late) {
-        count.add(Counts.Move.LATE);
-        steadyAt = now + 2 * pace.period();
+        counters.add(FleetCounters.Event.LATE);
+        steadyAt = now + 2 * pace.probePeriodMs();
         health = Math.min(MOST_HEALTH, health + 2);
-        for (Watch w : watches.values()) w.silentRounds = 0;
+        for (LinkMonitor w : watches.values()) w.silentRounds = 0;
         for (String n : accused) peers.get(n).late(late);
         viewHeardAt += late;
         askAt = Double.POSITIVE_INFINITY;
@@ -184,24 +184,24 @@
     private void round(double now) {
         int good = 0, bad = 0;
         if (now >= steadyAt && roundSince > startedAt) {
-            for (Watch w : watches.values()) {
+            for (LinkMonitor w : watches.values()) {
                 if (w.roundTrip >= roundSince) good++;
                 else bad++;
-                boolean changes = w.judge(roundSince, pace.doubts() + health / 2);
+                boolean changes = w.judge(roundSince, pace.suspicionRounds() + health / 2);
                 // Taking a word back may get lost like any other: that, too, is said again, while it may still hold.
-                boolean again = now - w.toldAt > SAY_AGAIN && (w.told != Edge.FINE || now - w.clearedAt < SAID_HOLDS);
+                boolean again = now - w.toldAt > SAY_AGAIN && (w.told != LinkStatus.FINE || now - w.clearedAt < SAID_HOLDS);
                 if (changes || again) accuse(w, now);
             }
             if (bad * 2 > good + bad) health = Math.min(MOST_HEALTH, health + 1);
             else if (bad == 0) health = Math.max(0, health - 1);
         }
         roundSince = now;
-        double period = pace.period() * (1 + health / 4.0);
+        double period = pace.probePeriodMs() * (1 + health / 4.0);
         roundAt = now + period;
-        askAt = watches.isEmpty() ? Double.POSITIVE_INFINITY : now + Math.min(pace.ackWait() * (1 + health),
+        askAt = watches.isEmpty() ? Double.POSITIVE_INFINITY : now + Math.min(pace.ackTimeoutMs() * (1 + health),
             0.6 * period);
-        for (Watch w : watches.values()) {
-            Fact f = peers.get(w.name).latest();
+        for (LinkMonitor w : watches.values()) {
+            MemberRecord f = peers.get(w.name).latest();
             w.asked = ++seq;
             send(f.host(), f.port(), Kind.PING, w.name, w.asked, "", false);
         }
@@ -217,15 +217,15 @@
     /** Those that have not answered yet are asked through others. */
     private void askHelpers() {
         askAt = Double.POSITIVE_INFINITY;
-        for (Watch w : watches.values()) {
+        for (LinkMonitor w : watches.values()) {
             if (w.roundTrip >= roundSince) continue;
-            for (int i = 0, tries = 0; i < pace.helpers() && tries < 4 * pace.helpers(); tries++) {
-                Fact h = view.member(chance.nextInt(view.size()));
+            for (int i = 0, tries = 0; i < pace.indirectProbes() && tries < 4 * pace.indirectProbes(); tries++) {
+                MemberRecord h = view.member(chance.nextInt(view.size()));
                 if (h.name().equals(name) || h.name().equals(w.name)) continue;
-                if (peers.get(h.name()).judged == Judged.SILENT) continue;
+                if (peers.get(h.name()).judged == MemberHealth.SILENT) continue;
                 i++;
-                Fact to = peers.get(h.name()).latest();
-                send(to.host(), to.port(), Kind.HELP, h.name(), w.asked, w.name, false);
+                MemberRecord to = peers.get(h.name()).latest();
+                send(to.host(), to.port(), Kind.PING_REQUEST, h.name(), w.asked, w.name, false);
             }
         }
     }
@@ -242,13 +242,13 @@
 
     /** One that is known and not in the view: how two parts of a fleet find each other again. */
     private void reach() {
-        List<Fact> gone = new ArrayList<>();
-        for (Peer p : peers.values()) {
-            if (p.fact != null && p.fact.standing() == Fact.Standing.OUT) gone.add(p.latest());
+        List<MemberRecord> gone = new ArrayList<>();
+        for (PeerState p : peers.values()) {
+            if (p.fact != null && p.fact.status() == MemberRecord.Status.OUT) gone.add(p.latest());
         }
         Address a = someone(false);
         if (!gone.isEmpty() && (a == null || chance.nextBoolean())) {
-            Fact f = gone.get(chance.nextInt(gone.size()));
+            MemberRecord f = gone.get(chance.nextInt(gone.size()));
             a = new Address(f.host(), f.port());
         }
         if (a != null) send(a.host, a.port, Kind.JOIN, "", ++seq, "", false);
@@ -256,7 +256,7 @@
 
     private Address someone(boolean inView) {
         if ((inView || contacts.isEmpty()) && (view.size() > 1 || !view.has(name))) {
-            Fact f = view.member(chance.nextInt(view.size()));
+            MemberRecord f = view.member(chance.nextInt(view.size()));
             return f.name().equals(name) ? null : new Address(f.host(), f.port());
         }
         return contacts.isEmpty() ? null : contacts.get(chance.nextInt(contacts.size()));
@@ -264,44 +264,44 @@
 
     /** It was put out: only after a steady time, longer with each turn, does it ask to be let in, in a new life. */
     private void steady(double now) {
-        if (now - outHeardAt > 2 * pace.period()) outSteadySince = Double.NaN;
+        if (now - outHeardAt > 2 * pace.probePeriodMs()) outSteadySince = Double.NaN;
         else if (Double.isNaN(outSteadySince)) outSteadySince = now;
-        if (Double.isNaN(outSteadySince) || now - outSteadySince < hold(peer(name).fact.turn())) return;
-        anew(life + 1);
+        if (Double.isNaN(outSteadySince) || now - outSteadySince < hold(peer(name).fact.evictions())) return;
+        anew(incarnation + 1);
     }
 
     private double hold(int turn) {
-        return turn <= 0 ? 0 : pace.hold() * (1 << Math.min(turn - 1, MOST_DOUBLINGS));
+        return turn <= 0 ? 0 : pace.rejoinDelayMs() * (1 << Math.min(turn - 1, MOST_DOUBLINGS));
     }
 
     /** Nobody of the view that it wants to be in is to be heard any more: it is its own again, and looks for others. */
     private void beginAnew(double now) {
-        count.add(Counts.Move.ALONE);
-        for (Map.Entry<String, Peer> e : peers.entrySet()) {
-            Fact f = e.getValue().fact;
+        counters.add(FleetCounters.Event.ALONE);
+        for (Map.Entry<String, PeerState> e : peers.entrySet()) {
+            MemberRecord f = e.getValue().fact;
             if (f == null || e.getKey().equals(name)) continue;
             Address a = new Address(f.host(), f.port());
             if (f.in() && contacts.size() < MOST_CONTACTS && !contacts.contains(a)) contacts.add(a);
             e.getValue().fact = null;
             e.getValue().candidate = null;
         }
-        Peer self = peer(name);
-        if (self.fact != null && !self.fact.in()) life++;
+        PeerState self = peer(name);
+        if (self.fact != null && !self.fact.in()) incarnation++;
         self.candidate = null;
         self.fact = own();
         viewHeardAt = now;
-        adopt(viewOf(view.number + 1), Cause.BEGINS, now);
+        adopt(viewOf(view.number + 1), ViewCause.BEGINS, now);
     }
 
     private void anew(long to) {
-        life = to;
-        count.add(Counts.Move.NEW_LIFE);
+        incarnation = to;
+        counters.add(FleetCounters.Event.NEW_LIFE);
         candidate(own());
         phase = Phase.OUT;
         become(Phase.JOINING);
     }
 
-    private void candidate(Fact f) {
+    private void candidate(MemberRecord f) {
         peer(f.name()).candidate = f;
         candidates.add(f.name());
         rumours.tell(new Candidate(f));
@@ -311,21 +311,21 @@
     private void takeOver() {
         long above = rival.incarnation() + 1;
         rival = null;
-        if (above > life) anew(above);
+        if (above > incarnation) anew(above);
     }
 
     public List<Send> leave(double now) {
         out.clear();
         if (over() || view == null) return out;
         if (phase == Phase.IN) {
-            Fact f = own().with(Fact.Standing.LEFT, own().turn());
+            MemberRecord f = own().with(MemberRecord.Status.LEFT, own().evictions());
             rumours.tell(new Candidate(f));
             for (int i = 0; i < FAREWELLS && view.size() > 1; i++) {
-                Fact to = view.member((view.place(name) + 1 + i) % view.size());
+                MemberRecord to = view.member((view.place(name) + 1 + i) % view.size());
                 if (!to.name().equals(name)) send(to.host(), to.port(), Kind.PING, to.name(), ++seq, "", false);
             }
-            for (Watch w : watches.values()) {
-                Fact to = peers.get(w.name).latest();
+            for (LinkMonitor w : watches.values()) {
+                MemberRecord to = peers.get(w.name).latest();
                 send(to.host(), to.port(), Kind.PING, w.name, ++seq, "", false);
             }
         }
@@ -335,61 +335,61 @@
 
     // ---- messages ----
 
-    public List<Send> heard(double now, Message m) {
+    public List<Send> onMessage(double now, Message m) {
         out.clear();
         if (over() || view == null) return out;
-        if (!m.to().isEmpty() && !m.to().equals(name) || m.from().equals(name) && m.kind() != Kind.HERE
-            && m.kind() != Kind.WHO) {
-            count.add(Counts.Move.NOT_OURS);
+        if (!m.to().isEmpty() && !m.to().equals(name) || m.from().equals(name) && m.kind() != Kind.NAME_REPLY
+            && m.kind() != Kind.NAME_QUERY) {
+            counters.add(FleetCounters.Event.NOT_OURS);
             return out;
         }
-        Peer from = peers.get(m.from());
-        if (from != null && from.fact != null && m.life() < from.life() && m.kind() != Kind.WHO) {
-            count.add(Counts.Move.OLD_LIFE);
+        PeerState from = peers.get(m.from());
+        if (from != null && from.fact != null && m.incarnation() < from.life() && m.kind() != Kind.NAME_QUERY) {
+            counters.add(FleetCounters.Event.OLD_LIFE);
             tellOfLater(m, from.latest(), now);
             return out;
         }
-        Watch w = watches.get(m.from());
+        LinkMonitor w = watches.get(m.from());
         if (w != null) w.inWorked = now;
         if (view.has(m.from())) viewHeardAt = now;
-        for (Item i : m.items()) absorb(i, now);
+        for (GossipItem i : m.items()) absorb(i, now);
         switch (m.kind()) {
             case PING, JOIN -> reply(m, Kind.ACK, "", false);
             case ACK -> {
                 if (w != null && current(w, m.seq())) w.answered(now, true, true);
-                if (m.digest() == view.digest) lastAnswer = now;
+                if (m.viewDigest() == view.digest) lastAnswer = now;
                 outHeardAt = now;
             }
-            case HELP -> {
-                Peer p = peers.get(m.about());
+            case PING_REQUEST -> {
+                PeerState p = peers.get(m.subject());
                 if (p == null || p.fact == null) break;
-                Fact f = p.latest();
-                send(f.host(), f.port(), Kind.FOR, m.about(), m.seq(), m.from(), false);
+                MemberRecord f = p.latest();
+                send(f.host(), f.port(), Kind.PROXY_PING, m.subject(), m.seq(), m.from(), false);
             }
-            case FOR -> reply(m, Kind.FOR_ACK, m.about(), hadPing(m.about(), m.seq()));
-            case FOR_ACK -> {
-                Peer p = peers.get(m.about());
+            case PROXY_PING -> reply(m, Kind.PROXY_ACK, m.subject(), hadPing(m.subject(), m.seq()));
+            case PROXY_ACK -> {
+                PeerState p = peers.get(m.subject());
                 if (p == null || p.fact == null) break;
-                Fact f = p.latest();
-                send(f.host(), f.port(), Kind.HELPED, m.about(), m.seq(), m.from(), m.heard());
+                MemberRecord f = p.latest();
+                send(f.host(), f.port(), Kind.PING_REQUEST_ACK, m.subject(), m.seq(), m.from(), m.pingReceived());
             }
-            case HELPED -> {
-                Watch about = watches.get(m.about());
-                if (about != null && current(about, m.seq())) about.answered(now, false, m.heard());
+            case PING_REQUEST_ACK -> {
+                LinkMonitor about = watches.get(m.subject());
+                if (about != null && current(about, m.seq())) about.answered(now, false, m.pingReceived());
             }
-            case WANT -> out.add(new Send(m.host(), m.port(), message(Kind.STATE, m.from(), m.seq(), "", false,
+            case VIEW_REQUEST -> out.add(new Send(m.host(), m.port(), message(Kind.VIEW, m.from(), m.seq(), "", false,
                 facts())));
-            case STATE -> merge(m, now);
-            case WHO -> {
-                if (m.seq() == 0) reply(m, Kind.HERE, "", false);
+            case VIEW -> merge(m, now);
+            case NAME_QUERY -> {
+                if (m.seq() == 0) reply(m, Kind.NAME_REPLY, "", false);
             }
             case ADMIN, POLICY -> { }                    // the edge's
-            case HERE -> {
-                if (rival != null && m.life() == rival.incarnation()) rivalAnswers(now);
+            case NAME_REPLY -> {
+                if (rival != null && m.incarnation() == rival.incarnation()) rivalAnswers(now);
             }
         }
         if (m.kind() == Kind.PING) lastPing.put(m.from(), m.seq());
-        if (!over() && m.kind() != Kind.STATE && m.kind() != Kind.WHO && m.kind() != Kind.HERE) compare(m, now);
+        if (!over() && m.kind() != Kind.VIEW && m.kind() != Kind.NAME_QUERY && m.kind() != Kind.NAME_REPLY) compare(m, now);
         return out;
     }
 
@@ -397,10 +397,10 @@
      * One that runs under a name that another has taken since has to hear of it, and one whose clock went back and that
      * kept nothing that there were later lives of its own; seldom, as it may be an echo, which harms nobody.
      */
-    private void tellOfLater(Message m, Fact later, double now) {
-        if (now - toldOfLater < pace.period()) return;
+    private void tellOfLater(Message m, MemberRecord later, double now) {
+        if (now - toldOfLater < pace.probePeriodMs()) return;
         toldOfLater = now;
-        out.add(new Send(m.host(), m.port(), new Message(Kind.ACK, name, life, host, port, m.from(), 0, "", false,
+        out.add(new Send(m.host(), m.port(), new Message(Kind.ACK, name, incarnation, host, port, m.from(), 0, "", false,
             view.number, view.digest, List.of(new Candidate(later)), null)));
     }
 
@@ -419,62 +419,62 @@
     }
 
     /** An answer to this round's question, or to one of the last few. */
-    private boolean current(Watch w, int number) {
+    private boolean current(LinkMonitor w, int number) {
         return number == w.asked || number > w.asked - 4 * (watches.size() + 4) && number < w.asked;
     }
 
     /** The system says that nobody holds that port. */
-    public void refused(String atHost, int atPort) {
-        for (Watch w : watches.values()) {
-            Fact f = peers.get(w.name).latest();
+    public void onConnectionRefused(String atHost, int atPort) {
+        for (LinkMonitor w : watches.values()) {
+            MemberRecord f = peers.get(w.name).latest();
             if (f.port() == atPort && f.host().equals(atHost)) w.refused = true;
         }
     }
 
     /** Another view under a number as high as ours, for longer than a change takes to spread: it is asked for. */
     private void compare(Message m, double now) {
-        if (m.digest() == view.digest) {
-            if (m.number() > view.number) {
-                view = view.numbered(m.number());
-                news.view(view, apart, Cause.NUMBERED);
+        if (m.viewDigest() == view.digest) {
+            if (m.viewNumber() > view.number) {
+                view = view.numbered(m.viewNumber());
+                news.view(view, apart, ViewCause.NUMBERED);
             }
             return;
         }
         boolean lonely = view.size() == 1 || phase != Phase.IN;
-        if (m.number() < view.number && !lonely && peers.containsKey(m.from()) && view.has(m.from())) return;
+        if (m.viewNumber() < view.number && !lonely && peers.containsKey(m.from()) && view.has(m.from())) return;
         if (Double.isNaN(mismatchSince)) mismatchSince = now;
-        if (!lonely && now - mismatchSince < 3 * pace.period() || now - wantedAt < 2 * pace.period()) return;
+        if (!lonely && now - mismatchSince < 3 * pace.probePeriodMs() || now - wantedAt < 2 * pace.probePeriodMs()) return;
         wantedAt = now;
-        count.add(Counts.Move.WANTS);
-        out.add(new Send(m.host(), m.port(), message(Kind.WANT, m.from(), ++seq, "", false, null)));
+        counters.add(FleetCounters.Event.WANTS);
+        out.add(new Send(m.host(), m.port(), message(Kind.VIEW_REQUEST, m.from(), ++seq, "", false, null)));
     }
 
-    private List<Fact> facts() {
-        List<Fact> all = new ArrayList<>(peers.size());
-        for (Peer p : peers.values()) if (p.fact != null) all.add(p.fact);
+    private List<MemberRecord> facts() {
+        List<MemberRecord> all = new ArrayList<>(peers.size());
+        for (PeerState p : peers.values()) if (p.fact != null) all.add(p.fact);
         return all;
     }
 
     private void merge(Message m, double now) {
-        List<Fact> told = m.state();
+        List<MemberRecord> told = m.viewMembers();
         if (told == null) return;
         boolean strangers = true;
         int in = 0;
-        for (Fact f : told) {
+        for (MemberRecord f : told) {
             if (f.in()) in++;
             if (f.in() && view.has(f.name()) && !f.name().equals(name)) strangers = false;
         }
         if (view.size() == 1 && view.has(name) && told.stream().noneMatch(f -> f.name().equals(name) && f.in())
             || strangers) {
-            if (strangers && !joins(in, m.digest())) return;
-            adoptOthers(told, m.number(), now);
+            if (strangers && !joins(in, m.viewDigest())) return;
+            adoptOthers(told, m.viewNumber(), now);
             return;
         }
         boolean changed = false;
-        for (Fact f : told) {
+        for (MemberRecord f : told) {
             if (f.name().equals(name) && !fits(f, now)) continue;
-            Peer p = peer(f.name());
-            Fact merged = Fact.merge(p.fact, f);
+            PeerState p = peer(f.name());
+            MemberRecord merged = MemberRecord.merge(p.fact, f);
             if (merged.equals(p.fact)) continue;
             changed = true;
             p.ended = false;
@@ -482,15 +482,15 @@
             p.fact = merged;
         }
         if (over()) return;
-        View v = viewOf(Math.max(view.number, m.number()));
-        if (v.digest == m.digest()) {
-            if (v.digest != view.digest) adopt(v, Cause.TOLD, now);
+        View v = viewOf(Math.max(view.number, m.viewNumber()));
+        if (v.digest == m.viewDigest()) {
+            if (v.digest != view.digest) adopt(v, ViewCause.TOLD, now);
         } else if (v.digest != view.digest) {
-            adopt(v.numbered(v.number + 1), Cause.MERGED, now);
-        } else if (!changed && m.number() >= view.number) {
+            adopt(v.numbered(v.number + 1), ViewCause.MERGED, now);
+        } else if (!changed && m.viewNumber() >= view.number) {
             // All that is told there is known here, and more: under a higher number the other will ask for it.
-            view = view.numbered(m.number() + 1);
-            news.view(view, apart, Cause.NUMBERED);
+            view = view.numbered(m.viewNumber() + 1);
+            news.view(view, apart, ViewCause.NUMBERED);
         }
     }
 
@@ -499,35 +499,35 @@
         return theirSize != view.size() ? theirSize > view.size() : Long.compareUnsigned(view.digest, theirDigest) < 0;
     }
 
-    private void adoptOthers(List<Fact> told, long number, double now) {
-        List<Fact> ours = view.members();
-        for (Fact f : ours) {
-            Peer p = peer(f.name());
+    private void adoptOthers(List<MemberRecord> told, long number, double now) {
+        List<MemberRecord> ours = view.members();
+        for (MemberRecord f : ours) {
+            PeerState p = peer(f.name());
             if (p.candidate == null || f.over(p.candidate)) candidate(f);
             p.fact = null;
         }
-        for (Fact f : told) {
-            if (f.name().equals(name) && f.incarnation() >= life) life = f.incarnation() + 1;
-            peer(f.name()).fact = Fact.merge(peer(f.name()).fact, f);
+        for (MemberRecord f : told) {
+            if (f.name().equals(name) && f.incarnation() >= incarnation) incarnation = f.incarnation() + 1;
+            peer(f.name()).fact = MemberRecord.merge(peer(f.name()).fact, f);
         }
         candidate(own());
-        adopt(viewOf(Math.max(number, view.number)), Cause.TOLD, now);
+        adopt(viewOf(Math.max(number, view.number)), ViewCause.TOLD, now);
     }
 
     private View viewOf(long number) {
-        List<Fact> in = new ArrayList<>();
-        for (Peer p : peers.values()) if (p.fact != null && p.fact.in()) in.add(p.fact);
+        List<MemberRecord> in = new ArrayList<>();
+        for (PeerState p : peers.values()) if (p.fact != null && p.fact.in()) in.add(p.fact);
         return new View(number, in, pace.rings());
     }
 
     /** What is told of this name; false where it must not be taken as it is. */
-    private boolean fits(Fact f, double now) {
-        if (f.incarnation() > life) {
+    private boolean fits(MemberRecord f, double now) {
+        if (f.incarnation() > incarnation) {
             if (f.host().equals(host) && f.port() == port) anew(f.incarnation() + 1);
             else if (rival == null || f.incarnation() > rival.incarnation()) {
                 rival = f;
                 rivalAt = now;
-                out.add(new Send(f.host(), f.port(), message(Kind.WHO, "", 0, "", false, null)));
+                out.add(new Send(f.host(), f.port(), message(Kind.NAME_QUERY, "", 0, "", false, null)));
             }
             return false;
         }
@@ -539,30 +539,30 @@
             takeOver();
             return;
         }
-        count.add(Counts.Move.STEPPED_BACK);
+        counters.add(FleetCounters.Event.STEPPED_BACK);
         become(Phase.STEPPED_BACK);
     }
 
     // ---- what rides on messages ----
 
-    private void absorb(Item item, double now) {
+    private void absorb(GossipItem item, double now) {
         if (item instanceof Accusation a) accusation(a, now);
-        else if (item instanceof Refutal r) refutal(r, now);
-        else if (item instanceof Candidate c) candidate(c.fact(), now);
+        else if (item instanceof Refutation r) refutal(r, now);
+        else if (item instanceof Candidate c) candidate(c.member(), now);
         else if (item instanceof Proposal p) proposal(p, now);
     }
 
-    private void accuse(Watch w, double now) {
-        Peer p = peers.get(w.name);
-        Edge before = w.told;
-        w.told = w.should(pace.doubts() + health / 2);
-        if (w.told == Edge.FINE && before != Edge.FINE) w.clearedAt = now;
-        count.add(w.told == Edge.FINE ? Counts.Move.CLEARED : Counts.Move.ACCUSED);
-        Accusation a = new Accusation(name, life, w.name, p.life(), ++w.seq, w.told);
+    private void accuse(LinkMonitor w, double now) {
+        PeerState p = peers.get(w.name);
+        LinkStatus before = w.told;
+        w.told = w.should(pace.suspicionRounds() + health / 2);
+        if (w.told == LinkStatus.FINE && before != LinkStatus.FINE) w.clearedAt = now;
+        counters.add(w.told == LinkStatus.FINE ? FleetCounters.Event.CLEARED : FleetCounters.Event.ACCUSED);
+        Accusation a = new Accusation(name, incarnation, w.name, p.life(), ++w.seq, w.told);
         take(a, p, now);
     }
 
-    private void take(Accusation a, Peer p, double now) {
+    private void take(Accusation a, PeerState p, double now) {
         p.accuse(a, now);
         accused.add(a.subject());
         rumours.tell(a);
@@ -572,125 +572,125 @@
         if (a.watcher().equals(name)) return;
         if (a.subject().equals(name)) {
             // Only what is newer than the last word against it has to be answered.
-            Peer self = peer(name);
+            PeerState self = peer(name);
             Accusation before = self.accusation(a.watcher());
-            boolean known = before != null && before.watcherLife() == a.watcherLife() && before.seq() >= a.seq();
-            if (known || a.life() != life) return;
+            boolean known = before != null && before.watcherIncarnation() == a.watcherIncarnation() && before.seq() >= a.seq();
+            if (known || a.incarnation() != incarnation) return;
             self.accuse(a, now);
-            if (a.edge() != Edge.FINE) refute();
+            if (a.linkStatus() != LinkStatus.FINE) refute();
             return;
         }
-        Peer p = peers.get(a.subject());
-        if (p == null || p.fact == null || a.life() != p.life()) return;
+        PeerState p = peers.get(a.subject());
+        if (p == null || p.fact == null || a.incarnation() != p.life()) return;
         Accusation before = p.accusation(a.watcher());
-        if (before != null && (before.watcherLife() > a.watcherLife()
-            || before.watcherLife() == a.watcherLife() && before.seq() >= a.seq())) return;
+        if (before != null && (before.watcherIncarnation() > a.watcherIncarnation()
+            || before.watcherIncarnation() == a.watcherIncarnation() && before.seq() >= a.seq())) return;
         take(a, p, now);
     }
 
     private void refute() {
-        count.add(Counts.Move.REFUTED);
+        counters.add(FleetCounters.Event.REFUTED);
         health = Math.min(MOST_HEALTH, health + 1);
-        rumours.tell(new Refutal(name, life, ++refutals));
+        rumours.tell(new Refutation(name, incarnation, ++refutals));
     }
 
-    private void refutal(Refutal r, double now) {
-        Peer p = peers.get(r.name());
-        if (p == null || p.fact == null || r.name().equals(name) || r.life() != p.life()) return;
-        if (p.refutal != null && p.refutal.life() == r.life() && p.refutal.count() >= r.count()) return;
+    private void refutal(Refutation r, double now) {
+        PeerState p = peers.get(r.name());
+        if (p == null || p.fact == null || r.name().equals(name) || r.incarnation() != p.life()) return;
+        if (p.refutal != null && p.refutal.incarnation() == r.incarnation() && p.refutal.count() >= r.count()) return;
         p.refutal = r;
         p.refutedAt = now;
         rumours.tell(r);
     }
 
-    private void candidate(Fact f, double now) {
+    private void candidate(MemberRecord f, double now) {
         if (f.name().equals(name)) {
             fits(f, now);
             return;
         }
-        Peer p = peer(f.name());
+        PeerState p = peer(f.name());
         if (p.fact != null && !f.over(p.fact) || p.candidate != null && !f.over(p.candidate)) return;
         p.candidate = f;
         candidates.add(f.name());
         rumours.tell(new Candidate(f));
-        Watch w = watches.get(f.name());
+        LinkMonitor w = watches.get(f.name());
         if (w != null) w.silentRounds = 0;
     }
 
     // ---- judging ----
 
-    private Peer peer(String of) {
-        return peers.computeIfAbsent(of, k -> new Peer());
+    private PeerState peer(String of) {
+        return peers.computeIfAbsent(of, k -> new PeerState());
     }
 
     private void judgeAll(double now) {
         accused.removeIf(n -> {
-            Peer p = peers.get(n);
+            PeerState p = peers.get(n);
             int place = view.place(n);
             if (p == null || place < 0) return true;
             judge(n, p, place, now);
-            return p.judged == Judged.FINE && p.accusing == 0;
+            return p.judged == MemberHealth.FINE && p.accusing == 0;
         });
     }
 
     /** By the word of its watchers; beyond LOW of them a watcher that is doubtful itself counts as one, too. */
-    private void judge(String of, Peer p, int place, double now) {
+    private void judge(String of, PeerState p, int place, double now) {
         int[] by = view.watchers(place);
         int said = 0, refusals = 0, beside = 0;
         for (int w : by) {
-            Fact watcher = view.member(w);
+            MemberRecord watcher = view.member(w);
             Accusation a = p.accusation(watcher.name());
-            Peer wp = peers.get(watcher.name());
-            boolean counts = a != null && a.edge() != Edge.FINE && a.life() == p.life()
+            PeerState wp = peers.get(watcher.name());
+            boolean counts = a != null && a.linkStatus() != LinkStatus.FINE && a.incarnation() == p.life()
                 && now - p.saidAt(watcher.name()) < SAID_HOLDS
-                && (a.watcherLife() == wp.life() || a.watcherLife() == watcher.incarnation());
+                && (a.watcherIncarnation() == wp.life() || a.watcherIncarnation() == watcher.incarnation());
             // The word of one that is silent itself is not news any more: it may never be taken back.
-            boolean silent = wp.judged == Judged.SILENT;
+            boolean silent = wp.judged == MemberHealth.SILENT;
             if (counts && !silent) said++;
-            if (counts && !silent && a.edge() == Edge.REFUSED) refusals++;
-            if (silent || !counts && wp.judged == Judged.UNSTABLE) beside++;
+            if (counts && !silent && a.linkStatus() == LinkStatus.REFUSED) refusals++;
+            if (silent || !counts && wp.judged == MemberHealth.UNSTABLE) beside++;
         }
         int low = pace.low(by.length), high = pace.high(by.length);
         int accusing = said >= low ? said + beside : said;
-        Judged next = p.judged.next(accusing, low, high);
+        MemberHealth next = p.judged.next(accusing, low, high);
         p.accusing = accusing;
         p.refusals = refusals + (said >= low ? beside : 0);
         p.confirming = accusing - high;
         if (next == p.judged) return;
-        count.moved(p.judged, next);
+        counters.moved(p.judged, next);
         news.judged(of, p.judged, next, accusing);
-        if (next == Judged.SILENT) p.silentSince = now;
-        if (next == Judged.UNSTABLE) p.unstableSince = now;
+        if (next == MemberHealth.SILENT) p.silentSince = now;
+        if (next == MemberHealth.UNSTABLE) p.unstableSince = now;
         p.judged = next;
     }
 
     /** It has answered this very director lately: whatever others say, there is a way to it and back. */
     private boolean answersHere(String of, double now) {
-        Watch w = watches.get(of);
-        return w != null && now - w.roundTrip < pace.doubts() * pace.period();
+        LinkMonitor w = watches.get(of);
+        return w != null && now - w.roundTrip < pace.suspicionRounds() * pace.probePeriodMs();
     }
 
     /** Silent for long enough, or this share of it, without a word of its own: it may be put out. */
-    private boolean ripe(Peer p, int watchers, double share, double now) {
-        if (p.judged != Judged.SILENT) return false;
+    private boolean ripe(PeerState p, int watchers, double share, double now) {
+        if (p.judged != MemberHealth.SILENT) return false;
         double since = now - Math.max(p.silentSince, p.refutedAt);
-        if (p.refusals >= pace.high(watchers)) return since >= pace.settle();
+        if (p.refusals >= pace.high(watchers)) return since >= pace.proposalDelayMs();
         int high = pace.high(watchers);
         return since >= share * pace.silentFor(view.size(), p.confirming, watchers - high);
     }
 
     private void seeWhetherApart(double now) {
         int works = 0, silent = 0;
-        double lately = 3 * pace.period() * (1 + health / 4.0);
-        for (Watch w : watches.values()) if (now - w.roundTrip < lately) works++;
-        for (String n : accused) if (peers.get(n).judged == Judged.SILENT) silent++;
+        double lately = 3 * pace.probePeriodMs() * (1 + health / 4.0);
+        for (LinkMonitor w : watches.values()) if (now - w.roundTrip < lately) works++;
+        for (String n : accused) if (peers.get(n).judged == MemberHealth.SILENT) silent++;
         boolean is = view.size() > 1 && phase != Phase.OUT && (2 * works < watches.size() || 2 * silent >= view.size());
         if (is == apart) return;
         apart = is;
         // What it could not hear while it was apart, others may have heard: silence counts from now.
         if (!is) for (String n : accused) peers.get(n).silentSince = now;
-        count.add(is ? Counts.Move.APART : Counts.Move.TOGETHER);
-        news.view(view, apart, Cause.APART);
+        counters.add(is ? FleetCounters.Event.APART : FleetCounters.Event.TOGETHER);
+        news.view(view, apart, ViewCause.APART);
     }
 
     // ---- changes of view ----
@@ -702,20 +702,20 @@
         BitSet gone = new BitSet();
         boolean unstable = false;
         for (String n : accused) {
-            Peer p = peers.get(n);
+            PeerState p = peers.get(n);
             int place = view.place(n);
             if (place < 0) continue;
             if (!answersHere(n, now) && ripe(p, view.watchers(place).length, 1, now)) gone.set(place);
-            unstable |= p.judged == Judged.UNSTABLE && now - p.unstableSince < UNSTABLE_HOLDS_UP;
+            unstable |= p.judged == MemberHealth.UNSTABLE && now - p.unstableSince < UNSTABLE_HOLDS_UP;
         }
         List<Long> in = new ArrayList<>();
-        List<Fact> named = new ArrayList<>();
-        for (Map.Entry<String, Peer> e : waiting().entrySet()) {
-            Peer p = e.getValue();
+        List<MemberRecord> named = new ArrayList<>();
+        for (Map.Entry<String, PeerState> e : waiting().entrySet()) {
+            PeerState p = e.getValue();
             int place = view.place(e.getKey());
-            if (p.candidate.standing() == Fact.Standing.LEFT) {
+            if (p.candidate.status() == MemberRecord.Status.LEFT) {
                 if (place >= 0) gone.set(place);
-            } else if (in.size() < MOST_IN_A_BATCH && now - p.outAt >= hold(p.candidate.turn()) / 2) {
+            } else if (in.size() < MOST_IN_A_BATCH && now - p.outAt >= hold(p.candidate.evictions()) / 2) {
                 in.add(p.candidate.mark());
                 named.add(p.candidate);
                 if (place >= 0) gone.clear(place);
@@ -729,22 +729,22 @@
         if (Double.isNaN(proposableSince)) {
             proposableSince = now;
             // Wider with each try that came to nothing: two whose turns fall together do not stay in step.
-            proposeJitter = chance.nextDouble() * pace.period() * (1 << Math.min(tries, MOST_DOUBLINGS));
+            proposeJitter = chance.nextDouble() * pace.probePeriodMs() * (1 << Math.min(tries, MOST_DOUBLINGS));
         }
-        if (now - proposableSince < pace.settle() + turnToPropose() * 2 * pace.period() + proposeJitter) return;
+        if (now - proposableSince < pace.proposalDelayMs() + turnToPropose() * 2 * pace.probePeriodMs() + proposeJitter) return;
         proposableSince = Double.NaN;
         tries++;
-        count.add(Counts.Move.PROPOSED);
-        for (Fact f : named) rumours.tell(new Candidate(f));     // who does not know them can't agree
+        counters.add(FleetCounters.Event.PROPOSED);
+        for (MemberRecord f : named) rumours.tell(new Candidate(f));     // who does not know them can't agree
         proposal(new Proposal(view.digest, view.number, ballot.nextRound(), name, gone, List.copyOf(in), new BitSet()),
             now);
     }
 
     /** Candidates that stand over what the view has. */
-    private Map<String, Peer> waiting() {
-        Map<String, Peer> all = new TreeMap<>();
+    private Map<String, PeerState> waiting() {
+        Map<String, PeerState> all = new TreeMap<>();
         candidates.removeIf(n -> {
-            Peer p = peers.get(n);
+            PeerState p = peers.get(n);
             if (p == null || p.candidate == null) return true;
             if (p.candidate.over(p.fact)) {
                 all.put(n, p);
@@ -760,8 +760,8 @@
     private int turnToPropose() {
         long mine = View.mix(View.hash(name) ^ view.digest);
         int before = 0;
-        for (Fact f : view.members()) {
-            if (peers.get(f.name()).judged == Judged.SILENT) continue;
+        for (MemberRecord f : view.members()) {
+            if (peers.get(f.name()).judged == MemberHealth.SILENT) continue;
             if (Long.compareUnsigned(View.mix(View.hash(f.name()) ^ view.digest), mine) < 0) before++;
         }
         return Math.min(before, 30);
@@ -782,7 +782,7 @@
         int self = view.place(name);
         if (self >= 0 && ballot.mayVote(p) && agrees(p, now)) {
             voted = ballot.votes(p, self, now);
-            news.votes(p.base(), p.round());
+            news.votes(p.baseDigest(), p.round());
             rumours.tell(voted);
         }
         if (ballot.isCarried(voted)) apply(voted, now);
@@ -790,16 +790,16 @@
 
     private boolean agrees(Proposal p, double now) {
         if (now < steadyAt) return false;
-        if (!p.in().isEmpty()) {
+        if (!p.joining().isEmpty()) {
             Set<Long> known = new HashSet<>();
-            for (Peer w : waiting().values()) known.add(w.candidate.mark());
-            if (!known.containsAll(p.in())) return false;
+            for (PeerState w : waiting().values()) known.add(w.candidate.mark());
+            if (!known.containsAll(p.joining())) return false;
         }
-        for (int i = p.out().nextSetBit(0); i >= 0; i = p.out().nextSetBit(i + 1)) {
+        for (int i = p.leaving().nextSetBit(0); i >= 0; i = p.leaving().nextSetBit(i + 1)) {
             if (i >= view.size()) return false;
             String n = view.member(i).name();
-            Peer s = peers.get(n);
-            boolean left = s.candidate != null && s.candidate.standing() == Fact.Standing.LEFT;
+            PeerState s = peers.get(n);
+            boolean left = s.candidate != null && s.candidate.status() == MemberRecord.Status.LEFT;
             // By its own books, a little sooner than it would propose it itself.
             if (n.equals(name)) return false;
             if (!left && (answersHere(n, now) || !ripe(s, view.watchers(i).length, AGREES_AT, now))) return false;
@@ -808,27 +808,27 @@
     }
 
     private void apply(Proposal p, double now) {
-        Map<Long, Peer> byMark = new HashMap<>();
-        for (Peer w : waiting().values()) byMark.put(w.candidate.mark(), w);
-        if (!byMark.keySet().containsAll(p.in())) return;       // not all is known here yet: it comes, or is asked for
-        for (int i = p.out().nextSetBit(0); i >= 0; i = p.out().nextSetBit(i + 1)) {
-            Fact f = view.member(i);
-            Peer s = peers.get(f.name());
-            boolean left = s.candidate != null && s.candidate.standing() == Fact.Standing.LEFT;
-            s.fact = left ? s.candidate : f.with(Fact.Standing.OUT, f.turn() + 1);
+        Map<Long, PeerState> byMark = new HashMap<>();
+        for (PeerState w : waiting().values()) byMark.put(w.candidate.mark(), w);
+        if (!byMark.keySet().containsAll(p.joining())) return;       // not all is known here yet: it comes, or is asked for
+        for (int i = p.leaving().nextSetBit(0); i >= 0; i = p.leaving().nextSetBit(i + 1)) {
+            MemberRecord f = view.member(i);
+            PeerState s = peers.get(f.name());
+            boolean left = s.candidate != null && s.candidate.status() == MemberRecord.Status.LEFT;
+            s.fact = left ? s.candidate : f.with(MemberRecord.Status.OUT, f.evictions() + 1);
             s.ended = left || s.refusals >= pace.high(view.watchers(i).length);
             s.outAt = now;
         }
-        for (long mark : p.in()) {
-            Peer s = byMark.get(mark);
-            s.fact = Fact.merge(s.fact, s.candidate);
+        for (long mark : p.joining()) {
+            PeerState s = byMark.get(mark);
+            s.fact = MemberRecord.merge(s.fact, s.candidate);
             s.ended = false;
         }
-        count.add(Counts.Move.VIEW);
-        adopt(viewOf(Math.max(p.number(), view.number) + 1), Cause.VOTED, now);
+        counters.add(FleetCounters.Event.VIEW);
+        adopt(viewOf(Math.max(p.baseNumber(), view.number) + 1), ViewCause.VOTED, now);
     }
 
-    private void adopt(View anew, Cause cause, double now) {
+    private void adopt(View anew, ViewCause cause, double now) {
         View before = view;
         view = shared.apply(anew);
         ballot = new Ballot(view);
@@ -840,15 +840,15 @@
             peers.get(n).nobodyAccuses();
             accused.remove(n);
         }
-        Fact self = view.of(name);
-        boolean in = self != null && self.incarnation() == life;
-        Fact own = peer(name).fact;
+        MemberRecord self = view.of(name);
+        boolean in = self != null && self.incarnation() == incarnation;
+        MemberRecord own = peer(name).fact;
         if (in) become(Phase.IN);
-        else if (own != null && !own.in() && own.incarnation() == life) {
+        else if (own != null && !own.in() && own.incarnation() == incarnation) {
             outSteadySince = Double.NaN;
             become(Phase.OUT);
         } else if (phase != Phase.OUT) {
-            if (peer(name).candidate == null || peer(name).candidate.incarnation() != life) candidate(own());
+            if (peer(name).candidate == null || peer(name).candidate.incarnation() != incarnation) candidate(own());
             become(Phase.JOINING);
         }
         rewatch(now);
@@ -856,15 +856,15 @@
     }
 
     private void rewatch(double now) {
-        Map<String, Watch> old = new HashMap<>(watches);
+        Map<String, LinkMonitor> old = new HashMap<>(watches);
         watches.clear();
         int self = view.place(name);
         if (self < 0) return;
         for (int s : view.watched(self)) {
             String n = view.member(s).name();
-            Watch w = old.get(n);
+            LinkMonitor w = old.get(n);
             if (w == null) {
-                w = new Watch(n);
+                w = new LinkMonitor(n);
                 w.roundTrip = now;                       // it begins with a round of grace
             }
             watches.put(n, w);
@@ -875,25 +875,25 @@
     private void forget(double now) {
         if (chance.nextInt(64) != 0) return;
         peers.entrySet().removeIf(e -> {
-            Peer p = e.getValue();
+            PeerState p = e.getValue();
             if (view.has(e.getKey()) || e.getKey().equals(name)) return false;
             if (p.knownAt == 0) p.knownAt = now;
-            return now - Math.max(p.knownAt, p.outAt) > pace.forget();
+            return now - Math.max(p.knownAt, p.outAt) > pace.forgetAfterMs();
         });
     }
 
     // ---- sending ----
 
-    private Message message(Kind k, String to, int number, String about, boolean heard, List<Fact> state) {
+    private Message message(Kind k, String to, int number, String about, boolean heard, List<MemberRecord> state) {
         int times = 3 + (int) (3 * Math.log(1 + view.size()));
-        List<Item> items = k == Kind.STATE || k == Kind.WANT || k == Kind.WHO || k == Kind.HERE ? List.of()
+        List<GossipItem> items = k == Kind.VIEW || k == Kind.VIEW_REQUEST || k == Kind.NAME_QUERY || k == Kind.NAME_REPLY ? List.of()
             : rumours.some(times);
         if (phase == Phase.JOINING && k == Kind.JOIN) {
-            List<Item> all = new ArrayList<>(items);
+            List<GossipItem> all = new ArrayList<>(items);
             all.add(new Candidate(own()));
             items = all;
         }
-        return new Message(k, name, life, host, port, to, number, about, heard, view.number, view.digest, items, state);
+        return new Message(k, name, incarnation, host, port, to, number, about, heard, view.number, view.digest, items, state);
     }
 
     private void send(String toHost, int toPort, Kind k, String to, int number, String about, boolean heard) {
@@ -910,52 +910,52 @@
      * How many names took part and can no longer: they said so, or their watchers found nobody at their port. Who is
      * merely silent may be cut off, and go on.
      */
-    public int ended() {
+    public int endedCount() {
         int n = 0;
-        for (Peer p : peers.values()) if (p.ended && p.fact != null && !p.fact.in() && p.candidate == null) n++;
+        for (PeerState p : peers.values()) if (p.ended && p.fact != null && !p.fact.in() && p.candidate == null) n++;
         return n;
     }
 
     /** It takes part, sees most of the fleet, and is not late: what the others decide reaches it. */
-    public boolean sure(double now) {
-        boolean hears = view.size() == 1 || now - lastAnswer < 3 * pace.period();
+    public boolean isUpToDate(double now) {
+        boolean hears = view.size() == 1 || now - lastAnswer < 3 * pace.probePeriodMs();
         return phase == Phase.IN && !apart && now >= steadyAt && Double.isNaN(mismatchSince) && hears;
     }
 
     /** Where a name is reached, or was last; null where it is not known. */
-    public Address reached(String of) {
-        Peer p = peers.get(of);
+    public Address addressOf(String of) {
+        PeerState p = peers.get(of);
         if (p == null || p.fact == null && p.candidate == null) return null;
-        Fact f = p.latest();
+        MemberRecord f = p.latest();
         return new Address(f.host(), f.port());
     }
 
     /** Where each name of the view is reached, for the next start. */
     public List<Address> addresses() {
         List<Address> all = new ArrayList<>();
-        for (Fact f : view.members()) if (!f.name().equals(name)) all.add(new Address(f.host(), f.port()));
+        for (MemberRecord f : view.members()) if (!f.name().equals(name)) all.add(new Address(f.host(), f.port()));
         return all;
     }
 
     /** One line for each edge and each watcher's word about a name. */
     public List<String> explain(String of, double now) {
         List<String> all = new ArrayList<>();
-        Peer p = peers.get(of);
+        PeerState p = peers.get(of);
         if (p == null || p.fact == null) return all;
-        Fact f = p.latest();
-        all.add(of + " is " + p.fact.standing() + " in life " + f.incarnation() + " at " + f.host() + ":" + f.port()
-            + ", judged " + p.judged + " by " + p.accusing + " of its watchers, taken out " + p.fact.turn() + " times");
+        MemberRecord f = p.latest();
+        all.add(of + " is " + p.fact.status() + " in life " + f.incarnation() + " at " + f.host() + ":" + f.port()
+            + ", judged " + p.judged + " by " + p.accusing + " of its watchers, taken out " + p.fact.evictions() + " times");
         int place = view.place(of);
         if (place >= 0) for (int w : view.watchers(place)) {
             String n = view.member(w).name();
             Accusation a = p.accusation(n);
-            all.add("watched by " + n + ": " + (a == null ? Edge.FINE : a.edge())
-                + (peers.get(n).judged == Judged.FINE ? "" : ", which is " + peers.get(n).judged + " itself"));
+            all.add("watched by " + n + ": " + (a == null ? LinkStatus.FINE : a.linkStatus())
+                + (peers.get(n).judged == MemberHealth.FINE ? "" : ", which is " + peers.get(n).judged + " itself"));
         }
-        Watch own = watches.get(of);
-        if (own != null) all.add("watched from here: " + own.way(now, 4 * pace.period()) + ", " + own.silentRounds
+        LinkMonitor own = watches.get(of);
+        if (own != null) all.add("watched from here: " + own.way(now, 4 * pace.probePeriodMs()) + ", " + own.silentRounds
             + " rounds without a word");
-        if (p.judged == Judged.SILENT) all.add("silent for " + Math.round(now - p.silentSince) + " ms"
+        if (p.judged == MemberHealth.SILENT) all.add("silent for " + Math.round(now - p.silentSince) + " ms"
             + (p.refutedAt > p.silentSince ? ", its own word " + Math.round(now - p.refutedAt) + " ms ago" : ""));
         return all;
     }
--- a/src/main/java/mothcross/fleet/Rumours.java
+++ b/src/main/java/mothcross/fleet/GossipQueue.java
@@ -10,15 +10,15 @@
  * What is passed on with messages, each item so many times: least told first, newest first among equals. Owns the
  * counts; bounded, and what is told often enough is forgotten.
  */
-final class Rumours {
+final class GossipQueue {
     private static final int MOST = 512, ROOM = 1000;
 
     private static final class Rumour {
-        final Item item;
+        final GossipItem item;
         final long order;
         int told;
 
-        Rumour(Item item, long order) {
+        Rumour(GossipItem item, long order) {
             this.item = item;
             this.order = order;
         }
@@ -29,7 +29,7 @@
     private boolean stale;
     private long orders;
 
-    void tell(Item item) {
+    void tell(GossipItem item) {
         all.put(item.key(), new Rumour(item, orders++));
         stale = true;
         if (all.size() <= MOST) return;
@@ -46,14 +46,14 @@
     }
 
     /** For one message: as many as fit; {@code times} is how often each is told in all. */
-    List<Item> some(int times) {
+    List<GossipItem> some(int times) {
         if (all.isEmpty()) return List.of();
         if (stale) {
             sorted = new ArrayList<>(all.values());
             stale = false;
         }
         sorted.sort(ORDER);
-        List<Item> out = new ArrayList<>();
+        List<GossipItem> out = new ArrayList<>();
         int room = ROOM;
         boolean over = false;
         for (Rumour r : sorted) {
--- a/src/main/java/mothcross/fleet/Parts.java
+++ b/src/main/java/mothcross/fleet/LimitShare.java
@@ -8,20 +8,20 @@
  * then, having heard of it or having heard nothing; one alone can't know who has it, and waits. Spans on the own clock
  * only. Owns no more than these times; must never grow by what it has not been told.
  */
-public final class Parts {
+public final class LimitShare {
     private final int fixed;
     private final double lease, spread;
     private double inSince = Double.NaN, sureAt = Double.NEGATIVE_INFINITY;
     private long life;
 
-    public Parts(int fixed, double lease, double spread) {
+    public LimitShare(int fixed, double lease, double spread) {
         this.fixed = fixed;
         this.lease = lease;
         this.spread = spread;
     }
 
     /** To be asked often; {@code in}: it takes part, in this life. */
-    public double times(double now, boolean in, long ofLife, boolean sure, int members, int ended) {
+    public double multiplier(double now, boolean in, long ofLife, boolean sure, int members, int ended) {
         if (in && 2 * members > fixed && (Double.isNaN(inSince) || ofLife != life)) {
             inSince = now;
             life = ofLife;
--- a/src/main/java/mothcross/fleet/Watch.java
+++ b/src/main/java/mothcross/fleet/LinkMonitor.java
@@ -4,7 +4,7 @@
  * One edge, from a watcher's side: what it has of the member that it asks each round. Owns when a question came back
  * whole, by which way, and what that shows of each direction; must never judge more than its own edge.
  */
-final class Watch {
+final class LinkMonitor {
     /** What is known of the two directions. */
     enum Way { BOTH, OUT_CUT, IN_CUT, UNCLEAR, NONE }
 
@@ -16,11 +16,11 @@
     double outWorked = Double.NEGATIVE_INFINITY;        // it had a question that we sent straight
     double outFailed = Double.NEGATIVE_INFINITY;        // it had not
     double inWorked = Double.NEGATIVE_INFINITY;         // anything came straight from it
-    Item.Edge told = Item.Edge.FINE;                    // what we have told the others
+    GossipItem.LinkStatus told = GossipItem.LinkStatus.FINE;                    // what we have told the others
     int seq;
     double toldAt, clearedAt = Double.NEGATIVE_INFINITY;
 
-    Watch(String name) {
+    LinkMonitor(String name) {
         this.name = name;
     }
 
@@ -42,10 +42,10 @@
         return should(doubts) != told;
     }
 
-    Item.Edge should(int doubts) {
+    GossipItem.LinkStatus should(int doubts) {
         // A port that nobody holds has no process behind it: two rounds of that are enough.
-        if (refusedLast && silentRounds >= 2) return Item.Edge.REFUSED;
-        return silentRounds >= doubts ? Item.Edge.SILENT : Item.Edge.FINE;
+        if (refusedLast && silentRounds >= 2) return GossipItem.LinkStatus.REFUSED;
+        return silentRounds >= doubts ? GossipItem.LinkStatus.SILENT : GossipItem.LinkStatus.FINE;
     }
 
     Way way(double now, double lately) {
--- a/src/main/java/mothcross/fleet/Judged.java
+++ b/src/main/java/mothcross/fleet/MemberHealth.java
@@ -12,10 +12,10 @@
  * Between the marks SILENT stays what it is, so one watcher that comes and goes moves nothing. Being out is no state of
  * it: that is the view's.
  */
-public enum Judged {
+public enum MemberHealth {
     FINE, DOUBTED, UNSTABLE, SILENT;
 
-    Judged next(int accusing, int low, int high) {
+    MemberHealth next(int accusing, int low, int high) {
         if (accusing >= high) return SILENT;
         if (accusing == 0) return FINE;
         if (accusing < low) return DOUBTED;
--- a/src/main/java/mothcross/fleet/Fact.java
+++ b/src/main/java/mothcross/fleet/MemberRecord.java
@@ -3,27 +3,27 @@
 /**
  * What is held of one director: in which life it takes part, where it is reached, whether it is in. Of two facts about
  * a name the higher incarnation stands, then what ends over what begins; so any order of hearing gives the same.
- * {@code turn} counts how often the name was taken out.
+ * {@code evictions} counts how often the name was taken out.
  */
-public record Fact(String name, long incarnation, String host, int port, Standing standing, int turn) {
+public record MemberRecord(String name, long incarnation, String host, int port, Status status, int evictions) {
     /** In this order one stands over another of the same incarnation. */
-    public enum Standing { IN, OUT, LEFT }
+    public enum Status { IN, OUT, LEFT }
 
-    boolean over(Fact other) {
+    boolean over(MemberRecord other) {
         if (other == null || incarnation != other.incarnation) return other == null || incarnation > other.incarnation;
-        return standing.compareTo(other.standing) > 0;
+        return status.compareTo(other.status) > 0;
     }
 
     /** The one that stands, with the higher count of turns. */
-    static Fact merge(Fact a, Fact b) {
+    static MemberRecord merge(MemberRecord a, MemberRecord b) {
         if (a == null || b == null) return a == null ? b : a;
-        Fact f = b.over(a) ? b : a;
-        int turn = Math.max(a.turn, b.turn);
-        return f.turn == turn ? f : f.with(f.standing, turn);
+        MemberRecord f = b.over(a) ? b : a;
+        int turn = Math.max(a.evictions, b.evictions);
+        return f.evictions == turn ? f : f.with(f.status, turn);
     }
 
-    Fact with(Standing s, int turns) {
-        return new Fact(name, incarnation, host, port, s, turns);
+    MemberRecord with(Status s, int turns) {
+        return new MemberRecord(name, incarnation, host, port, s, turns);
     }
 
     /** What stands for this name in this life where only few bytes can be told. */
@@ -32,6 +32,6 @@
     }
 
     boolean in() {
-        return standing == Standing.IN;
+        return status == Status.IN;
     }
 }
--- a/src/main/java/mothcross/fleet/Peer.java
+++ b/src/main/java/mothcross/fleet/PeerState.java
@@ -4,29 +4,29 @@
 import java.util.Map;
 
 /** All that one director holds of another name, apart from its own edge to it. */
-final class Peer {
-    Fact fact;                                          // what the view, or what came after it, has of it
-    Fact candidate;                                     // stands over it, and is no part of the view yet
+final class PeerState {
+    MemberRecord fact;                                          // what the view, or what came after it, has of it
+    MemberRecord candidate;                                     // stands over it, and is no part of the view yet
     /** The newest word of a watcher, and when it came. */
     private static final class Said {
-        final Item.Accusation what;
+        final GossipItem.Accusation what;
         double at;
 
-        Said(Item.Accusation what, double at) {
+        Said(GossipItem.Accusation what, double at) {
             this.what = what;
             this.at = at;
         }
     }
 
     private Map<String, Said> accusations;              // by watcher
-    Judged judged = Judged.FINE;
+    MemberHealth judged = MemberHealth.FINE;
     double silentSince, unstableSince, outAt = Double.NEGATIVE_INFINITY, knownAt;
     int refusals, accusing, confirming;
     boolean ended;                                      // out, and it can't be running: it said so, or its port is free
-    Item.Refutal refutal;
+    GossipItem.Refutation refutal;
     double refutedAt = Double.NEGATIVE_INFINITY;
 
-    Item.Accusation accusation(String watcher) {
+    GossipItem.Accusation accusation(String watcher) {
         Said s = accusations == null ? null : accusations.get(watcher);
         return s == null ? null : s.what;
     }
@@ -35,14 +35,14 @@
         return accusations.get(watcher).at;
     }
 
-    void accuse(Item.Accusation a, double now) {
+    void accuse(GossipItem.Accusation a, double now) {
         if (accusations == null) accusations = new HashMap<>(4);
         accusations.put(a.watcher(), new Said(a, now));
     }
 
     void nobodyAccuses() {
         accusations = null;
-        judged = Judged.FINE;
+        judged = MemberHealth.FINE;
         accusing = refusals = 0;
     }
 
@@ -58,7 +58,7 @@
     }
 
     /** Where it is reached in its latest life. */
-    Fact latest() {
+    MemberRecord latest() {
         return candidate != null && candidate.over(fact) ? candidate : fact;
     }
 }
--- a/src/main/java/mothcross/fleet/View.java
+++ b/src/main/java/mothcross/fleet/View.java
@@ -15,19 +15,19 @@
  */
 public final class View {
     public final long number, digest;
-    private final List<Fact> members;                   // by name
+    private final List<MemberRecord> members;                   // by name
     private final Map<String, Integer> at = new HashMap<>();
     private final int rings;
     private int[][] watchers, watched;                  // made when first asked for: many views are only compared
 
-    View(long number, Collection<Fact> in, int rings) {
+    View(long number, Collection<MemberRecord> in, int rings) {
         this.number = number;
-        List<Fact> sorted = new ArrayList<>(in);
-        sorted.sort(Comparator.comparing(Fact::name));
+        List<MemberRecord> sorted = new ArrayList<>(in);
+        sorted.sort(Comparator.comparing(MemberRecord::name));
         members = List.copyOf(sorted);
         long d = 0;
         for (int i = 0; i < members.size(); i++) {
-            Fact f = members.get(i);
+            MemberRecord f = members.get(i);
             at.put(f.name(), i);
             d = mix(d ^ mix(hash(f.name()) + f.incarnation()));
         }
@@ -36,7 +36,7 @@
     }
 
     /** For those outside who compare. */
-    public static View of(long number, Collection<Fact> in, int rings) {
+    public static View of(long number, Collection<MemberRecord> in, int rings) {
         return new View(number, in, rings);
     }
 
@@ -98,11 +98,11 @@
         return members.size();
     }
 
-    public List<Fact> members() {
+    public List<MemberRecord> members() {
         return members;
     }
 
-    Fact member(int i) {
+    MemberRecord member(int i) {
         return members.get(i);
     }
 
@@ -116,7 +116,7 @@
         return at.containsKey(name);
     }
 
-    public Fact of(String name) {
+    public MemberRecord of(String name) {
         Integer i = at.get(name);
         return i == null ? null : members.get(i);
     }
--- a/src/main/java/mothcross/fleet/net/Wire.java
+++ b/src/main/java/mothcross/fleet/net/FleetMessageCodec.java
@@ -17,8 +17,8 @@
 import java.util.Map;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import mothcross.fleet.Fact;
-import mothcross.fleet.Item;
+import mothcross.fleet.GossipItem;
+import mothcross.fleet.MemberRecord;
 import mothcross.fleet.Message;
 
 /**
@@ -31,15 +31,15 @@
  * grows with each message of a life, and none is taken twice. Owns the keys and the windows; what does not fit is
  * counted by its reason and never answered. Used by one thread at a time.
  */
-public final class Wire {
+public final class FleetMessageCodec {
     public enum Dropped { SHORT, LONG, VERSION, LENGTH, KEY, CHECKSUM, FLEET, REPLAYED, MALFORMED }
 
     /** At most so many bytes in a datagram; a whole view goes by a stream. */
     static final int DATAGRAM = 1400, STREAM = 4 << 20;
     private static final int CHECKSUM = 16, VERSION = 2, MOST_SENDERS = 4096, LEAST = 64;
     private static final Message.Kind[] KINDS = Message.Kind.values();
-    private static final Fact.Standing[] STANDINGS = Fact.Standing.values();
-    private static final Item.Edge[] EDGES = Item.Edge.values();
+    private static final MemberRecord.Status[] STANDINGS = MemberRecord.Status.values();
+    private static final GossipItem.LinkStatus[] EDGES = GossipItem.LinkStatus.values();
 
     /** A key of the operators; the first given signs, any of them is taken. */
     public record Key(int id, byte[] secret) { }
@@ -77,7 +77,7 @@
     private long count;
     public final long[] dropped = new long[Dropped.values().length];
 
-    public Wire(String fleet, List<Key> keys) {
+    public FleetMessageCodec(String fleet, List<Key> keys) {
         this.fleet = fleet;
         this.signs = keys.get(0).id;
         try {
@@ -98,7 +98,7 @@
 
     // ---- out ----
 
-    public byte[] bytes(Message m) {
+    public byte[] encode(Message m) {
         ByteArrayOutputStream all = new ByteArrayOutputStream(256);
         try (DataOutputStream out = new DataOutputStream(all)) {
             out.writeByte(VERSION);
@@ -108,19 +108,19 @@
             out.writeLong(++count);
             out.writeByte(m.kind().ordinal());
             text(out, m.from());
-            out.writeLong(m.life());
+            out.writeLong(m.incarnation());
             text(out, m.host());
             out.writeShort(m.port());
             text(out, m.to());
             out.writeInt(m.seq());
-            text(out, m.about());
-            out.writeBoolean(m.heard());
-            out.writeLong(m.number());
-            out.writeLong(m.digest());
+            text(out, m.subject());
+            out.writeBoolean(m.pingReceived());
+            out.writeLong(m.viewNumber());
+            out.writeLong(m.viewDigest());
             out.writeShort(m.items().size());
-            for (Item i : m.items()) item(out, i);
-            out.writeInt(m.state() == null ? -1 : m.state().size());
-            if (m.state() != null) for (Fact f : m.state()) fact(out, f);
+            for (GossipItem i : m.items()) item(out, i);
+            out.writeInt(m.viewMembers() == null ? -1 : m.viewMembers().size());
+            if (m.viewMembers() != null) for (MemberRecord f : m.viewMembers()) fact(out, f);
             out.writeInt(m.body().length);
             out.write(m.body());
         } catch (IOException e) {
@@ -140,13 +140,13 @@
         out.write(b, 0, Math.min(255, b.length));
     }
 
-    private static void fact(DataOutputStream out, Fact f) throws IOException {
+    private static void fact(DataOutputStream out, MemberRecord f) throws IOException {
         text(out, f.name());
         out.writeLong(f.incarnation());
         text(out, f.host());
         out.writeShort(f.port());
-        out.writeByte(f.standing().ordinal());
-        out.writeShort(f.turn());
+        out.writeByte(f.status().ordinal());
+        out.writeShort(f.evictions());
     }
 
     private static void bits(DataOutputStream out, BitSet b) throws IOException {
@@ -155,32 +155,32 @@
         out.write(bytes);
     }
 
-    private static void item(DataOutputStream out, Item i) throws IOException {
-        if (i instanceof Item.Accusation a) {
+    private static void item(DataOutputStream out, GossipItem i) throws IOException {
+        if (i instanceof GossipItem.Accusation a) {
             out.writeByte(1);
             text(out, a.watcher());
-            out.writeLong(a.watcherLife());
+            out.writeLong(a.watcherIncarnation());
             text(out, a.subject());
-            out.writeLong(a.life());
+            out.writeLong(a.incarnation());
             out.writeInt(a.seq());
-            out.writeByte(a.edge().ordinal());
-        } else if (i instanceof Item.Refutal r) {
+            out.writeByte(a.linkStatus().ordinal());
+        } else if (i instanceof GossipItem.Refutation r) {
             out.writeByte(2);
             text(out, r.name());
-            out.writeLong(r.life());
+            out.writeLong(r.incarnation());
             out.writeInt(r.count());
-        } else if (i instanceof Item.Candidate c) {
+        } else if (i instanceof GossipItem.Candidate c) {
             out.writeByte(3);
-            fact(out, c.fact());
-        } else if (i instanceof Item.Proposal p) {
+            fact(out, c.member());
+        } else if (i instanceof GossipItem.Proposal p) {
             out.writeByte(4);
-            out.writeLong(p.base());
-            out.writeLong(p.number());
+            out.writeLong(p.baseDigest());
+            out.writeLong(p.baseNumber());
             out.writeInt(p.round());
-            text(out, p.maker());
-            bits(out, p.out());
-            out.writeByte(p.in().size());
-            for (long m : p.in()) out.writeLong(m);
+            text(out, p.proposer());
+            bits(out, p.leaving());
+            out.writeByte(p.joining().size());
+            for (long m : p.joining()) out.writeLong(m);
             bits(out, p.votes());
         }
     }
@@ -188,7 +188,7 @@
     // ---- in ----
 
     /** The message, or null where it does not fit; then the reason is counted. */
-    public Message message(byte[] bytes, int length, boolean stream) {
+    public Message decode(byte[] bytes, int length, boolean stream) {
         if (length < LEAST) return drop(Dropped.SHORT);
         if (length > (stream ? STREAM : DATAGRAM)) return drop(Dropped.LONG);
         ByteBuffer in = ByteBuffer.wrap(bytes, 0, length);
@@ -205,10 +205,10 @@
         try {
             if (!text(in).equals(fleet)) return drop(Dropped.FLEET);
             long number = in.getLong();
-            Message m = message(in);
+            Message m = decode(in);
             if (in.hasRemaining()) return drop(Dropped.MALFORMED);
             // Of each life its own: whether an earlier one still counts is the member's to say.
-            Window w = windows.computeIfAbsent(m.from() + '@' + m.life(), k -> new Window());
+            Window w = windows.computeIfAbsent(m.from() + '@' + m.incarnation(), k -> new Window());
             return w.takes(number) ? m : drop(Dropped.REPLAYED);
         } catch (BufferUnderflowException | IllegalArgumentException | IndexOutOfBoundsException e) {
             return drop(Dropped.MALFORMED);
@@ -220,7 +220,7 @@
         return null;
     }
 
-    private static Message message(ByteBuffer in) {
+    private static Message decode(ByteBuffer in) {
         Message.Kind kind = KINDS[in.get()];
         String from = text(in);
         long life = in.getLong();
@@ -232,10 +232,10 @@
         boolean heard = in.get() != 0;
         long number = in.getLong(), digest = in.getLong();
         int n = in.getShort();
-        List<Item> items = new ArrayList<>();
+        List<GossipItem> items = new ArrayList<>();
         for (int i = 0; i < n; i++) items.add(item(in));
         int facts = in.getInt();
-        List<Fact> state = facts < 0 ? null : new ArrayList<>();
+        List<MemberRecord> state = facts < 0 ? null : new ArrayList<>();
         for (int i = 0; i < facts; i++) state.add(fact(in));
         int length = in.getInt();
         if (length < 0 || length > in.remaining()) throw new IllegalArgumentException("body");
@@ -253,8 +253,8 @@
         return new String(b, StandardCharsets.UTF_8);
     }
 
-    private static Fact fact(ByteBuffer in) {
-        return new Fact(text(in), in.getLong(), text(in), in.getShort() & 0xffff, STANDINGS[in.get()], in.getShort());
+    private static MemberRecord fact(ByteBuffer in) {
+        return new MemberRecord(text(in), in.getLong(), text(in), in.getShort() & 0xffff, STANDINGS[in.get()], in.getShort());
     }
 
     private static BitSet bits(ByteBuffer in) {
@@ -263,17 +263,17 @@
         return BitSet.valueOf(b);
     }
 
-    private static Item item(ByteBuffer in) {
+    private static GossipItem item(ByteBuffer in) {
         switch (in.get()) {
             case 1 -> {
-                return new Item.Accusation(text(in), in.getLong(), text(in), in.getLong(), in.getInt(),
+                return new GossipItem.Accusation(text(in), in.getLong(), text(in), in.getLong(), in.getInt(),
                     EDGES[in.get()]);
             }
             case 2 -> {
-                return new Item.Refutal(text(in), in.getLong(), in.getInt());
+                return new GossipItem.Refutation(text(in), in.getLong(), in.getInt());
             }
             case 3 -> {
-                return new Item.Candidate(fact(in));
+                return new GossipItem.Candidate(fact(in));
             }
             case 4 -> {
                 long base = in.getLong(), number = in.getLong();
@@ -282,7 +282,7 @@
                 BitSet gone = bits(in);
                 List<Long> marks = new ArrayList<>();
                 for (int i = in.get() & 0xff; i > 0; i--) marks.add(in.getLong());
-                return new Item.Proposal(base, number, round, maker, gone, marks, bits(in));
+                return new GossipItem.Proposal(base, number, round, maker, gone, marks, bits(in));
             }
             default -> throw new IllegalArgumentException("item");
         }
--- a/src/main/java/mothcross/fleet/net/FleetNode.java
+++ b/src/main/java/mothcross/fleet/net/FleetNode.java
@@ -19,12 +19,12 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.DoubleConsumer;
 import java.util.function.UnaryOperator;
-import mothcross.fleet.Fact;
-import mothcross.fleet.Judged;
-import mothcross.fleet.Member;
+import mothcross.fleet.FailureDetectorSettings;
+import mothcross.fleet.FleetMember;
+import mothcross.fleet.LimitShare;
+import mothcross.fleet.MemberHealth;
+import mothcross.fleet.MemberRecord;
 import mothcross.fleet.Message;
-import mothcross.fleet.Pace;
-import mothcross.fleet.Parts;
 import mothcross.fleet.View;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.service.IoHandlerAdapter;
@@ -42,27 +42,27 @@
  * sockets, the one thread that tells the member the time, and the lock that it runs under; must never decide anything,
  * look up a name, or answer what does not fit.
  */
-public final class FleetNode implements Member.News, AutoCloseable {
+public final class FleetNode implements FleetMember.MemberListener, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("mothcross.fleet");
     private static final int MOST_PEERS = 64, MOST_STREAMS = 64, STREAM_MS = 3000, KEEP_EVERY_MS = 10_000;
     private static final String FROM = "from", TO = "to", GOT = "got";
 
     /** Who has what is no member's: messages about the policy, and the operators' questions on it. */
-    public interface Beside {
-        void heard(String from, byte[] body);
+    public interface MessageHandler {
+        void onMessage(String from, byte[] body);
 
-        void refused(String host, int port);
+        void onConnectionRefused(String host, int port);
 
-        String asked(String what, byte[] body);
+        String onAdminRequest(String what, byte[] body);
     }
 
     private final String fleet, name;
-    private volatile Beside beside;
+    private volatile MessageHandler beside;
     private volatile List<String> inView = List.of();
-    private final Wire wire;
-    private final KeptFleet kept;
-    private final Member member;
-    private final Parts parts;
+    private final FleetMessageCodec wire;
+    private final FleetStateFile kept;
+    private final FleetMember member;
+    private final LimitShare parts;
     private final DoubleConsumer share;
     private final InetSocketAddress listen, relay;
     private final ReentrantLock lock = new ReentrantLock();
@@ -85,44 +85,44 @@
      * clock is off.
      */
     public FleetNode(String fleet, String name, InetSocketAddress listen, List<InetSocketAddress> seeds,
-                     List<Wire.Key> keys, java.nio.file.Path file, Pace pace, Parts parts, InetSocketAddress relay,
+                     List<FleetMessageCodec.Key> keys, java.nio.file.Path file, FailureDetectorSettings pace, LimitShare parts, InetSocketAddress relay,
                      long skewMs, DoubleConsumer share) {
         this.fleet = fleet;
         this.name = name;
         this.listen = listen;
         this.relay = relay;
-        this.wire = new Wire(fleet, keys);
+        this.wire = new FleetMessageCodec(fleet, keys);
         this.parts = parts;
         this.share = share;
-        this.kept = new KeptFleet(file, fleet, name);
+        this.kept = new FleetStateFile(file, fleet, name);
         StringBuilder why = new StringBuilder();
-        KeptFleet.Kept k = kept.read(why);
+        FleetStateFile.Kept k = kept.read(why);
         if (why.length() > 0) LOG.atWarn().addKeyValue("file", file).addKeyValue("why", why).log("fleet: not used");
         keptBefore = k == null ? List.of() : List.copyOf(k.addresses());
-        Set<Member.Address> contacts = new LinkedHashSet<>();
-        for (InetSocketAddress s : seeds) contacts.add(new Member.Address(s.getHostString(), s.getPort()));
+        Set<FleetMember.Address> contacts = new LinkedHashSet<>();
+        for (InetSocketAddress s : seeds) contacts.add(new FleetMember.Address(s.getHostString(), s.getPort()));
         if (k != null) for (String a : k.addresses()) {
             int colon = a.lastIndexOf(':');
-            contacts.add(new Member.Address(a.substring(0, colon), Integer.parseInt(a.substring(colon + 1))));
+            contacts.add(new FleetMember.Address(a.substring(0, colon), Integer.parseInt(a.substring(colon + 1))));
         }
         // Higher than what was kept, and, where nothing was, than any drawn before by a clock that goes on.
         long life = Math.max(k == null ? 0 : k.life() + 1, System.currentTimeMillis() + skewMs);
         firstLife = life;
-        member = new Member(name, life, listen.getHostString(), listen.getPort(), contacts, pace,
+        member = new FleetMember(name, life, listen.getHostString(), listen.getPort(), contacts, pace,
             new SplittableRandom(), this, UnaryOperator.identity());
     }
 
     /** To be set before it begins. */
-    public void beside(Beside b) {
+    public void attach(MessageHandler b) {
         beside = b;
     }
 
     /** The life that this process began with: higher than any before by its name, as far as is known. */
-    public long firstLife() {
+    public long initialIncarnation() {
         return firstLife;
     }
 
-    public void begin() throws IOException {
+    public void start() throws IOException {
         keep();
         in.setHandler(new Datagrams());
         in.getSessionConfig().setReceiveBufferSize(1 << 20);
@@ -155,7 +155,7 @@
                 now = now();
                 part(now);
                 if (now - keptAt > KEEP_EVERY_MS && member.view() != keptView) keep();
-                double wait = Math.max(0.5, Math.min(100, member.next() - now));
+                double wait = Math.max(0.5, Math.min(100, member.nextTickAt() - now));
                 sooner.awaitNanos((long) (wait * 1e6));
             }
         } catch (InterruptedException e) {
@@ -168,12 +168,12 @@
     }
 
     private void part(double now) {
-        double t = parts.times(now, member.phase() == Member.Phase.IN, member.life(), member.sure(now),
-            member.view().size(), member.ended());
+        double t = parts.multiplier(now, member.phase() == FleetMember.Phase.IN, member.incarnation(), member.isUpToDate(now),
+            member.view().size(), member.endedCount());
         if (t == times) return;
         times = t;
         LOG.atInfo().addKeyValue("times", t).addKeyValue("members", member.view().size()).addKeyValue("ended",
-            member.ended()).log("fleet: part of the limits");
+            member.endedCount()).log("fleet: part of the limits");
         share.accept(t);
     }
 
@@ -181,10 +181,10 @@
         keptAt = now();
         keptView = member.view();
         List<String> all = new ArrayList<>();
-        if (keptView != null) for (Member.Address a : member.addresses()) all.add(a.host() + ":" + a.port());
+        if (keptView != null) for (FleetMember.Address a : member.addresses()) all.add(a.host() + ":" + a.port());
         if (all.isEmpty()) all.addAll(keptBefore);      // one alone still knows whom it knew
         try {
-            kept.write(member.life(), all);
+            kept.write(member.incarnation(), all);
         } catch (IOException e) {
             LOG.atWarn().addKeyValue("why", e).log("fleet: can't be kept for the next start");
         }
@@ -194,10 +194,10 @@
 
     private void sendAll(List<Message.Send> all) {
         for (Message.Send s : all) {
-            byte[] b = wire.bytes(s.message());
+            byte[] b = wire.encode(s.message());
             InetSocketAddress to = new InetSocketAddress(address(s.host()), s.port());
-            if (s.message().kind() == Message.Kind.STATE) stream(to, b);
-            else if (b.length <= Wire.DATAGRAM) datagram(to, b);
+            if (s.message().kind() == Message.Kind.VIEW) stream(to, b);
+            else if (b.length <= FleetMessageCodec.DATAGRAM) datagram(to, b);
             else unsendable++;
         }
     }
@@ -249,15 +249,15 @@
     public void send(String to, byte[] body) {
         lock.lock();
         try {
-            Member.Address at = stopped ? null : member.reached(to);
+            FleetMember.Address at = stopped ? null : member.addressOf(to);
             if (at == null) {
                 unsendable++;
                 return;
             }
-            byte[] b = wire.bytes(new Message(Message.Kind.POLICY, name, firstLife, listen.getHostString(),
+            byte[] b = wire.encode(new Message(Message.Kind.POLICY, name, firstLife, listen.getHostString(),
                 listen.getPort(), to, 0, "", false, 0, 0, List.of(), null, body));
             InetSocketAddress there = new InetSocketAddress(address(at.host()), at.port());
-            if (b.length <= Wire.DATAGRAM) datagram(there, b);
+            if (b.length <= FleetMessageCodec.DATAGRAM) datagram(there, b);
             else stream(there, b);
         } finally {
             lock.unlock();
@@ -265,7 +265,7 @@
     }
 
     private void stream(InetSocketAddress to, byte[] b) {
-        if (b.length > Wire.STREAM || streams.size() >= MOST_STREAMS) {
+        if (b.length > FleetMessageCodec.STREAM || streams.size() >= MOST_STREAMS) {
             unsendable++;
             return;
         }
@@ -283,15 +283,15 @@
         Message others = null;
         lock.lock();
         try {
-            Message m = wire.message(b, length, byStream);
+            Message m = wire.decode(b, length, byStream);
             if (m == null || stopped) return;
-            boolean asksBeside = m.kind() == Message.Kind.ADMIN && m.about().startsWith("policy ");
+            boolean asksBeside = m.kind() == Message.Kind.ADMIN && m.subject().startsWith("policy ");
             if (m.kind() == Message.Kind.POLICY && m.to().equals(name) || asksBeside) {
                 others = m;
             } else if (m.kind() == Message.Kind.ADMIN) {
                 if (byStream) answer(m, answers);
             } else {
-                sendAll(member.heard(now(), m));
+                sendAll(member.onMessage(now(), m));
                 sooner.signal();
             }
         } catch (RuntimeException e) {
@@ -299,10 +299,10 @@
         } finally {
             lock.unlock();
         }
-        Beside there = beside;
+        MessageHandler there = beside;
         if (others == null || there == null) return;
-        if (others.kind() == Message.Kind.POLICY) there.heard(others.from(), others.body());
-        else if (byStream) answer(there.asked(others.about().substring(7), others.body()), answers);
+        if (others.kind() == Message.Kind.POLICY) there.onMessage(others.from(), others.body());
+        else if (byStream) answer(there.onAdminRequest(others.subject().substring(7), others.body()), answers);
     }
 
     private static byte[] taken(Object message) {
@@ -340,12 +340,12 @@
         if (to == null) return;
         lock.lock();
         try {
-            member.refused(to.getHostString(), to.getPort());
+            member.onConnectionRefused(to.getHostString(), to.getPort());
         } finally {
             lock.unlock();
         }
-        Beside there = beside;
-        if (there != null) there.refused(to.getHostString(), to.getPort());
+        MessageHandler there = beside;
+        if (there != null) there.onConnectionRefused(to.getHostString(), to.getPort());
     }
 
     /** One message a connection, its length before it. */
@@ -375,7 +375,7 @@
             got.put((IoBuffer) message);
             if (got.position() < 4) return;
             int length = got.getInt(0);
-            if (length < 0 || length > Wire.STREAM || got.position() > 4 + length) {
+            if (length < 0 || length > FleetMessageCodec.STREAM || got.position() > 4 + length) {
                 session.closeNow();
                 return;
             }
@@ -397,13 +397,13 @@
 
     // ---- news ----
 
-    @Override public void view(View v, boolean apart, Member.Cause cause) {
+    @Override public void view(View v, boolean apart, FleetMember.ViewCause cause) {
         List<String> names = new ArrayList<>();
-        for (Fact f : v.members()) names.add(f.name() + "@" + f.incarnation());
-        inView = v.members().stream().map(Fact::name).toList();
+        for (MemberRecord f : v.members()) names.add(f.name() + "@" + f.incarnation());
+        inView = v.members().stream().map(MemberRecord::name).toList();
         LOG.atInfo().addKeyValue("view", v.number).addKeyValue("digest", Long.toHexString(v.digest))
             .addKeyValue("cause", cause).addKeyValue("apart", apart).addKeyValue("life", member == null ? 0
-                : member.life()).addKeyValue("size", v.size()).addKeyValue("members", names.size() > 64
+                : member.incarnation()).addKeyValue("size", v.size()).addKeyValue("members", names.size() > 64
                 ? names.subList(0, 64) : names).log("fleet: view");
     }
 
@@ -411,12 +411,12 @@
         LOG.atInfo().addKeyValue("base", Long.toHexString(base)).addKeyValue("round", round).log("fleet: votes");
     }
 
-    @Override public void judged(String of, Judged from, Judged to, int accusing) {
+    @Override public void judged(String of, MemberHealth from, MemberHealth to, int accusing) {
         LOG.atInfo().addKeyValue("name", of).addKeyValue("from", from).addKeyValue("to", to).addKeyValue("accusing",
             accusing).log("fleet: judged");
     }
 
-    @Override public void self(Member.Phase p, long life) {
+    @Override public void self(FleetMember.Phase p, long life) {
         LOG.atInfo().addKeyValue("phase", p).addKeyValue("life", life).log("fleet: this director");
         if (keptView != null) keep();
     }
@@ -424,7 +424,7 @@
     // ---- the operators' questions ----
 
     private void answer(Message m, IoSession to) {
-        answer(m.about().startsWith("explain ") ? explain(m.about().substring(8)) : status(), to);
+        answer(m.subject().startsWith("explain ") ? explain(m.subject().substring(8)) : status(), to);
     }
 
     private static void answer(String text, IoSession to) {
@@ -448,24 +448,24 @@
         o.addProperty("fleet", fleet);
         o.addProperty("name", name);
         o.addProperty("phase", member.phase().toString());
-        o.addProperty("life", member.life());
+        o.addProperty("life", member.incarnation());
         o.addProperty("view", v.number);
         o.addProperty("digest", Long.toHexString(v.digest));
-        o.addProperty("apart", member.apart());
+        o.addProperty("apart", member.isPartitioned());
         o.addProperty("part_of_limits", times);
         JsonArray all = new JsonArray();
-        for (Fact f : v.members()) {
+        for (MemberRecord f : v.members()) {
             JsonObject x = new JsonObject();
             x.addProperty("name", f.name());
             x.addProperty("life", f.incarnation());
             x.addProperty("at", f.host() + ":" + f.port());
-            x.addProperty("judged", (f.name().equals(name) ? Judged.FINE : member.judged(f.name())).toString());
+            x.addProperty("judged", (f.name().equals(name) ? MemberHealth.FINE : member.healthOf(f.name())).toString());
             all.add(x);
         }
         o.add("members", all);
         JsonObject counts = new JsonObject();
-        member.count.all().forEach(counts::addProperty);
-        for (Wire.Dropped d : Wire.Dropped.values()) {
+        member.counters.all().forEach(counts::addProperty);
+        for (FleetMessageCodec.Dropped d : FleetMessageCodec.Dropped.values()) {
             if (wire.dropped[d.ordinal()] > 0) {
                 counts.addProperty("dropped_" + d.name().toLowerCase(java.util.Locale.ROOT), wire.dropped[d.ordinal()]);
             }
--- a/src/main/java/mothcross/fleet/net/KeptFleet.java
+++ b/src/main/java/mothcross/fleet/net/FleetStateFile.java
@@ -19,13 +19,13 @@
  * lines, a checksum and JSON, replaced whole and synced. Owns the file; must never give out what does not fit its
  * checksum or is another fleet's or another name's: without it a life is drawn from the clock.
  */
-final class KeptFleet {
+final class FleetStateFile {
     record Kept(String fleet, String name, long life, List<String> addresses) { }
 
     private final Path file;
     private final String fleet, name;
 
-    KeptFleet(Path file, String fleet, String name) {
+    FleetStateFile(Path file, String fleet, String name) {
         this.file = file;
         this.fleet = fleet;
         this.name = name;
--- a/src/main/java/mothcross/membership/Standing.java
+++ b/src/main/java/mothcross/membership/NodeState.java
@@ -4,9 +4,9 @@
 
 /**
  * Where an entry of the list stands, and what the module is told of it. Must never say how it came there:
- * {@link Belief} moves entries.
+ * {@link NodeEntry} moves entries.
  */
-public enum Standing {
+public enum NodeState {
     /** Discovery named it in this run, or said within the recent age that nothing is new. */
     TOLD(Director.IN_SERVICE),
     /** From the disk, and told within the recent age. */
@@ -14,21 +14,21 @@
     /** Past the recent age, but the box itself answers. */
     PROVEN(Director.IN_SERVICE),
     /** Past the recent age and not heard of in this run: used cautiously. */
-    OLD(Director.UNSURE),
+    OLD(Director.UNCONFIRMED),
     /** Not there when it was asked for; it is tried again after a while. */
-    REFUSED(Director.GONE),
+    REFUSED(Director.REMOVED),
     /** Missing from a whole list that shrank strongly: not used, not yet forgotten. */
-    WITHHELD(Director.GONE),
+    WITHHELD(Director.REMOVED),
     /** Past the old age: not used. */
-    TOO_OLD(Director.GONE),
+    TOO_OLD(Director.REMOVED),
     DRAINING(Director.DRAINING),
-    GONE(Director.GONE);
+    GONE(Director.REMOVED);
 
     /** As the module knows it. */
-    public final int use;
+    public final int directorStatus;
 
-    Standing(int use) {
-        this.use = use;
+    NodeState(int use) {
+        this.directorStatus = use;
     }
 
     public String word() {
@@ -36,6 +36,6 @@
     }
 
     public boolean usable() {
-        return use == Director.IN_SERVICE || use == Director.UNSURE;
+        return directorStatus == Director.IN_SERVICE || directorStatus == Director.UNCONFIRMED;
     }
 }
--- a/src/main/java/mothcross/net/ClientConnection.java
+++ b/src/main/java/mothcross/net/ClientConnection.java
@@ -1,7 +1,7 @@
 package mothcross.net;
 
 import java.util.Arrays;
-import mothcross.Narrowing;
+import mothcross.RouteConstraints;
 import mothcross.Workload;
 import mothcross.route.RouteTable;
 import org.apache.mina.core.buffer.IoBuffer;
@@ -38,7 +38,7 @@
     private static final double WHOLE_MS = 2000, IDLE_MS = 7000, LINGER_MS = 500,
         UNREAD_MS = 100, SILENT_MS = 300;
     private static final int NOTHING = 0, REST = 1, NEXT = 2;     // what it awaits of its client
-    /** What a connection is worth keeping where descriptors run short, see {@link Desk#admit}. */
+    /** What a connection is worth keeping where descriptors run short, see {@link Dispatcher#admit}. */
     static final int REFUSED = 0, SILENT = 1, IDLE = 2, YOUNG = 3, NEW = 4, IN_USE = 5;
     private static final String PATH = "/api/v2/", PART = "piece-", HEALTHY = "/-/healthy";
     private static final int LAST_GROUP = 255;
@@ -80,7 +80,7 @@
         }
     };
 
-    ClientConnection(Desk desk) {
+    ClientConnection(Dispatcher desk) {
         super(desk);
     }
 
@@ -362,11 +362,11 @@
             int n = c + 1 + PART.length();
             part = n < targetEnd && Bytes.is(bytes, c + 1, n, PART) ? Bytes.whole(bytes, n, targetEnd) : -1;
         }
-        Workload w = workload == null ? null : desk.opening.all[workload];
+        Workload w = workload == null ? null : desk.opening.workloadTable[workload];
         // Writes are PUT, reads are GET: a node is not told which, and would answer either by its class.
-        if (w == null || writes != w.neverKept() || !usable || id < 0 || part < 0 || part > Integer.MAX_VALUE
-            || !Bytes.isHex(bytes, b + 1, objectEnd) || wait > BEYOND * w.abandonMs()
-            || sizeKb > BEYOND * w.abandonMs() * desk.opening.flowKbPerMs) {
+        if (w == null || writes != w.uncacheable() || !usable || id < 0 || part < 0 || part > Integer.MAX_VALUE
+            || !Bytes.isHex(bytes, b + 1, objectEnd) || wait > BEYOND * w.timeoutMs()
+            || sizeKb > BEYOND * w.timeoutMs() * desk.opening.flowKbPerMs) {
             desk.count.badField++;
             write(whole("400 Bad Request", "", ""));
             return;
@@ -388,9 +388,9 @@
         byte[] body = Arrays.copyOfRange(bytes, bodyAt, bodyAt + (int) bodyLength);
         Lookup l = new Lookup(this, Arrays.copyOfRange(bytes, id, idEnd), Bytes.of(asked.toString()), body, copy,
             Bytes.hex(bytes, b + 1, objectEnd) & Long.MAX_VALUE, (int) group,
-            now + (Double.isNaN(wait) ? w.abandonMs() : wait), desk.mostHops());
+            now + (Double.isNaN(wait) ? w.timeoutMs() : wait), desk.mostHops());
         int as = workload;
-        Narrowing by = null;
+        RouteConstraints by = null;
         Routing rules = desk.rules == null ? null : desk.rules.of(l.object);
         if (desk.rules != null) plan = desk.rules.plan();
         if (rules != null) {
@@ -399,7 +399,7 @@
             RouteTable.Outcome o = rules.route(workload, desk.mostHops(), now);
             if (o.status != 0) {
                 proven = true;
-                write(whole(status(o.status), advice(Math.min(o.comeBackAfter, desk.opening.longestWaitMs)), ""));
+                write(whole(status(o.status), advice(Math.min(o.retryAfterMs, desk.opening.maxRetryAfterMs)), ""));
                 return;
             }
             as = o.workload;
--- a/src/main/java/mothcross/net/Desk.java
+++ b/src/main/java/mothcross/net/Dispatcher.java
@@ -9,15 +9,15 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Predicate;
 import java.util.concurrent.locks.ReentrantLock;
+import java.util.function.Predicate;
 import mothcross.DecisionWriter;
 import mothcross.Director;
-import mothcross.Narrowing;
-import mothcross.RoundReader;
+import mothcross.EventBatch;
+import mothcross.RouteConstraints;
 import mothcross.Workload;
-import mothcross.door.Opening;
-import mothcross.door.Slots;
+import mothcross.adapter.DirectorSettings;
+import mothcross.adapter.LookupIndexAllocator;
 import org.apache.mina.core.service.IoConnector;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -28,28 +28,28 @@
  * module writes into hops and answers. Must never decide where a lookup goes, send what the module did not
  * write, answer a lookup twice, or call the module while it is at work.
  */
-final class Desk implements DecisionWriter {
-    private static final Logger LOG = LoggerFactory.getLogger(Desk.class);
+final class Dispatcher implements DecisionWriter {
+    private static final Logger LOG = LoggerFactory.getLogger(Dispatcher.class);
     private static final double BACKSTOP_MS = 20;
     private static final int MOST_CONNECTIONS = 8;
 
     final ReentrantLock lock = new ReentrantLock();
     final Counters count = new Counters();
     final Timers timers;
-    final Opening opening;
+    final DirectorSettings opening;
     final IoConnector connector;
     private final Director director;
-    private final Slots slots = new Slots();
+    private final LookupIndexAllocator slots = new LookupIndexAllocator();
     private final int mostHops;
     private Lookup[] lookups = new Lookup[64];
     // By the client's id, while open; an id that is open already is not taken again.
     private final Map<Long, Lookup> open = new HashMap<>();
     final Nodes nodes = new Nodes();
     final AnswerTimes answerTimes;
-    Rulebook rules;                                     // null where the operators have no routes
-    Current current;                                    // null where nobody else decides what is in force
+    ActiveRoutes rules;                                     // null where the operators have no routes
+    ServingPermit current;                                    // null where nobody else decides what is in force
     boolean tellsPlan;                                  // of tests only
-    private Witness witness;                            // null where nobody wants to know
+    private HopObserver witness;                            // null where nobody wants to know
     // Every connection to a node that is up or on its way; each takes itself out when it ends.
     final Set<NodeConnection> connections = new LinkedHashSet<>();
     // Filled while the module is at work, empty whenever the lock is free.
@@ -67,13 +67,13 @@
     private double now;
     volatile boolean ready;
 
-    Desk(Opening opening, IoConnector connector, int mostHops) {
+    Dispatcher(DirectorSettings opening, IoConnector connector, int mostHops) {
         this.opening = opening;
         this.connector = connector;
         this.director = opening.director;
         this.mostHops = mostHops;
         this.timers = new Timers(this);
-        this.answerTimes = new AnswerTimes(opening.all.length);
+        this.answerTimes = new AnswerTimes(opening.workloadTable.length);
     }
 
     /** Usual clients hold a third of the descriptors at most; nodes and the process itself need three eighths. */
@@ -115,11 +115,11 @@
         return now = Math.max(now, t.getEpochSecond() * 1e3 + t.getNano() / 1e6);
     }
 
-    void round(RoundReader in) {
+    void round(EventBatch in) {
         count.hold(lock.isHeldByCurrentThread() && !atWork, "the module is called once at a time");
         atWork = true;
         try {
-            director.round(clock(), in, this);
+            director.process(clock(), in, this);
         } catch (RuntimeException | AssertionError e) {
             fault(e);
         } finally {
@@ -148,11 +148,11 @@
     }
 
     /** False where a lookup of this id is open already. */
-    boolean lookup(Lookup l, int workload, int part, double sizeKb, boolean repeat, Narrowing by) {
+    boolean lookup(Lookup l, int workload, int part, double sizeKb, boolean repeat, RouteConstraints by) {
         if (open.putIfAbsent(l.number, l) != null) return false;
         count.lookups++;
         ahead += l.body.length;
-        int at = l.index = slots.take();
+        int at = l.index = slots.allocate();
         l.workload = workload;
         if (at >= lookups.length) lookups = Arrays.copyOf(lookups, 2 * lookups.length);
         lookups[at] = l;
@@ -182,7 +182,7 @@
     private void ended(Lookup l) {
         timers.cancel(l);
         open.remove(l.number, l);
-        slots.over(l.index);
+        slots.markOver(l.index);
         ahead -= l.body.length;
         for (int i = 0; i < l.hopCount(); i++) {
             Hop h = l.hop(i);
@@ -200,7 +200,7 @@
         if (isOver(l)) return;
         count.cancelled++;
         ended(l);
-        round(to -> to.clientLeft(l.index));
+        round(to -> to.clientDisconnected(l.index));
         release(l);
     }
 
@@ -316,20 +316,20 @@
         boolean waitedFor = !isOver(l);
         count.hold(waitedFor, "nothing is sent for a request that is over");
         if (!waitedFor) return false;
-        Workload w = opening.all[l.workload];
-        if (w.effect() != Workload.Effect.TAGGED) return true;
+        Workload w = opening.workloadTable[l.workload];
+        if (w.effect() != Workload.Effect.DEDUPLICATED) return true;
         double t = clock();
         for (int i = 0; i < h.number; i++) {
             Hop x = l.hop(i);
             boolean ran = x.written != null && !(x.ended && neverRan(x.outcome));
-            if (ran && t >= x.writtenAt + w.rememberedMs()) return false;
+            if (ran && t >= x.writtenAt + w.deduplicationWindowMs()) return false;
         }
         return true;
     }
 
     /** What the protocol says of an end: the request was not taken up. */
     private static boolean neverRan(int outcome) {
-        return outcome == Director.FULL || outcome == Director.UNREACHED || outcome == Director.NOT_SENT
+        return outcome == Director.REJECTED || outcome == Director.CONNECT_FAILED || outcome == Director.NOT_SENT
             || outcome == Director.MISS;
     }
 
@@ -357,7 +357,7 @@
     private void deliverEnded(Director to) {
         for (Hop h; (h = ended.poll()) != null;) {
             Lookup l = h.lookup;
-            if (h.outcome == Director.HANDLED && !isOver(l)) {
+            if (h.outcome == Director.SUCCEEDED && !isOver(l)) {
                 count.handled++;
                 if (h.unchanged) count.unchanged++;
                 l.client.handled(h);
@@ -398,10 +398,10 @@
     }
 
     private static boolean usable(Node n) {
-        return n.standing == Director.IN_SERVICE || n.standing == Director.UNSURE;
+        return n.standing == Director.IN_SERVICE || n.standing == Director.UNCONFIRMED;
     }
 
-    void witness(Witness w) {
+    void witness(HopObserver w) {
         witness = w;
     }
 
@@ -417,8 +417,8 @@
 
     void probeEnded(Node node, int outcome, double spent, double[] report) {
         count.probes++;
-        if (outcome == Director.HANDLED) count.probesFit++;
-        round(to -> to.probed(node.index, outcome, spent, report));
+        if (outcome == Director.SUCCEEDED) count.probesFit++;
+        round(to -> to.probeCompleted(node.index, outcome, spent, report));
     }
 
     // ---- the end ----
@@ -439,24 +439,24 @@
 
     // ---- what the module writes ----
 
-    @Override public void look(int lookup, int node, double giveUpAt) {
+    @Override public void sendCacheOnly(int lookup, int node, double giveUpAt) {
         send(lookup, node, node, giveUpAt, 0, 0, 0);
     }
 
-    @Override public void fetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge,
+    @Override public void sendFetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge,
                                 int how) {
         send(lookup, node, source, giveUpAt, rank, maxAge, how);
     }
 
-    @Override public void callOff(int lookup, int hop) {
+    @Override public void cancelHop(int lookup, int hop) {
         Lookup l = lookups[lookup];
         Hop h = l == null ? null : l.hop(hop);
         if (h == null || h.ended) return;
         if (h.on != null) h.on.giveUp(h);
-        end(h, h.written == null ? Director.NOT_SENT : Director.CALLED_OFF);
+        end(h, h.written == null ? Director.NOT_SENT : Director.CANCELLED);
     }
 
-    @Override public void bounce(int lookup, double comeBackAfter) {
+    @Override public void reject(int lookup, double comeBackAfter) {
         Lookup l = lookups[lookup];
         if (answerOwed(l)) {
             count.bounced++;
@@ -465,7 +465,7 @@
         }
     }
 
-    @Override public void giveUp(int lookup) {
+    @Override public void fail(int lookup) {
         Lookup l = lookups[lookup];
         if (answerOwed(l)) {
             count.givenUp++;
@@ -484,18 +484,18 @@
         NodeConnection.probe(this, nodes.at(node));
     }
 
-    @Override public void remind(double at, long name) {
+    @Override public void setTimer(double at, long name) {
         timers.set(new Timers.Timer() {
             @Override void fire() {
-                round(to -> to.bell(name));
+                round(to -> to.timerFired(name));
             }
         }, at);
     }
 
     /** Discovery is followed from the start to the end. */
-    @Override public void followList(boolean on) { }
+    @Override public void watchNodeList(boolean on) { }
 
-    @Override public void say(String text) {
+    @Override public void log(String text) {
         LOG.info("{}", text);
     }
 }
--- a/src/main/java/mothcross/net/NodeConnection.java
+++ b/src/main/java/mothcross/net/NodeConnection.java
@@ -81,7 +81,7 @@
             double unusual = Math.max(2 * step, desk.answerTimes.unusual(first.lookup.workload, wrongly));
             boolean nodeToo = node.heardAt <= since;
             if (doubts == 0) {
-                boolean doubtful = now - since >= unusual && desk.opening.probes && (nodeToo || out.size() > 1);
+                boolean doubtful = now - since >= unusual && desk.opening.probingAllowed && (nodeToo || out.size() > 1);
                 if (doubtful) {
                     doubts = 1;
                     wrongly++;
@@ -128,7 +128,7 @@
         }
     }
 
-    private NodeConnection(Desk desk, Node node) {
+    private NodeConnection(Dispatcher desk, Node node) {
         super(desk);
         this.node = node;
         node.connections.add(this);
@@ -142,13 +142,13 @@
     }
 
     /** The one that is up and carries least; where even that one carries something, one more is made for later. */
-    private static NodeConnection to(Desk desk, Node node) {
+    private static NodeConnection to(Dispatcher desk, Node node) {
         NodeConnection best = null;
         boolean coming = false;
         for (NodeConnection c : new ArrayList<>(node.connections)) {
             // The node closes what has been idle for long; not to cross that, it is closed here a little sooner.
             if (c.up && c.load() == 0 && desk.clock() - c.usedAt > USED_OF_IDLE * desk.opening.idleMs) c.replace();
-            else if (c.load() >= desk.opening.streams) continue;
+            else if (c.load() >= desk.opening.maxStreamsPerConnection) continue;
             else if (best == null || c.up && !best.up || c.up == best.up && c.load() < best.load()) best = c;
             coming |= !c.up;
         }
@@ -166,11 +166,11 @@
         return waiting.size();
     }
 
-    static void send(Desk desk, Hop h) {
+    static void send(Dispatcher desk, Hop h) {
         NodeConnection c = to(desk, h.node);
         h.on = c;
         if (c.ended) {
-            desk.end(h, Director.UNREACHED);
+            desk.end(h, Director.CONNECT_FAILED);
             return;
         }
         c.waiting.add(h);
@@ -198,7 +198,7 @@
         retireWhenDone();
     }
 
-    static void probe(Desk desk, Node node) {
+    static void probe(Dispatcher desk, Node node) {
         NodeConnection c = to(desk, node);
         Probe p = c.new Probe("p" + c.probeCount++);
         c.probes.put(p.tag, p);
@@ -248,7 +248,7 @@
             bodyFor = null;
             times(Math.max(h.until, desk.clock() + desk.opening.connectMs));
         }
-        if (desk.opening.callsOff) {
+        if (desk.opening.cancellation) {
             session.write(IoBuffer.wrap(Bytes.of("never_mind " + Bytes.text(h.lookup.id) + "\r\n")));
         }
         boolean silent = heardAt < h.writtenAt;
@@ -301,7 +301,7 @@
         desk.timers.cancel(quiet);
         endAll(waiting, null);
         endAll(out.values(), bodyFor);
-        int outcome = up ? Director.BROKEN : Director.UNREACHED;
+        int outcome = up ? Director.CONNECTION_LOST : Director.CONNECT_FAILED;
         for (Probe p : probes.values()) {
             desk.timers.set(new Timers.Timer() {              // not at once: the module may be at work
                 @Override void fire() {
@@ -317,11 +317,11 @@
         Hop first = guilty;
         for (Hop h : hops) {
             if (first == null) first = h;
-            if (h != first && !nodeSilent) h.note = Director.ALONG;
+            if (h != first && !nodeSilent) h.note = Director.COLLATERAL_FAILURE;
             // Guards against an end from here while the write is being made: it may leave after this. Only a write that
             // has failed never ran.
             boolean ran = h.written != null && (h.written.isWritten() || !h.written.isDone());
-            desk.end(h, ran ? Director.BROKEN : Director.UNREACHED);
+            desk.end(h, ran ? Director.CONNECTION_LOST : Director.CONNECT_FAILED);
         }
         hops.clear();
     }
@@ -393,7 +393,7 @@
         bodyFor = null;
         if (h != null) {
             out.remove(h.lookup.number, h);
-            desk.end(h, Director.HANDLED);
+            desk.end(h, Director.SUCCEEDED);
         }
         retireWhenDone();
     }
@@ -412,7 +412,7 @@
             bodyLeft = c < 0 ? -1 : (int) length + 2;
             Probe p = probes.get(Bytes.text(bytes, start, a));
             double[] report = b < 0 ? null : report(b + 1, c < 0 ? end : c);
-            if (p != null) p.finish(fit ? Director.HANDLED : Director.FULL, report);
+            if (p != null) p.finish(fit ? Director.SUCCEEDED : Director.REJECTED, report);
             return true;
         }
         if (c < 0) return malformed("fewer than four words");
@@ -433,7 +433,7 @@
             bodyFor = h;
             return malformed("a copy is kept that nobody has");
         }
-        if (outcome == Director.HANDLED) {
+        if (outcome == Director.SUCCEEDED) {
             desk.answerTimes.took(h.lookup.workload, desk.clock() - h.writtenAt);
             h.answer = IoBuffer.allocate(HEAD_ROOM + (int) length);
             h.answer.position(HEAD_ROOM);
@@ -446,9 +446,9 @@
     }
 
     private int outcome(int a, int b) {
-        if (Bytes.is(bytes, a, b, "DONE") || Bytes.is(bytes, a, b, "KEEP")) return Director.HANDLED;
+        if (Bytes.is(bytes, a, b, "DONE") || Bytes.is(bytes, a, b, "KEEP")) return Director.SUCCEEDED;
         if (Bytes.is(bytes, a, b, "LACK")) return Director.MISS;
-        if (Bytes.is(bytes, a, b, "WAIT")) return Director.FULL;
+        if (Bytes.is(bytes, a, b, "WAIT")) return Director.REJECTED;
         if (Bytes.is(bytes, a, b, "BROKE")) return Director.ERROR;
         return Bytes.is(bytes, a, b, "PAST") ? Director.NOT_SENT : -1;
     }
@@ -489,7 +489,7 @@
             }
             a = end + 1;
         }
-        return desk.opening.report(told);
+        return desk.opening.decodeReport(told);
     }
 
     private boolean malformed(String what) {
--- a/src/main/java/mothcross/net/Nodes.java
+++ b/src/main/java/mothcross/net/Nodes.java
@@ -32,16 +32,16 @@
     }
 
     void begins(Director to, int news) {
-        boolean whole = news != Director.CHANGES;
+        boolean whole = news != Director.LIST_DELTA;
         for (Node n : all) n.named = !whole;
-        to.listBegins(news);
+        to.listStarted(news);
     }
 
     void listed(Director to, String id, InetSocketAddress address, int place, int kind, int cell,
                 int standing, double units, double startedAt) {
         Node n = byId.get(id);
         if (n == null) {
-            if (standing == Director.GONE) return;
+            if (standing == Director.REMOVED) return;
             byId.put(id, n = new Node(freeIndex(), id));
             all.set(n.index, n);
         }
@@ -51,7 +51,7 @@
         if (!address.equals(n.address)) n.replaceConnections();
         n.address = address;
         // All directors must find the same ranking, and each reaches a node at an address of its own.
-        to.listed(n.index, id, place, kind, cell, standing, units, startedAt);
+        to.nodeListed(n.index, id, place, kind, cell, standing, units, startedAt);
     }
 
     /** That of the node gone longest of those that no hop names; the module forgets what it knew of that one. */
@@ -67,10 +67,10 @@
     }
 
     void ends(Director to) {
-        to.listEnds();
+        to.listFinished();
         for (Node n : all) {
-            if (!n.named) n.standing = Director.GONE;
-            if (n.standing != Director.GONE) continue;
+            if (!n.named) n.standing = Director.REMOVED;
+            if (n.standing != Director.REMOVED) continue;
             n.replaceConnections();
             gone.add(n);
         }
