--- a/src/main/java/mothcross/rig/Virtual.java
+++ b/src/main/java/mothcross/rig/SimulatedFleet.java
@@ -11,19 +11,19 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.UnaryOperator;
-import mothcross.fleet.Fact;
-import mothcross.fleet.Judged;
-import mothcross.fleet.Member;
+import mothcross.fleet.FailureDetectorSettings;
+import mothcross.fleet.FleetMember;
+import mothcross.fleet.LimitShare;
+import mothcross.fleet.MemberHealth;
+import mothcross.fleet.MemberRecord;
 import mothcross.fleet.Message;
-import mothcross.fleet.Pace;
-import mothcross.fleet.Parts;
 import mothcross.fleet.View;
 
 /**
  * A fleet in virtual time: the members as they are in service, and between them links that lose, delay, double and cut
  * as a script says. Owns the clock and the links; a run is decided by its script and seed, to the byte.
  */
-public final class Virtual {
+public final class SimulatedFleet {
     /** Stands between the play and a member: tests plant faults here. */
     public interface Spoils {
         /** What of this message a member hears; null: nothing. */
@@ -38,29 +38,29 @@
     }
 
     /** One process; a name may have several in turn, or two at once. */
-    private final class Proc implements Member.News {
+    private final class Proc implements FleetMember.MemberListener {
         final int id, index;
         final String name, host;
         final int port;
-        Member member;
+        FleetMember member;
         boolean dead, silentMachine;
-        final Parts parts = new Parts(script.members, 5000, 2000);
+        final LimitShare parts = new LimitShare(script.members, 5000, 2000);
         double times;
         double pausedUntil, slow = 1, busyUntil, nextTick = Double.NaN;
 
-        Proc(int index, int port, long life, List<Member.Address> kept) {
+        Proc(int index, int port, long life, List<FleetMember.Address> kept) {
             this.id = procs.size();
             this.index = index;
             this.name = "n" + index;
             this.host = "h";
             this.port = port;
-            List<Member.Address> seeds = new ArrayList<>();
-            for (int i = 0; i < Math.min(3, script.members); i++) seeds.add(new Member.Address("h", 1000 + i));
+            List<FleetMember.Address> seeds = new ArrayList<>();
+            for (int i = 0; i < Math.min(3, script.members); i++) seeds.add(new FleetMember.Address("h", 1000 + i));
             seeds.addAll(kept);
             procs.add(this);
             at.put(port, this);
             history.add(now, History.Kind.STARTS, id, name, life);
-            member = new Member(name, life, host, port, seeds, pace, chance.split(), this, views);
+            member = new FleetMember(name, life, host, port, seeds, pace, chance.split(), this, views);
             tick();
         }
 
@@ -73,15 +73,15 @@
             }
             sendAll(this, member.tick(now));
             partOfLimits();
-            double next = Math.max(now + 1, member.next());
+            double next = Math.max(now + 1, member.nextTickAt());
             nextTick = next;
             if (next < Double.POSITIVE_INFINITY) in(next - now, this::tick);
         }
 
         private void partOfLimits() {
-            double t = parts.times(now, member.phase() == Member.Phase.IN, member.life(), member.sure(now),
-                member.view().size(), member.ended());
-            if (member.phase() == Member.Phase.STEPPED_BACK) t = 0;
+            double t = parts.multiplier(now, member.phase() == FleetMember.Phase.IN, member.incarnation(), member.isUpToDate(now),
+                member.view().size(), member.endedCount());
+            if (member.phase() == FleetMember.Phase.STEPPED_BACK) t = 0;
             if (t == times) return;
             times = t;
             double sum = 0;
@@ -106,39 +106,39 @@
             Message h = spoils == null ? m : spoils.hears(name, m);
             if (dead || h == null) return;
             handled++;
-            sendAll(this, member.heard(now, h));
+            sendAll(this, member.onMessage(now, h));
         }
 
         @Override public void votes(long base, int round) {
-            if (watching) history.votes(now, id, name, member.life(), base);
+            if (watching) history.votes(now, id, name, member.incarnation(), base);
         }
 
-        @Override public void view(View v, boolean apart, Member.Cause cause) {
-            if (cause == Member.Cause.VOTED || cause == Member.Cause.MERGED) {
+        @Override public void view(View v, boolean apart, FleetMember.ViewCause cause) {
+            if (cause == FleetMember.ViewCause.VOTED || cause == FleetMember.ViewCause.MERGED) {
                 for (Proc p : procs) {
                     if (p.dead || now < FORMED) continue;
                     if (v.has(p.name)) outNow.remove(p.name);
                     else if (outNow.add(p.name)) putOut.add(p.name);
                 }
             }
-            if (cause == Member.Cause.VOTED || cause == Member.Cause.MERGED || cause == Member.Cause.TOLD) {
+            if (cause == FleetMember.ViewCause.VOTED || cause == FleetMember.ViewCause.MERGED || cause == FleetMember.ViewCause.TOLD) {
                 viewChanges++;
             }
             for (String n : died.keySet()) if (!v.has(n)) knownOut.get(n).putIfAbsent(index, now);
             if (!watching) return;
             List<String> names = new ArrayList<>();
             v.members().forEach(f -> names.add(f.name() + "@" + f.incarnation()));
-            history.view(now, id, name, member == null ? 0 : member.life(), v.number, v.digest, apart, names,
+            history.view(now, id, name, member == null ? 0 : member.incarnation(), v.number, v.digest, apart, names,
                 cause.name());
         }
 
-        @Override public void judged(String of, Judged from, Judged to, int accusing) {
-            if (to == Judged.SILENT) silences++;
-            if (to == Judged.SILENT && died.containsKey(of)) knownSilent.get(of).putIfAbsent(index, now);
+        @Override public void judged(String of, MemberHealth from, MemberHealth to, int accusing) {
+            if (to == MemberHealth.SILENT) silences++;
+            if (to == MemberHealth.SILENT && died.containsKey(of)) knownSilent.get(of).putIfAbsent(index, now);
         }
 
-        @Override public void self(Member.Phase p, long life) {
-            if (p == Member.Phase.STEPPED_BACK) history.add(now, History.Kind.STEPPED_BACK, id, name, life);
+        @Override public void self(FleetMember.Phase p, long life) {
+            if (p == FleetMember.Phase.STEPPED_BACK) history.add(now, History.Kind.STEPPED_BACK, id, name, life);
         }
     }
 
@@ -157,7 +157,7 @@
     public final Map<String, Double> died = new TreeMap<>();
     public final Map<String, Map<Integer, Double>> knownSilent = new HashMap<>(), knownOut = new HashMap<>();
     private final FaultScript script;
-    private final Pace pace;
+    private final FailureDetectorSettings pace;
     private final SplittableRandom chance;
     private final Spoils spoils;
     private final UnaryOperator<View> views;
@@ -178,7 +178,7 @@
     private int ports = 1000;
     private final boolean watching;
 
-    private Virtual(FaultScript script, Pace pace, long seed, Spoils spoils, boolean watching) {
+    private SimulatedFleet(FaultScript script, FailureDetectorSettings pace, long seed, Spoils spoils, boolean watching) {
         this.script = script;
         this.pace = pace;
         this.chance = new SplittableRandom(seed);
@@ -198,31 +198,31 @@
     }
 
     /** Plays a script from its begin, where all start together and find each other, to its end. */
-    public static Virtual play(FaultScript script, Pace pace, long seed, Spoils spoils) {
+    public static SimulatedFleet play(FaultScript script, FailureDetectorSettings pace, long seed, Spoils spoils) {
         return play(script, pace, seed, spoils, true);
     }
 
-    public static Virtual play(FaultScript script, Pace pace, long seed, Spoils spoils, boolean watching) {
-        return play(new Virtual(script, pace, seed, spoils, watching));
+    public static SimulatedFleet play(FaultScript script, FailureDetectorSettings pace, long seed, Spoils spoils, boolean watching) {
+        return play(new SimulatedFleet(script, pace, seed, spoils, watching));
     }
 
     /** The same with a fleet that knows itself from the first second: for figures of large ones. */
-    public static Virtual formed(FaultScript script, Pace pace, long seed) {
-        Virtual v = new Virtual(script, pace, seed, null, false);
+    public static SimulatedFleet formed(FaultScript script, FailureDetectorSettings pace, long seed) {
+        SimulatedFleet v = new SimulatedFleet(script, pace, seed, null, false);
         v.in(300, () -> {
-            List<Fact> all = new ArrayList<>();
+            List<MemberRecord> all = new ArrayList<>();
             for (Proc p : v.procs) {
-                all.add(new Fact(p.name, p.member.life(), p.host, p.port, Fact.Standing.IN, 0));
+                all.add(new MemberRecord(p.name, p.member.incarnation(), p.host, p.port, MemberRecord.Status.IN, 0));
             }
             View whole = View.of(2, all, pace.rings());
-            Message told = new Message(Message.Kind.STATE, "n", Long.MAX_VALUE, "h", 1, "", 0, "", false, 2,
+            Message told = new Message(Message.Kind.VIEW, "n", Long.MAX_VALUE, "h", 1, "", 0, "", false, 2,
                 whole.digest, List.of(), all);
             for (Proc p : v.procs) p.arrives(told);
         });
         return play(v);
     }
 
-    private static Virtual play(Virtual v) {
+    private static SimulatedFleet play(SimulatedFleet v) {
         FaultScript script = v.script;
         for (int i = 0; i < script.members; i++) {
             int index = i;
@@ -262,7 +262,7 @@
         return n;
     }
 
-    public Member member(int index) {
+    public FleetMember member(int index) {
         return byIndex.get(index).member;
     }
 
@@ -301,9 +301,9 @@
 
     /** About what the wire form takes. */
     private static int size(Message m) {
-        int n = 70 + m.from().length() + m.to().length() + m.about().length() + m.host().length();
+        int n = 70 + m.from().length() + m.to().length() + m.subject().length() + m.host().length();
         for (var i : m.items()) n += i.size();
-        if (m.state() != null) n += 40 * m.state().size();
+        if (m.viewMembers() != null) n += 40 * m.viewMembers().size();
         return n;
     }
 
@@ -314,12 +314,12 @@
         if (to == null || to.dead) {
             boolean refuses = to != null && !to.silentMachine && !isCut(to, from);
             if (refuses && !from.dead) in(takes, () -> {
-                if (!from.dead) from.member.refused(s.host(), s.port());
+                if (!from.dead) from.member.onConnectionRefused(s.host(), s.port());
             });
             return;
         }
         // A whole view goes by a stream, which sends again what is lost.
-        boolean stream = s.message().kind() == Message.Kind.STATE;
+        boolean stream = s.message().kind() == Message.Kind.VIEW;
         for (double[] l : losses) {
             boolean meant = l[0] < 0 || l[0] == from.index || l[0] == to.index;
             if (meant && !stream && chance.nextDouble() < l[1]) return;
@@ -348,7 +348,7 @@
         if (all && l.to().size() < script.members) named.addAll(l.to());
         if (l.what() == FaultScript.What.PAUSE || l.what() == FaultScript.What.FLAP) named.addAll(l.whom());
         for (int i : named) {
-            if (troubled.merge(i, l.lasts(), Double::sum) > 0.9 * pace.silent()) excused.add("n" + i);
+            if (troubled.merge(i, l.lasts(), Double::sum) > 0.9 * pace.evictionDelayMs()) excused.add("n" + i);
         }
         switch (l.what()) {
             case PAUSE -> each(l, p -> p.pausedUntil = Math.max(p.pausedUntil, now + l.lasts()));
@@ -363,7 +363,7 @@
                 // Who kept nothing draws its life from its clock, which may be off.
                 long drawn = skews.containsKey(p.index) ? Math.max(1, 1000 + (long) (now + skews.get(p.index)))
                     : ++lives;
-                long life = l.what() == FaultScript.What.FORGET ? drawn : p.member.life() + 1;
+                long life = l.what() == FaultScript.What.FORGET ? drawn : p.member.incarnation() + 1;
                 lives = Math.max(lives, life) + 1;
                 in(l.lasts(), () -> {
                     if (byIndex.get(p.index).dead) byIndex.put(p.index, new Proc(p.index, p.port, life,
@@ -372,14 +372,14 @@
             });
             case MOVE -> each(l, p -> {
                 end(p, false);
-                long life = lives = Math.max(lives, p.member.life()) + 1;
+                long life = lives = Math.max(lives, p.member.incarnation()) + 1;
                 in(l.lasts(), () -> {
                     if (byIndex.get(p.index).dead) byIndex.put(p.index, new Proc(p.index, ports++, life,
                         p.member.addresses()));
                 });
             });
             case TWIN -> each(l, p -> {
-                lives = Math.max(lives, p.member.life()) + 5;
+                lives = Math.max(lives, p.member.incarnation()) + 5;
                 byIndex.put(p.index, new Proc(p.index, ports++, lives, p.member.addresses()));
             });
             case LEAVE -> each(l, p -> {
@@ -454,6 +454,6 @@
     private void end(Proc p, boolean machineToo) {
         p.dead = true;
         p.silentMachine = machineToo;
-        history.add(now, History.Kind.ENDS, p.id, p.name, p.member.life());
+        history.add(now, History.Kind.ENDS, p.id, p.name, p.member.incarnation());
     }
 }
--- a/src/main/java/mothcross/simhost/SimHost.java
+++ b/src/main/java/mothcross/simhost/SimHost.java
@@ -10,15 +10,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import mothcross.door.Fields;
-import mothcross.door.Opening;
+import mothcross.adapter.DirectorSettings;
+import mothcross.adapter.FieldMap;
 
 /** Hosts directors on the simulator's wire: one reply for each batch, until the input ends. */
 public final class SimHost {
     private final BufferedReader in;
     private final PrintStream out, err;
     private final StringBuilder reply = new StringBuilder();
-    private final Map<Integer, Door> doors = new HashMap<>();
+    private final Map<Integer, SimulatorAdapter> doors = new HashMap<>();
     private final List<WireLine> lines = new ArrayList<>();
     private int target = -1;
     private double now;
@@ -39,11 +39,11 @@
                 if (text.isBlank()) continue;
                 WireLine l = new WireLine(text, number);
                 if (l.name.equals("SYNC")) {
-                    now = l.ms("Now");
+                    now = l.milliseconds("Now");
                     inBatch = true;
                     target = -1;
                 } else if (!inBatch) {
-                    throw new Fields.Malformed("line " + number + " (" + l.name + "): outside a batch");
+                    throw new FieldMap.MalformedFieldException("line " + number + " (" + l.name + "): outside a batch");
                 } else {
                     switch (l.name) {
                         case "YOUR_TURN" -> {
@@ -53,11 +53,11 @@
                         }
                         case "TARGET_INSTANCE" -> {
                             flushRound();
-                            target = l.small("I");
+                            target = l.intValue("I");
                         }
                         case "CREATE" -> {
                             flushRound();
-                            doors.put(needTarget(l), new Door(target, new Opening(l, l.whole("RandomSeed")), reply));
+                            doors.put(needTarget(l), new SimulatorAdapter(target, new DirectorSettings(l, l.longValue("RandomSeed")), reply));
                         }
                         case "HALT" -> {
                             flushRound();
@@ -71,7 +71,7 @@
                 }
             }
             return 0;
-        } catch (Fields.Malformed e) {
+        } catch (FieldMap.MalformedFieldException e) {
             return fault(e.getMessage());
         } catch (RuntimeException e) {
             e.printStackTrace(err);
@@ -81,14 +81,14 @@
 
     private int needTarget(WireLine l) {
         if (target < 0) {
-            throw new Fields.Malformed("line " + l.number + " (" + l.name + "): no TARGET_INSTANCE before it");
+            throw new FieldMap.MalformedFieldException("line " + l.number + " (" + l.name + "): no TARGET_INSTANCE before it");
         }
         return target;
     }
 
     private void flushRound() {
         if (lines.isEmpty()) return;
-        Door door = doors.get(target);
+        SimulatorAdapter door = doors.get(target);
         if (door != null) door.round(now, lines);
         lines.clear();
     }
--- a/src/main/java/mothcross/simhost/WireLine.java
+++ b/src/main/java/mothcross/simhost/WireLine.java
@@ -1,9 +1,9 @@
 package mothcross.simhost;
 
-import mothcross.door.Fields;
+import mothcross.adapter.FieldMap;
 
 /** One line of the wire: its message name and its name=value parts. */
-final class WireLine extends Fields {
+final class WireLine extends FieldMap {
     final long number;
     final String name;
 
@@ -19,7 +19,7 @@
             int eq = text.indexOf('=', at);
             if (stop > at) {
                 if (eq <= at || eq > stop) {
-                    throw new Malformed(where(text, number) + ": part '" + text.substring(at, stop)
+                    throw new MalformedFieldException(where(text, number) + ": part '" + text.substring(at, stop)
                         + "' is not name=value");
                 }
                 add(text.substring(at, eq), text.substring(eq + 1, stop));
--- a/src/test/java/mothcross/BelievedRulesTest.java
+++ b/src/test/java/mothcross/BelievedRulesTest.java
@@ -3,12 +3,12 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.*;
-import mothcross.membership.Ages;
-import mothcross.membership.ListFile;
+import mothcross.membership.AgeLimits;
+import mothcross.membership.ListedNode;
 import mothcross.membership.Membership;
+import mothcross.membership.NodeState;
 import mothcross.membership.Purge;
-import mothcross.membership.Standing;
-import mothcross.membership.Told;
+import mothcross.membership.SnapshotFormat;
 import org.testng.annotations.Test;
 
 /**
@@ -20,7 +20,7 @@
 public class BelievedRulesTest {
     private static final double FLOOR = 0.2, WARM = 10_000, BREAKS = 3, SPAN = 1000, UNITS = 4, WORK_MS = 300,
         PURGE_TAKES = 6000;
-    private static final Ages AGES = new Ages(10_000, 100_000, 5000, 3, 1000, 8000, 0.5, 3000, 1000);
+    private static final AgeLimits AGES = new AgeLimits(10_000, 100_000, 5000, 3, 1000, 8000, 0.5, 3000, 1000);
     private static final List<String> IDS = List.of("c0", "c1", "c2", "c3", "p", "o");
 
     private static final class Box {
@@ -77,7 +77,7 @@
         final World w;
         final String name;
         final Membership m;
-        final Decide decide;
+        final CacheDirector decide;
         final Map<String, Object[]> pending = new HashMap<>();
         final Map<Integer, Ask> asks = new HashMap<>();
         final Set<String> out = new HashSet<>();            // the checker's: told as draining or gone
@@ -92,38 +92,38 @@
             out.addAll(toldOut);
             purged.putAll(toldPurged);
             m = new Membership(AGES, 2 * PURGE_TAKES, w.chance.split(), this);
-            Workload safe = new Workload(Workload.Effect.REPEATABLE, Workload.Group.ALL, 5000, 400, 2, 3000, 2, 0.15,
+            Workload safe = new Workload(Workload.Effect.IDEMPOTENT, Workload.DeduplicationScope.ALL, 5000, 400, 2, 3000, 2, 0.15,
                 0, 0,
                 0.5, false);
-            Workload once = new Workload(Workload.Effect.ONCE_ONLY, Workload.Group.ALL, 5000, 400, 2, 3000, 2, 0.15,
+            Workload once = new Workload(Workload.Effect.NON_IDEMPOTENT, Workload.DeduplicationScope.ALL, 5000, 400, 2, 3000, 2, 0.15,
                 0, 0, 0.5,
                 false);
-            decide = new Decide(w.chance.nextLong(), new Workload[] {safe, once}, new Places(0, new int[] {3}, 3, 1, 2),
-                new Allowances(4, true, true, false, true, 1000), new Knowledge(true, true, false, 10, 0),
-                new ColdStart(FLOOR, WARM, BREAKS, SPAN), new ColdStart(0.1, WARM, 2, SPAN), PURGE_TAKES);
+            decide = new CacheDirector(w.chance.nextLong(), new Workload[] {safe, once}, new Topology(0, new int[] {3}, 3, 1, 2),
+                new Capabilities(4, true, true, false, true, 1000), new SiteParameters(true, true, false, 10, 0),
+                new SlowStartLimits(FLOOR, WARM, BREAKS, SPAN), new SlowStartLimits(0.1, WARM, 2, SPAN), PURGE_TAKES);
             round(to -> {
-                to.listBegins(Director.REMEMBERED);
-                to.listEnds();
-                if (disk != null) m.restore(ListFile.read(disk, "f", name, w.now, 1000).kept(), w.now);
+                to.listStarted(Director.LIST_RESTORED);
+                to.listFinished();
+                if (disk != null) m.restore(SnapshotFormat.decode(disk, "f", name, w.now, 1000).snapshot(), w.now);
                 for (Purge p : m.purges()) to.purged(p.object(), p.group(), Math.max(0, w.now - p.at()));
             });
             tick();
         }
 
-        void round(RoundReader in) {
+        void round(EventBatch in) {
             assertTrue(!atWork);
             atWork = true;
-            decide.round(w.now, to -> {
-                in.deliver(to);
+            decide.process(w.now, to -> {
+                in.deliverTo(to);
                 if (pending.isEmpty()) return;
-                to.listBegins(Director.CHANGES);
+                to.listStarted(Director.LIST_DELTA);
                 for (Map.Entry<String, Object[]> e : pending.entrySet()) {
                     String id = e.getKey();
-                    to.listed(IDS.indexOf(id), id, 0, id.equals("p") ? 1 : id.equals("o") ? 2 : 0, 0,
-                        ((Standing) e.getValue()[0]).use, UNITS, (double) e.getValue()[1]);
+                    to.nodeListed(IDS.indexOf(id), id, 0, id.equals("p") ? 1 : id.equals("o") ? 2 : 0, 0,
+                        ((NodeState) e.getValue()[0]).directorStatus, UNITS, (double) e.getValue()[1]);
                 }
                 pending.clear();
-                to.listEnds();
+                to.listFinished();
             }, this);
             atWork = false;
         }
@@ -131,7 +131,7 @@
         void tick() {
             w.at(w.now + 500, () -> {
                 if (dead) return;
-                round(to -> m.ticks(w.now));
+                round(to -> m.tick(w.now));
                 tick();
             });
         }
@@ -148,18 +148,18 @@
                         purged.put(e.group, e.at);
                     } else {
                         boolean first = e.number == 1;
-                        m.begins(e.number, first, w.now);
+                        m.listStarted(e.number, first, w.now);
                         for (String id : first ? IDS : List.of(e.id)) {
                             double since = w.boxes.get(id).startedAt;
-                            m.told(id, id, 1, "here", "k", 0, first ? 0 : e.standing, UNITS, since, w.now);
+                            m.nodeListed(id, id, 1, "here", "k", 0, first ? 0 : e.standing, UNITS, since, w.now);
                         }
-                        m.ends(w.now);
+                        m.listFinished(w.now);
                         if (e.standing == Director.IN_SERVICE) out.remove(e.id);
                         else out.add(e.id);
                     }
                 });
             }
-            round(to -> m.standsBehind(w.log.size(), w.now));
+            round(to -> m.confirmUpTo(w.log.size(), w.now));
         }
 
         void ask(int group) {
@@ -175,7 +175,7 @@
                 + " answers"));
         }
 
-        @Override public void changed(Told entry, Standing was, Standing is, double coldSince, String why) {
+        @Override public void changed(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
             pending.put(entry.id(), new Object[] {is, coldSince});
         }
 
@@ -198,7 +198,7 @@
                 w.worst = Math.max(w.worst, part);
                 assertTrue(part <= 1, where + " rule 4: pushed over, " + part);
             }
-            if (m.standing(id) == Standing.OLD) w.cautious++;
+            if (m.stateOf(id) == NodeState.OLD) w.cautious++;
             w.sent++;
             a.hops++;
             a.out++;
@@ -206,9 +206,9 @@
             int hop = a.ended.size();
             a.ended.add(false);
             double sentAt = w.now;
-            int outcome = !b.up ? Director.UNREACHED : w.chance.nextInt(20) == 0 ? Director.FULL
-                : w.chance.nextInt(30) == 0 ? Director.BROKEN : Director.HANDLED;
-            boolean ran = outcome == Director.HANDLED || outcome == Director.BROKEN;
+            int outcome = !b.up ? Director.CONNECT_FAILED : w.chance.nextInt(20) == 0 ? Director.REJECTED
+                : w.chance.nextInt(30) == 0 ? Director.CONNECTION_LOST : Director.SUCCEEDED;
+            boolean ran = outcome == Director.SUCCEEDED || outcome == Director.CONNECTION_LOST;
             boolean onlyOne = a.workload == 1 && ran;
             if (onlyOne) a.mayHaveRun = true;
             w.at(w.now + (b.up ? 3 + w.chance.nextInt(60) : 1), () -> end(lookup, hop, node, source, outcome, sentAt));
@@ -219,21 +219,21 @@
             if (dead || a.ended.get(hop)) return;
             a.ended.set(hop, true);
             a.out--;
-            boolean handled = outcome == Director.HANDLED && a.answers == 0;
+            boolean handled = outcome == Director.SUCCEEDED && a.answers == 0;
             if (handled) a.answers++;
             if (handled) w.answered++;
-            int note = outcome == Director.HANDLED ? Director.HIT : 0;
+            int note = outcome == Director.SUCCEEDED ? Director.HIT : 0;
             round(to -> {
                 to.hopEnded(lookup, hop, node, outcome, a.answers > 0, note, w.now - sentAt, 0, null);
                 m.hopEnded(IDS.get(node), source == node ? null : IDS.get(source), outcome, note, false, w.now);
             });
         }
 
-        @Override public void look(int lookup, int node, double giveUpAt) {
+        @Override public void sendCacheOnly(int lookup, int node, double giveUpAt) {
             send(lookup, node, node);
         }
 
-        @Override public void fetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge,
+        @Override public void sendFetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge,
             int how) {
             Double at = purged.get(asks.get(lookup).group);
             if (at != null && w.now - at < PURGE_TAKES) {
@@ -243,10 +243,10 @@
             send(lookup, node, source);
         }
 
-        @Override public void callOff(int lookup, int hop) {
+        @Override public void cancelHop(int lookup, int hop) {
             Ask a = asks.get(lookup);
             if (a.ended.get(hop)) return;
-            w.at(w.now, () -> end(lookup, hop, 0, 0, Director.CALLED_OFF, w.now));
+            w.at(w.now, () -> end(lookup, hop, 0, 0, Director.CANCELLED, w.now));
         }
 
         private void answer(int lookup, boolean bounce) {
@@ -256,25 +256,25 @@
             assertTrue(!(bounce && a.workload == 1 && a.mayHaveRun), w.seed + " rule 2: bounced what may have run");
         }
 
-        @Override public void bounce(int lookup, double comeBackAfter) {
+        @Override public void reject(int lookup, double comeBackAfter) {
             answer(lookup, true);
         }
 
-        @Override public void giveUp(int lookup) {
+        @Override public void fail(int lookup) {
             answer(lookup, false);
         }
 
         @Override public void probe(int node) { }
 
-        @Override public void remind(double t, long bell) {
+        @Override public void setTimer(double t, long bell) {
             w.at(Math.max(t, w.now), () -> {
-                if (!dead) round(to -> to.bell(bell));
+                if (!dead) round(to -> to.timerFired(bell));
             });
         }
 
-        @Override public void followList(boolean on) { }
+        @Override public void watchNodeList(boolean on) { }
 
-        @Override public void say(String text) { }
+        @Override public void log(String text) { }
     }
 
     @Test public void fiveRulesOverRandomHistories() {
@@ -315,7 +315,7 @@
             for (int d = 0; d < 3; d++) {
                 Run r = runs.get(d);
                 r.dead = true;
-                disks[d] = ListFile.bytes(r.m.kept("f", "d" + d, w.now));
+                disks[d] = SnapshotFormat.encode(r.m.snapshot("f", "d" + d, w.now));
                 toldOut.get(d).clear();
                 toldOut.get(d).addAll(r.out);
                 purged.get(d).clear();
@@ -344,7 +344,7 @@
         long number = w.log.size() + 1;
         switch (w.chance.nextInt(5)) {
             case 0 -> w.log.add(new Event(number, Director.DRAINING, id, -1, w.now));
-            case 1 -> w.log.add(new Event(number, Director.GONE, id, -1, w.now));
+            case 1 -> w.log.add(new Event(number, Director.REMOVED, id, -1, w.now));
             case 2 -> w.log.add(new Event(number, Director.IN_SERVICE, id, -1, w.now));
             case 3 -> w.log.add(new Event(number, 0, null, w.chance.nextInt(12), w.now));
             default -> w.boxes.get(id).up = false;
--- a/src/test/java/mothcross/ColdSumTest.java
+++ b/src/test/java/mothcross/ColdSumTest.java
@@ -83,7 +83,7 @@
         final double[] mean = {400, 60};
         final int directors, caches;
         final Restarts restarts;
-        final Decide[] fleet;
+        final CacheDirector[] fleet;
         final Node[] nodes;
         final List<Asked>[] asked;
         long order, sent;
@@ -104,7 +104,7 @@
             caches = 4 + chance.nextInt(4);
             nodes = new Node[caches + 3];
             for (int i = 0; i < nodes.length; i++) nodes[i] = new Node(i, i < caches ? 0 : i < caches + 2 ? 1 : 2);
-            fleet = new Decide[directors];
+            fleet = new CacheDirector[directors];
             asked = new List[directors];
         }
 
@@ -112,35 +112,35 @@
             due.add(new Object[] {t, order++, r});
         }
 
-        private Decide director() {
+        private CacheDirector director() {
             Workload[] all = new Workload[2];
             for (int i = 0; i < 2; i++) {
-                all[i] = new Workload(Workload.Effect.REPEATABLE, Workload.Group.ALL, 5000, 400, 2, 6000, 2, 0.15, 0, 0,
+                all[i] = new Workload(Workload.Effect.IDEMPOTENT, Workload.DeduplicationScope.ALL, 5000, 400, 2, 6000, 2, 0.15, 0, 0,
                     0.5, false);
             }
-            return new Decide(chance.nextLong(), all, new Places(0, new int[] {directors}, directors, 1, 2),
-                new Allowances(6, true, true, false, true, 1000), new Knowledge(true, true, false, 10, 0),
-                new ColdStart(floor, warm, factor, span), new ColdStart(floor / 2, warm, 2, span), PURGE_TAKES);
+            return new CacheDirector(chance.nextLong(), all, new Topology(0, new int[] {directors}, directors, 1, 2),
+                new Capabilities(6, true, true, false, true, 1000), new SiteParameters(true, true, false, 10, 0),
+                new SlowStartLimits(floor, warm, factor, span), new SlowStartLimits(floor / 2, warm, 2, span), PURGE_TAKES);
         }
 
         private void list(Director to, double startedAt, int news) {
-            to.listBegins(news);
+            to.listStarted(news);
             for (Node n : nodes) {
                 boolean cold = startedAt > 0 && n.kind < 2;
-                to.listed(n.index, "n" + n.index, 0, n.kind, 0, Director.IN_SERVICE, units, cold ? startedAt : 0);
+                to.nodeListed(n.index, "n" + n.index, 0, n.kind, 0, Director.IN_SERVICE, units, cold ? startedAt : 0);
             }
-            to.listEnds();
+            to.listFinished();
         }
 
         private void start(int d, double startedAt) {
             fleet[d] = director();
             asked[d] = new ArrayList<>();
-            round(d, to -> list(to, startedAt, Director.REMEMBERED));
+            round(d, to -> list(to, startedAt, Director.LIST_RESTORED));
         }
 
-        private void round(int d, RoundReader in) {
-            Decide director = fleet[d];
-            director.round(now, in, new Writer(d, director));
+        private void round(int d, EventBatch in) {
+            CacheDirector director = fleet[d];
+            director.process(now, in, new Writer(d, director));
         }
 
         void play() {
@@ -156,7 +156,7 @@
             at(STARTS_AT, () -> {
                 for (int d = 0; d < directors; d++) {
                     if (restarts == Restarts.WITH_THE_NODES) start(d, STARTS_AT);
-                    else round(d, to -> list(to, STARTS_AT, Director.WHOLE));
+                    else round(d, to -> list(to, STARTS_AT, Director.LIST_SNAPSHOT));
                 }
             });
             for (int d = 0; d < directors && restarts == Restarts.WHILE_COLD; d++) {
@@ -213,20 +213,20 @@
         /** What a director decides: an attempt is answered after its sending time, a fill by way of its source. */
         private final class Writer implements DecisionWriter {
             final int d;
-            final Decide of;
+            final CacheDirector of;
             final List<Asked> mine;
 
-            Writer(int d, Decide of) {
+            Writer(int d, CacheDirector of) {
                 this.d = d;
                 this.of = of;
                 mine = asked[d];
             }
 
-            @Override public void look(int lookup, int node, double giveUpAt) {
-                fetch(lookup, node, giveUpAt, node, 0, 0, 0);
+            @Override public void sendCacheOnly(int lookup, int node, double giveUpAt) {
+                sendFetch(lookup, node, giveUpAt, node, 0, 0, 0);
             }
 
-            @Override public void fetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge,
+            @Override public void sendFetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge,
                                         int how) {
                 Asked a = mine.get(lookup);
                 int hop = a.attempts++;
@@ -237,28 +237,28 @@
                     if (fleet[d] != of) return;             // it has started anew meanwhile
                     boolean miss = source == node && node < caches && chance.nextDouble() < 0.3;
                     int note = miss ? 0 : fills ? Director.FILLED : Director.HIT;
-                    round(d, to -> to.hopEnded(lookup, hop, node, miss ? Director.MISS : Director.HANDLED, !miss, note,
+                    round(d, to -> to.hopEnded(lookup, hop, node, miss ? Director.MISS : Director.SUCCEEDED, !miss, note,
                         30 + a.ownMs, 0, null));
                 });
             }
 
-            @Override public void callOff(int lookup, int hop) { }
+            @Override public void cancelHop(int lookup, int hop) { }
 
-            @Override public void bounce(int lookup, double comeBackAfter) { }
+            @Override public void reject(int lookup, double comeBackAfter) { }
 
-            @Override public void giveUp(int lookup) { }
+            @Override public void fail(int lookup) { }
 
             @Override public void probe(int node) { }
 
-            @Override public void remind(double at, long name) {
+            @Override public void setTimer(double at, long name) {
                 Fleet.this.at(at, () -> {
-                    if (fleet[d] == of) round(d, to -> to.bell(name));
+                    if (fleet[d] == of) round(d, to -> to.timerFired(name));
                 });
             }
 
-            @Override public void followList(boolean on) { }
+            @Override public void watchNodeList(boolean on) { }
 
-            @Override public void say(String text) { }
+            @Override public void log(String text) { }
         }
     }
 }
--- a/src/test/java/mothcross/ModelTest.java
+++ b/src/test/java/mothcross/ModelTest.java
@@ -11,30 +11,30 @@
 public class ModelTest {
     @Test public void chanceToBeIn() {
         // r/mu = ln 2: e^x - 1 = 1, so 1 * pass / (1 + pass).
-        assertEquals(Decide.Admission.in(Math.log(2), 1, 1), 0.5, 1e-12);
-        assertEquals(Decide.Admission.in(Math.log(2), 1, 0.25), 0.2, 1e-12);
-        assertEquals(Decide.Admission.in(2 * Math.log(3), 2, 0.5), 0.5, 1e-12);
-        assertEquals(Decide.Admission.in(1e-9, 1, 1), 1e-9, 1e-15);
-        assertEquals(Decide.Admission.in(1, 1, 0), 0, 0);
-        assertEquals(Decide.Admission.in(1e6, 1, 1e-9), 1, 1e-6);
-        assertTrue(Decide.Admission.in(1e300, 1e-300, 1) <= 1);
+        assertEquals(CacheDirector.Admission.in(Math.log(2), 1, 1), 0.5, 1e-12);
+        assertEquals(CacheDirector.Admission.in(Math.log(2), 1, 0.25), 0.2, 1e-12);
+        assertEquals(CacheDirector.Admission.in(2 * Math.log(3), 2, 0.5), 0.5, 1e-12);
+        assertEquals(CacheDirector.Admission.in(1e-9, 1, 1), 1e-9, 1e-15);
+        assertEquals(CacheDirector.Admission.in(1, 1, 0), 0, 0);
+        assertEquals(CacheDirector.Admission.in(1e6, 1, 1e-9), 1, 1e-6);
+        assertTrue(CacheDirector.Admission.in(1e300, 1e-300, 1) <= 1);
     }
 
     /** A round goes in short parts, so that no lookup waits for a whole one; c changes with the last. */
-    private static int round(Decide.Admission a, double reported) {
+    private static int round(CacheDirector.Admission a, double reported) {
         int parts = 1;
         for (double c = a.c; a.tune(reported) < 1000; parts++) assertEquals(a.c, c, "part " + parts);
         return parts;
     }
 
     @Test public void aRoundGoesInParts() {
-        Decide.Admission a = new Decide.Admission(new SplittableRandom(1), 1);
+        CacheDirector.Admission a = new CacheDirector.Admission(new SplittableRandom(1), 1);
         for (int key = 0; key < 50; key++) a.note(key, 1000);
         assertTrue(round(a, 0.5) > 10 && a.c < Double.POSITIVE_INFINITY);
     }
 
     @Test public void solverReachesK() {
-        Decide.Admission a = new Decide.Admission(new SplittableRandom(1), 1);
+        CacheDirector.Admission a = new CacheDirector.Admission(new SplittableRandom(1), 1);
         for (int round = 0; round < 3; round++) {
             for (int key = 0; key < 200; key++) for (int i = 0; i <= 200 / (key + 1); i++) a.note(key, 100 + key);
             round(a, 0.5);
@@ -44,7 +44,7 @@
     }
 
     @Test public void rankingStaysWhenANodeLeaves() {
-        Stage stage = new Stage(List.of());
+        ScenarioHarness stage = new ScenarioHarness(List.of());
         stage.play(0, "list 2 a,1,0,0,800,0 b,1,0,0,800,0 c,1,0,0,800,0 p,0,1,0,9,0 o,0,2,0,1,0");
         for (int i = 0; i < 300; i++) stage.play(1, "ask " + i + " " + i);
         stage.play(2, "list 0 c,1,0,2,800,0");
@@ -59,7 +59,7 @@
     }
 
     @Test public void smallIsAdmittedMoreOftenThanLarge() {
-        Decide.Admission a = new Decide.Admission(new SplittableRandom(1), 1);
+        CacheDirector.Admission a = new CacheDirector.Admission(new SplittableRandom(1), 1);
         assertTrue(a.admits(1e9), "all is kept until the first round");
         for (int round = 0; round < 4; round++) {
             for (int key = 0; key < 400; key++) for (int i = 0; i < 4; i++) a.note(key, key % 2 == 0 ? 10 : 1000);
@@ -77,7 +77,7 @@
     @Test public void moreDirectorsBringTheCoinUpSooner() {
         double[] content = new double[2];
         for (int i = 0; i < 2; i++) {
-            Decide.Admission a = new Decide.Admission(new SplittableRandom(1), i == 0 ? 1 : 10);
+            CacheDirector.Admission a = new CacheDirector.Admission(new SplittableRandom(1), i == 0 ? 1 : 10);
             for (int key = 0; key < 50; key++) a.note(key, 1000);
             round(a, 0.5);
             a.passes(500);
--- a/src/test/java/mothcross/Stage.java
+++ b/src/test/java/mothcross/ScenarioHarness.java
@@ -3,7 +3,7 @@
 import java.util.*;
 
 /** One director on a stage: plays scenario lines into it and notes what it writes. */
-final class Stage implements DecisionWriter {
+final class ScenarioHarness implements DecisionWriter {
     final List<String> written = new ArrayList<>();
     int checks;
     private final Map<String, String> told = new HashMap<>(Map.of("effect", "REPEATABLE", "group", "ALL",
@@ -16,17 +16,17 @@
     private final String[] lastSource = new String[4096];
     private final Director director;
 
-    Stage(List<String> start) {
+    ScenarioHarness(List<String> start) {
         told.put("here", "1");
         for (String s : start) for (String p : s.split(" ")) told.put(p.split("=")[0], p.split("=")[1]);
         Workload w = new Workload(Workload.Effect.valueOf(told.get("effect")),
-            Workload.Group.valueOf(told.get("group")), 5000, 400, 2, 6000, 2, 0.15, n("fresh"), n("stale"), 0.5,
+            Workload.DeduplicationScope.valueOf(told.get("group")), 5000, 400, 2, 6000, 2, 0.15, n("fresh"), n("stale"), 0.5,
             told.containsKey("never"));
-        director = new Decide(7, new Workload[] {w},
-            new Places(1, new int[] {0, (int) n("here"), 1}, (int) n("directors"), 1, 2),
-            new Allowances((int) n("hops"), n("copies") > 0, true, n("straight") > 0, true, 1000),
-            new Knowledge(n("links") > 0, n("explained") > 0, told.containsKey("follow"), 10, 0),
-            new ColdStart(0.2, 10_000, 3, 1000), new ColdStart(0.1, 20_000, 2, 1000), 6000);
+        director = new CacheDirector(7, new Workload[] {w},
+            new Topology(1, new int[] {0, (int) n("here"), 1}, (int) n("directors"), 1, 2),
+            new Capabilities((int) n("hops"), n("copies") > 0, true, n("straight") > 0, true, 1000),
+            new SiteParameters(n("links") > 0, n("explained") > 0, told.containsKey("follow"), 10, 0),
+            new SlowStartLimits(0.2, 10_000, 3, 1000), new SlowStartLimits(0.1, 20_000, 2, 1000), 6000);
     }
 
     private double n(String key) {
@@ -37,7 +37,7 @@
     void play(double t, String line) {
         while (!bells.isEmpty() && bells.peek()[0] <= t) {
             double[] b = bells.poll();
-            director.round(b[0], to -> to.bell((long) b[1]), this);
+            director.process(b[0], to -> to.timerFired((long) b[1]), this);
         }
         if (line.startsWith("serve ") || line.startsWith("fail ")) {   // asked, and ended if a hop went out
             int before = written.size();
@@ -58,7 +58,7 @@
         String[] p = line.split(" ");
         Map<String, String> f = new HashMap<>();
         for (String x : p) if (x.indexOf('=') > 0) f.put(x.split("=")[0], x.split("=")[1]);
-        director.round(t, to -> {
+        director.process(t, to -> {
             switch (p[0]) {
                 case "ask" -> {
                     int l = Integer.parseInt(p[1]);
@@ -83,12 +83,12 @@
                             (int) num(f, "note", 0), num(f, "spent", 100), num(f, "wait", 0), null);
                     }
                 }
-                case "left" -> to.clientLeft(Integer.parseInt(p[1]));
+                case "left" -> to.clientDisconnected(Integer.parseInt(p[1]));
                 case "purge" -> to.purged(Long.parseLong(p[1]), (int) num(f, "group", -1), num(f, "ago", 0));
                 case "list" -> {
-                    to.listBegins(Integer.parseInt(p[1]));
+                    to.listStarted(Integer.parseInt(p[1]));
                     for (int i = 2; i < p.length; i++) entry(to, p[i].split(","));
-                    to.listEnds();
+                    to.listFinished();
                 }
                 default -> throw new IllegalArgumentException(line);
             }
@@ -96,9 +96,9 @@
     }
 
     /** {@code by=KEY}, {@code most=HOPS} and {@code weight=SHARE} of an {@code ask}: what a route narrows. */
-    private static Narrowing narrowing(Map<String, String> f) {
+    private static RouteConstraints narrowing(Map<String, String> f) {
         if (!f.containsKey("by") && !f.containsKey("most") && !f.containsKey("weight")) return null;
-        return new Narrowing(f.containsKey("by"), (long) num(f, "by", 0), (int) num(f, "most", 99), num(f, "weight",
+        return new RouteConstraints(f.containsKey("by"), (long) num(f, "by", 0), (int) num(f, "most", 99), num(f, "weight",
             1));
     }
 
@@ -109,7 +109,7 @@
             nodes.put(e[0], at = names.size());
             names.add(e[0]);
         }
-        to.listed(at, e[0], Integer.parseInt(e[1]), Integer.parseInt(e[2]), Integer.parseInt(e[1]),
+        to.nodeListed(at, e[0], Integer.parseInt(e[1]), Integer.parseInt(e[2]), Integer.parseInt(e[1]),
             Integer.parseInt(e[3]), Double.parseDouble(e[4]), Double.parseDouble(e[5]));
     }
 
@@ -117,13 +117,13 @@
         return f.containsKey(key) ? Double.parseDouble(f.get(key)) : otherwise;
     }
 
-    @Override public void look(int lookup, int node, double giveUpAt) {
+    @Override public void sendCacheOnly(int lookup, int node, double giveUpAt) {
         hops[lookup]++;
         lastNode[lookup] = node;
         written.add("look " + lookup + " " + names.get(node));
     }
 
-    @Override public void fetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge,
+    @Override public void sendFetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge,
                                 int how) {
         hops[lookup]++;
         lastNode[lookup] = node;
@@ -132,15 +132,15 @@
             + " age=" + Math.round(maxAge) + " how=" + how + " until=" + Math.round(giveUpAt));
     }
 
-    @Override public void callOff(int lookup, int hop) {
+    @Override public void cancelHop(int lookup, int hop) {
         written.add("calloff " + lookup + " " + hop);
     }
 
-    @Override public void bounce(int lookup, double comeBackAfter) {
+    @Override public void reject(int lookup, double comeBackAfter) {
         written.add("bounce " + lookup + (comeBackAfter > 0 ? " later" : ""));
     }
 
-    @Override public void giveUp(int lookup) {
+    @Override public void fail(int lookup) {
         written.add("giveup " + lookup);
     }
 
@@ -148,13 +148,13 @@
         written.add("probe " + names.get(node));
     }
 
-    @Override public void remind(double at, long name) {
+    @Override public void setTimer(double at, long name) {
         bells.add(new double[] {at, name});
     }
 
-    @Override public void followList(boolean on) {
+    @Override public void watchNodeList(boolean on) {
         written.add("follow " + on);
     }
 
-    @Override public void say(String text) { }
+    @Override public void log(String text) { }
 }
--- a/src/test/java/mothcross/fleet/PartsTest.java
+++ b/src/test/java/mothcross/fleet/PartsTest.java
@@ -25,9 +25,9 @@
             {40_000, 1, 2, 1, 5, 0, 0},         // in again, in a new life
             {47_000, 1, 2, 1, 5, 0, 1},
             {48_000, 1, 2, 1, 4, 3, 1.25}};     // more have ended than there are parts
-        Parts p = new Parts(5, 5000, 2000);
+        LimitShare p = new LimitShare(5, 5000, 2000);
         for (double[] s : steps) {
-            assertEquals(p.times(s[0], s[1] > 0, (long) s[2], s[3] > 0, (int) s[4], (int) s[5]), s[6], 1e-9,
+            assertEquals(p.multiplier(s[0], s[1] > 0, (long) s[2], s[3] > 0, (int) s[4], (int) s[5]), s[6], 1e-9,
                 "at " + s[0]);
         }
     }
--- a/src/test/java/mothcross/net/DrainPathsTest.java
+++ b/src/test/java/mothcross/net/DrainPathsTest.java
@@ -30,9 +30,9 @@
     /** The answer to a liveness question, which may come unasked: it only shows that the node is there. */
     private static final String ALIVE = "l0 FIT - 0||";
 
-    private static Life told(Map<String, String> start, Map<String, Outside> parties, String listen) throws Exception {
+    private static DirectorServer told(Map<String, String> start, Map<String, Outside> parties, String listen) throws Exception {
         String told = Outside.told(start, parties);
-        return new Life(Start.of(JsonParser.parseString(told).getAsJsonObject(), listen, true, 0));
+        return new DirectorServer(StartupConfig.of(JsonParser.parseString(told).getAsJsonObject(), listen, true, 0));
     }
 
     private static String drains(long event, Outside who, int index, int kind) {
@@ -58,11 +58,11 @@
         Map<String, Outside> parties = new TreeMap<>(Map.of("bulletin", Outside.listening("node", "bulletin", 99),
             "n1", Outside.listening("node", "cache", 1), "p1", Outside.listening("node", "parent", 2),
             "p2", Outside.listening("node", "parent", 3)));
-        Life life = told(Map.of("connect", "5"), parties, "127.0.0.1:" + port);
+        DirectorServer life = told(Map.of("connect", "5"), parties, "127.0.0.1:" + port);
         Thread begins = new Thread(() -> {
             try {
-                life.begin();
-            } catch (IOException | Start.Unusable e) {
+                life.start();
+            } catch (IOException | StartupConfig.InvalidConfigException e) {
                 throw new IllegalStateException(e);
             }
         });
@@ -90,9 +90,9 @@
         for (String how : List.of("refused", "node")) {
             Map<String, Outside> parties = new TreeMap<>(Map.of("bulletin", Outside.listening(how, "bulletin", 99),
                 "n1", Outside.listening("node", "cache", 1)));
-            Life life = told(Map.of("connect", "0.2"), parties, null);
+            DirectorServer life = told(Map.of("connect", "0.2"), parties, null);
             try {
-                life.begin();
+                life.start();
                 Outside a = Outside.client("a", life.port());
                 a.write(String.format(ASK, 10, 10, 0, ""), false);
                 assertTrue(parties.get("n1").read().startsWith("want 000000000000000a"));
@@ -113,11 +113,11 @@
             "n1", Outside.listening("tight", "cache", 1), "o1", Outside.listening("node", "origin", 2)));
         // So many nodes that each gets one connection.
         for (int i = 0; i < 60; i++) parties.put("x" + i, Outside.listening("refused", "parent", 100 + i));
-        Life life = told(Map.of("connect", "3", "sockets", "380", "streams", "1000",
+        DirectorServer life = told(Map.of("connect", "3", "sockets", "380", "streams", "1000",
             "straight", "true"), parties, null);
         List<Outside> clients = new ArrayList<>();
         try {
-            life.begin();
+            life.start();
             Outside n1 = parties.get("n1"), bulletin = parties.get("bulletin");
             for (int i = 0; i < REQUESTS; i++) clients.add(ask(life, i));
             Fleet.until("all asked, and some wait for a full socket", () -> waits(life) > 0
@@ -147,14 +147,14 @@
         Map<String, Outside> parties = new TreeMap<>(Map.of("bulletin", Outside.listening("node", "bulletin", 99),
             "n1", Outside.listening("tight", "cache", 1)));
         for (int i = 0; i < 60; i++) parties.put("x" + i, Outside.listening("refused", "parent", 100 + i));
-        Life life = told(Map.of("connect", "0.4", "sockets", "380", "streams", "1000", "effect", "unsafe", "probing",
+        DirectorServer life = told(Map.of("connect", "0.4", "sockets", "380", "streams", "1000", "effect", "unsafe", "probing",
             "true"), parties, null);
         Outside node = parties.get("n1");
         FirstAttempts attempts = new FirstAttempts(node.port());
         life.desk().locked(() -> life.desk().witness(attempts));
         List<Outside> clients = new ArrayList<>();
         try {
-            life.begin();
+            life.start();
             for (int i = 0; i < REQUESTS; i++) {
                 clients.add(ask(life, i));
                 node.write(ALIVE, false);               // the silence that ends the connection starts after the last
@@ -163,8 +163,8 @@
                 && life.desk().openLookups() == REQUESTS);
             Fleet.until("the silent node's connection is ended", () -> attempts.ended() == REQUESTS);
             List<FirstAttempt> handed = attempts.handed(true), neverHanded = attempts.handed(false);
-            for (FirstAttempt a : handed) assertEquals(a.outcome, Director.BROKEN, "may have run: " + a);
-            for (FirstAttempt a : neverHanded) assertEquals(a.outcome, Director.UNREACHED, "never ran: " + a);
+            for (FirstAttempt a : handed) assertEquals(a.outcome, Director.CONNECTION_LOST, "may have run: " + a);
+            for (FirstAttempt a : neverHanded) assertEquals(a.outcome, Director.CONNECT_FAILED, "never ran: " + a);
             assertFalse(neverHanded.isEmpty(), "some still wait when the connection ends");
             Set<String> written = ids(handed.stream().filter(FirstAttempt::written).toList());
             assertEquals(handed.size() - written.size(), 1, "one write is under way when the connection ends");
@@ -184,7 +184,7 @@
     private record FirstAttempt(String id, int outcome, boolean handed, boolean written) { }
 
     /** Records the first attempts at one node as they end, under the lock that guards handing them to a socket. */
-    private static final class FirstAttempts implements Witness {
+    private static final class FirstAttempts implements HopObserver {
         private final int nodePort;
         private final List<FirstAttempt> ended = new ArrayList<>();
 
@@ -219,17 +219,17 @@
     }
 
     /** Sends one request with a large body from a new client. */
-    private static Outside ask(Life life, int i) throws IOException {
+    private static Outside ask(DirectorServer life, int i) throws IOException {
         Outside client = Outside.client("c" + i, life.port());
         client.write(String.format(ASK, i, i + 1, BODY.length(), BODY), false);
         return client;
     }
 
-    private static long notSent(Life life) {
+    private static long notSent(DirectorServer life) {
         return ends(life, Director.NOT_SENT);
     }
 
-    private static long ends(Life life, int how) {
+    private static long ends(DirectorServer life, int how) {
         life.desk().enter();
         try {
             return life.desk().count.ends[how];
@@ -238,7 +238,7 @@
         }
     }
 
-    private static int waits(Life life) {
+    private static int waits(DirectorServer life) {
         life.desk().enter();
         try {
             return life.desk().connections.stream().mapToInt(NodeConnection::waits).sum();
--- a/src/test/java/mothcross/rig/FleetTest.java
+++ b/src/test/java/mothcross/rig/FleetTest.java
@@ -8,10 +8,10 @@
 import java.util.function.Predicate;
 import java.util.function.UnaryOperator;
 import java.util.stream.Stream;
-import mothcross.fleet.Fact;
-import mothcross.fleet.Item;
+import mothcross.fleet.FailureDetectorSettings;
+import mothcross.fleet.GossipItem;
+import mothcross.fleet.MemberRecord;
 import mothcross.fleet.Message;
-import mothcross.fleet.Pace;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -77,7 +77,7 @@
 
     @Test(dataProvider = "cases") public void hardCase(String name, String script) {
         for (long seed = 1; seed <= 5; seed++) {
-            Virtual v = Virtual.play(FaultScript.of(script), Pace.USUAL, seed, null);
+            SimulatedFleet v = SimulatedFleet.play(FaultScript.of(script), FailureDetectorSettings.DEFAULTS, seed, null);
             List<String> broken = v.check(mayBeOut(name)).broken;
             assertTrue(v.mostParts <= 1 + 1e-9, name + ", seed " + seed + ": parts came to " + v.mostParts + " at "
                 + v.mostPartsAt);
@@ -91,7 +91,7 @@
         List<String> bad = new java.util.concurrent.CopyOnWriteArrayList<>();
         java.util.stream.IntStream.range(from, from + all).parallel().forEach(seed -> {
             FaultScript s = FaultScript.drawn(new SplittableRandom(seed));
-            Virtual v = Virtual.play(s, Pace.USUAL, seed, null);
+            SimulatedFleet v = SimulatedFleet.play(s, FailureDetectorSettings.DEFAULTS, seed, null);
             List<String> broken = v.check().broken;
             // The stated slack: one director's part, where news of a return is late.
             if (v.mostParts > 1 + 1.0 / s.members) {
@@ -113,69 +113,69 @@
         for (Path f : files) {
             long seed = Long.parseLong(f.getFileName().toString().replaceAll("\\D", ""));
             FaultScript s = FaultScript.of(Files.readString(f));
-            List<String> broken = Virtual.play(s, Pace.USUAL, seed, null).check().broken;
+            List<String> broken = SimulatedFleet.play(s, FailureDetectorSettings.DEFAULTS, seed, null).check().broken;
             assertTrue(broken.isEmpty(), f.getFileName() + ":\n" + String.join("\n", broken));
         }
     }
 
     // ---- planted faults: each has to be found by the checkers within the cases and a few drawn histories ----
 
-    private static Message with(Message m, long digest, List<Item> items, List<Fact> state) {
-        return new Message(m.kind(), m.from(), m.life(), m.host(), m.port(), m.to(), m.seq(), m.about(), m.heard(),
-            m.number(), digest, items, state);
+    private static Message with(Message m, long digest, List<GossipItem> items, List<MemberRecord> state) {
+        return new Message(m.kind(), m.from(), m.incarnation(), m.host(), m.port(), m.to(), m.seq(), m.subject(), m.pingReceived(),
+            m.viewNumber(), digest, items, state);
     }
 
-    private static Virtual.Spoils items(Predicate<Item> keeps) {
-        return (who, m) -> with(m, m.digest(), m.items().stream().filter(keeps).toList(), m.state());
+    private static SimulatedFleet.Spoils items(Predicate<GossipItem> keeps) {
+        return (who, m) -> with(m, m.viewDigest(), m.items().stream().filter(keeps).toList(), m.viewMembers());
     }
 
-    private static Virtual.Spoils each(UnaryOperator<Item> with) {
-        return (who, m) -> with(m, m.digest(), m.items().stream().map(with).toList(), m.state());
+    private static SimulatedFleet.Spoils each(UnaryOperator<GossipItem> with) {
+        return (who, m) -> with(m, m.viewDigest(), m.items().stream().map(with).toList(), m.viewMembers());
     }
 
-    private static Virtual.Spoils without(Message.Kind... kinds) {
+    private static SimulatedFleet.Spoils without(Message.Kind... kinds) {
         return (who, m) -> List.of(kinds).contains(m.kind()) ? null : m;
     }
 
-    private static Item agreed(Item i) {
-        if (!(i instanceof Item.Proposal p)) return i;
+    private static GossipItem agreed(GossipItem i) {
+        if (!(i instanceof GossipItem.Proposal p)) return i;
         BitSet all = new BitSet();
         all.set(0, 64);
-        return new Item.Proposal(p.base(), p.number(), p.round(), p.maker(), p.out(), p.in(), all);
+        return new GossipItem.Proposal(p.baseDigest(), p.baseNumber(), p.round(), p.proposer(), p.leaving(), p.joining(), all);
     }
 
-    private static Pace pace(double high, double silent, int doubts) {
-        Pace u = Pace.USUAL;
-        return new Pace(u.period(), u.ackWait(), u.helpers(), doubts, u.rings(), Math.min(high, u.lowShare()), high,
-            silent, u.settle(), u.hold(), u.forget());
+    private static FailureDetectorSettings pace(double high, double silent, int doubts) {
+        FailureDetectorSettings u = FailureDetectorSettings.DEFAULTS;
+        return new FailureDetectorSettings(u.probePeriodMs(), u.ackTimeoutMs(), u.indirectProbes(), doubts, u.rings(), Math.min(high, u.lowShare()), high,
+            silent, u.proposalDelayMs(), u.rejoinDelayMs(), u.forgetAfterMs());
     }
 
     @DataProvider public Object[][] planted() {
-        Pace usual = Pace.USUAL;
+        FailureDetectorSettings usual = FailureDetectorSettings.DEFAULTS;
         return new Object[][] {
             {"one watcher is enough, and at once", pace(0.01, 1, 4), null},
             {"a pause is a death", pace(0.7, 1000, 4), null},
             {"a lost message is a death", pace(0.7, 1, 1), null},
-            {"refutals are ignored", usual, items(i -> !(i instanceof Item.Refutal))},
-            {"accusations are never cleared", usual, items(i -> !(i instanceof Item.Accusation a)
-                || a.edge() != Item.Edge.FINE)},
-            {"accusations are not heard", usual, items(i -> !(i instanceof Item.Accusation))},
+            {"refutals are ignored", usual, items(i -> !(i instanceof GossipItem.Refutation))},
+            {"accusations are never cleared", usual, items(i -> !(i instanceof GossipItem.Accusation a)
+                || a.linkStatus() != GossipItem.LinkStatus.FINE)},
+            {"accusations are not heard", usual, items(i -> !(i instanceof GossipItem.Accusation))},
             {"votes are made up", usual, each(FleetTest::agreed)},
-            {"views are never compared", usual, (Virtual.Spoils) (who, m) -> m.kind() == Message.Kind.WANT ? null : m},
-            {"who was put out is forgotten", usual, (Virtual.Spoils) (who, m) -> m.state() == null ? m : with(m,
-                m.digest(), m.items(), m.state().stream().filter(f -> f.standing() == Fact.Standing.IN).toList())},
-            {"newcomers are not passed on", usual, items(i -> !(i instanceof Item.Candidate))},
-            {"two by one name are not told apart", usual, without(Message.Kind.WHO, Message.Kind.HERE)}};
+            {"views are never compared", usual, (SimulatedFleet.Spoils) (who, m) -> m.kind() == Message.Kind.VIEW_REQUEST ? null : m},
+            {"who was put out is forgotten", usual, (SimulatedFleet.Spoils) (who, m) -> m.viewMembers() == null ? m : with(m,
+                m.viewDigest(), m.items(), m.viewMembers().stream().filter(f -> f.status() == MemberRecord.Status.IN).toList())},
+            {"newcomers are not passed on", usual, items(i -> !(i instanceof GossipItem.Candidate))},
+            {"two by one name are not told apart", usual, without(Message.Kind.NAME_QUERY, Message.Kind.NAME_REPLY)}};
     }
 
-    @Test(dataProvider = "planted") public void plantedFaultIsFound(String fault, Pace pace, Virtual.Spoils spoils) {
+    @Test(dataProvider = "planted") public void plantedFaultIsFound(String fault, FailureDetectorSettings pace, SimulatedFleet.Spoils spoils) {
         for (Object[] c : cases()) {
-            Virtual v = Virtual.play(FaultScript.of((String) c[1]), pace, 1, spoils);
+            SimulatedFleet v = SimulatedFleet.play(FaultScript.of((String) c[1]), pace, 1, spoils);
             if (!v.check(mayBeOut((String) c[0])).broken.isEmpty()) return;
         }
         for (long seed = 1; seed <= 200; seed++) {
             FaultScript s = FaultScript.drawn(new SplittableRandom(seed));
-            if (!Virtual.play(s, pace, seed, spoils).check().broken.isEmpty()) return;
+            if (!SimulatedFleet.play(s, pace, seed, spoils).check().broken.isEmpty()) return;
         }
         throw new AssertionError("not found: " + fault);
     }
