--- a/src/main/java/mothcross/EventBatch.java
+++ b/src/main/java/mothcross/EventBatch.java
@@ -1,6 +1,7 @@
 package mothcross;
 
-/** One round's lines, handed to the director's handlers in the order in which they came. */
+/** The events of one moment, in the order in which they came. */
 public interface EventBatch {
-    void deliverTo(Director to);
+    /** Calls the director's handler for each event. */
+    void deliverTo(Director director);
 }
--- a/src/main/java/mothcross/RouteConstraints.java
+++ b/src/main/java/mothcross/RouteConstraints.java
@@ -1,8 +1,12 @@
 package mothcross;
 
 /**
- * What a route takes away from a lookup: ranked by {@code placementKey} in place of its object (where
- * {@code hasPlacementKey}), so many hops at most, and a share of its workload's importance, which is how much of the
- * time left it may count on.
+ * What a route restricts for a lookup.
+ *
+ * @param hasPlacementKey nodes are ranked by {@code placementKey} in place of the object
+ * @param placementKey the key by which nodes are ranked
+ * @param maxHops most hops of the lookup
+ * @param importanceShare share of the workload's importance that is left to the lookup; it may count on this share of
+ *     the time until its target
  */
 public record RouteConstraints(boolean hasPlacementKey, long placementKey, int maxHops, double importanceShare) { }
--- a/src/test/java/mothcross/ModelTest.java
+++ b/src/test/java/mothcross/ModelTest.java
@@ -5,42 +5,59 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
+import mothcross.CacheDirector.Admission;
 import org.testng.annotations.Test;
 
-/** The Markov model against figures worked out by hand, and the tuning's ends. */
+/** The Markov model of the admission against values worked out by hand, its tuning, and the ranking of nodes. */
 public class ModelTest {
-    @Test public void chanceToBeIn() {
-        // r/mu = ln 2: e^x - 1 = 1, so 1 * pass / (1 + pass).
-        assertEquals(CacheDirector.Admission.in(Math.log(2), 1, 1), 0.5, 1e-12);
-        assertEquals(CacheDirector.Admission.in(Math.log(2), 1, 0.25), 0.2, 1e-12);
-        assertEquals(CacheDirector.Admission.in(2 * Math.log(3), 2, 0.5), 0.5, 1e-12);
-        assertEquals(CacheDirector.Admission.in(1e-9, 1, 1), 1e-9, 1e-15);
-        assertEquals(CacheDirector.Admission.in(1, 1, 0), 0, 0);
-        assertEquals(CacheDirector.Admission.in(1e6, 1, 1e-9), 1, 1e-6);
-        assertTrue(CacheDirector.Admission.in(1e300, 1e-300, 1) <= 1);
+    @Test public void residenceProbability() {
+        // rate / pushdown rate = ln 2: e^x - 1 = 1, so the probability is 1 * admission / (1 + admission).
+        assertEquals(Admission.residenceProbability(Math.log(2), 1, 1), 0.5, 1e-12);
+        assertEquals(Admission.residenceProbability(Math.log(2), 1, 0.25), 0.2, 1e-12);
+        assertEquals(Admission.residenceProbability(2 * Math.log(3), 2, 0.5), 0.5, 1e-12);
+        assertEquals(Admission.residenceProbability(1e-9, 1, 1), 1e-9, 1e-15);
+        assertEquals(Admission.residenceProbability(1, 1, 0), 0, 0);
+        assertEquals(Admission.residenceProbability(1e6, 1, 1e-9), 1, 1e-6);
+        assertTrue(Admission.residenceProbability(1e300, 1e-300, 1) <= 1);
     }
 
-    /** A round goes in short parts, so that no lookup waits for a whole one; c changes with the last. */
-    private static int round(CacheDirector.Admission a, double reported) {
-        int parts = 1;
-        for (double c = a.c; a.tune(reported) < 1000; parts++) assertEquals(a.c, c, "part " + parts);
-        return parts;
+    /**
+     * Plays one round and returns the number of its steps. The steps are short, so that no lookup waits for a whole
+     * round; c changes only with the last.
+     */
+    private static int playRound(Admission admission, double reportedHitRatio) {
+        int steps = 1;
+        double before = admission.c;
+        while (admission.tune(reportedHitRatio) < 1000) {
+            assertEquals(admission.c, before, "step " + steps);
+            steps++;
+        }
+        return steps;
+    }
+
+    private static Admission admission(int directors) {
+        return new Admission(new SplittableRandom(1), directors);
+    }
+
+    private static void request(Admission admission, int key, double sizeKb, int times) {
+        for (int i = 0; i < times; i++) admission.recordRequest(key, sizeKb);
     }
 
-    @Test public void aRoundGoesInParts() {
-        CacheDirector.Admission a = new CacheDirector.Admission(new SplittableRandom(1), 1);
-        for (int key = 0; key < 50; key++) a.note(key, 1000);
-        assertTrue(round(a, 0.5) > 10 && a.c < Double.POSITIVE_INFINITY);
+    @Test public void roundIsSplitIntoSteps() {
+        Admission admission = admission(1);
+        for (int key = 0; key < 50; key++) request(admission, key, 1000, 1);
+        assertTrue(playRound(admission, 0.5) > 10 && admission.c < Double.POSITIVE_INFINITY);
     }
 
-    @Test public void solverReachesK() {
-        CacheDirector.Admission a = new CacheDirector.Admission(new SplittableRandom(1), 1);
+    @Test public void solverReachesCapacity() {
+        Admission admission = admission(1);
         for (int round = 0; round < 3; round++) {
-            for (int key = 0; key < 200; key++) for (int i = 0; i <= 200 / (key + 1); i++) a.note(key, 100 + key);
-            round(a, 0.5);
+            for (int key = 0; key < 200; key++) request(admission, key, 100 + key, 200 / (key + 1) + 1);
+            playRound(admission, 0.5);
         }
-        a.passes(a.c);
-        assertEquals(a.held(a.pushdown(a.k, a.size), a.size) / a.k, 1, 1e-3);
+        admission.setProbabilities(admission.c);
+        double pushdownRate = admission.solvePushdownRate(admission.capacity, admission.sizes);
+        assertEquals(admission.expectedSum(pushdownRate, admission.sizes) / admission.capacity, 1, 1e-3);
     }
 
     @Test public void rankingStaysWhenANodeLeaves() {
@@ -51,37 +68,39 @@
         for (int i = 0; i < 300; i++) stage.play(3, "ask " + (300 + i) + " " + i);
         int onC = 0;
         for (int i = 0; i < 300; i++) {
-            String before = stage.written.get(i).split(" ")[2], after = stage.written.get(300 + i).split(" ")[2];
+            String before = stage.written.get(i).split(" ")[2];
+            String after = stage.written.get(300 + i).split(" ")[2];
             if (before.equals("c")) onC++;
             else assertEquals(after, before, "object " + i);
         }
-        assertTrue(onC > 70 && onC < 130, "a third stood on c: " + onC);
+        assertTrue(onC > 70 && onC < 130, "a third of the objects should rank c first: " + onC);
     }
 
-    @Test public void smallIsAdmittedMoreOftenThanLarge() {
-        CacheDirector.Admission a = new CacheDirector.Admission(new SplittableRandom(1), 1);
-        assertTrue(a.admits(1e9), "all is kept until the first round");
+    @Test public void smallObjectsAreAdmittedMoreOftenThanLargeOnes() {
+        Admission admission = admission(1);
+        assertTrue(admission.admits(1e9), "everything is admitted until the first round");
         for (int round = 0; round < 4; round++) {
-            for (int key = 0; key < 400; key++) for (int i = 0; i < 4; i++) a.note(key, key % 2 == 0 ? 10 : 1000);
-            round(a, 0.45);
+            for (int key = 0; key < 400; key++) request(admission, key, key % 2 == 0 ? 10 : 1000, 4);
+            playRound(admission, 0.45);
         }
-        int small = 0, large = 0;
+        int small = 0;
+        int large = 0;
         for (int i = 0; i < 1000; i++) {
-            if (a.admits(10)) small++;
-            if (a.admits(1000)) large++;
+            if (admission.admits(10)) small++;
+            if (admission.admits(1000)) large++;
         }
         assertTrue(small > 900, "small " + small);
         assertTrue(large < 600, "large " + large);
     }
 
-    @Test public void moreDirectorsBringTheCoinUpSooner() {
+    @Test public void moreDirectorsAdmitAnObjectSooner() {
         double[] content = new double[2];
         for (int i = 0; i < 2; i++) {
-            CacheDirector.Admission a = new CacheDirector.Admission(new SplittableRandom(1), i == 0 ? 1 : 10);
-            for (int key = 0; key < 50; key++) a.note(key, 1000);
-            round(a, 0.5);
-            a.passes(500);
-            content[i] = a.held(0.01, a.size);
+            Admission admission = admission(i == 0 ? 1 : 10);
+            for (int key = 0; key < 50; key++) request(admission, key, 1000, 1);
+            playRound(admission, 0.5);
+            admission.setProbabilities(500);
+            content[i] = admission.expectedSum(0.01, admission.sizes);
         }
         assertTrue(content[1] > 2 * content[0], content[0] + " and " + content[1]);
     }
