--- a/src/main/java/mothcross/adapter/LookupIndexAllocator.java
+++ b/src/main/java/mothcross/adapter/LookupIndexAllocator.java
@@ -2,58 +2,64 @@
 
 import java.util.Arrays;
 
-/** The small indices of lookups. One is free again once its lookup is over and none of its hops is out. */
+/** Allocates small indices to lookups. An index is free again once its lookup is over and has no hop in flight. */
 public final class LookupIndexAllocator {
-    private int[] hopsOut = new int[64];
+    private int[] hopsInFlight = new int[64];
     private int[] hopsSent = new int[64];
     private boolean[] over = new boolean[64];
     private int[] free = new int[64];
-    private int freeCount, used;
+    private int freeCount;
+    private int used;
 
+    /** Allocates an index. */
     public int allocate() {
-        int at = freeCount > 0 ? free[--freeCount] : used++;
-        if (at == free.length) {
-            hopsOut = Arrays.copyOf(hopsOut, 2 * at);
-            hopsSent = Arrays.copyOf(hopsSent, 2 * at);
-            over = Arrays.copyOf(over, 2 * at);
-            free = Arrays.copyOf(free, 2 * at);
+        int index = freeCount > 0 ? free[--freeCount] : used++;
+        if (index == free.length) {
+            hopsInFlight = Arrays.copyOf(hopsInFlight, 2 * index);
+            hopsSent = Arrays.copyOf(hopsSent, 2 * index);
+            over = Arrays.copyOf(over, 2 * index);
+            free = Arrays.copyOf(free, 2 * index);
         }
-        hopsOut[at] = hopsSent[at] = 0;
-        over[at] = false;
-        return at;
+        hopsInFlight[index] = 0;
+        hopsSent[index] = 0;
+        over[index] = false;
+        return index;
     }
 
-    /** How many indices were ever given out: no table by index is longer. */
+    /** Number of indices that were ever allocated; all indices are below it. */
     public int used() {
         return used;
     }
 
-    /** The number of the new hop, from 0. */
-    public int hopSent(int at) {
-        hopsOut[at]++;
-        return hopsSent[at]++;
+    /** Counts a hop of the lookup and returns its number, from 0. */
+    public int hopSent(int index) {
+        hopsInFlight[index]++;
+        return hopsSent[index]++;
     }
 
-    /** False where no such hop can be out. */
-    public boolean hopEnded(int at, int hop) {
-        if (hop < 0 || hop >= hopsSent[at] || hopsOut[at] == 0) return false;
-        hopsOut[at]--;
+    /** Counts the end of a hop; false where no such hop can be in flight. */
+    public boolean hopEnded(int index, int hop) {
+        if (hop < 0 || hop >= hopsSent[index] || hopsInFlight[index] == 0) return false;
+        hopsInFlight[index]--;
         return true;
     }
 
-    public boolean isOver(int at) {
-        return over[at];
+    /** Whether the lookup has been marked as over. */
+    public boolean isOver(int index) {
+        return over[index];
     }
 
-    public void markOver(int at) {
-        over[at] = true;
+    /** Marks the lookup as over; its index is freed by {@link #release}. */
+    public void markOver(int index) {
+        over[index] = true;
     }
 
-    /** True once, when the index has become free. */
-    public boolean release(int at) {
-        if (!over[at] || hopsOut[at] > 0) return false;
-        hopsOut[at] = Integer.MAX_VALUE;            // free: no second release
-        free[freeCount++] = at;
+    /** Frees the index if its lookup is over and has no hop in flight; true once, when it has become free. */
+    public boolean release(int index) {
+        if (!over[index] || hopsInFlight[index] > 0) return false;
+        // Guards against a second release of a free index.
+        hopsInFlight[index] = Integer.MAX_VALUE;
+        free[freeCount++] = index;
         return true;
     }
 }
--- a/src/main/java/mothcross/simhost/Door.java
+++ b/src/main/java/mothcross/simhost/Door.java
@@ -11,200 +11,222 @@
 import mothcross.adapter.DirectorSettings;
 import mothcross.adapter.LookupIndexAllocator;
 
-/** One instance's side of the wire: ids become small indices here, lines calls, and decisions lines. */
+/**
+ * Connects one director to the simulator's protocol: delivers its lines as events, writes decisions as lines, and
+ * maps the simulator's ids to the director's indices.
+ */
 final class Door implements EventBatch, DecisionWriter {
     private final int instance;
-    private final DirectorSettings opening;
+    private final DirectorSettings settings;
     private final StringBuilder reply;
-    private final Map<String, Integer> nodeOf = new HashMap<>();
+    private final Map<String, Integer> nodeIndices = new HashMap<>();
+    /** Address of a node by its index. */
     private final List<String> nodes = new ArrayList<>();
-    private final Map<Long, Integer> lookupOf = new HashMap<>();
-    private final LookupIndexAllocator slots = new LookupIndexAllocator();
-    private long[] ids = new long[64];
+    private final Map<Long, Integer> lookupIndices = new HashMap<>();
+    private final LookupIndexAllocator allocator = new LookupIndexAllocator();
+    /** The simulator's id of a lookup by its index. */
+    private long[] lookupIds = new long[64];
     private List<WireLine> lines = List.of();
-    private boolean named;
+    /** The reply names this instance before its first line of a round. */
+    private boolean instanceWritten;
 
-    Door(int instance, DirectorSettings opening, StringBuilder reply) {
+    Door(int instance, DirectorSettings settings, StringBuilder reply) {
         this.instance = instance;
-        this.opening = opening;
+        this.settings = settings;
         this.reply = reply;
     }
 
-    void round(double now, List<WireLine> in) {
+    /** Delivers the lines of one moment and appends the decisions to the reply. */
+    void process(double now, List<WireLine> in) {
         lines = in;
-        named = false;
-        opening.director.process(now, this, this);
+        instanceWritten = false;
+        settings.director.process(now, this, this);
         lines = List.of();
     }
 
-    // ---- reading ----
+    // ---- events ----
 
-    @Override public void deliverTo(Director to) {
+    @Override public void deliverTo(Director director) {
         for (int i = 0; i < lines.size(); i++) {
-            WireLine l = lines.get(i);
-            switch (l.name) {
-                case "SUBMIT" -> submit(l, to);
-                case "ATTEMPT_END" -> attemptEnd(l, to);
-                case "DROPPED" -> {
-                    Integer at = lookupOf.get(l.longValue("Corr"));
-                    if (at != null && !slots.isOver(at)) {
-                        slots.markOver(at);
-                        to.clientDisconnected(at);
-                        release(at);
-                    }
-                }
+            WireLine line = lines.get(i);
+            switch (line.name) {
+                case "SUBMIT" -> submit(line, director);
+                case "ATTEMPT_END" -> attemptEnd(line, director);
+                case "DROPPED" -> dropped(line, director);
                 case "STREAMING" -> {
-                    Integer at = lookupOf.get(l.longValue("Corr"));
-                    if (at != null) to.streamStarted(at, l.intValue("RoundNo", 0));
+                    Integer lookup = lookupIndices.get(line.longValue("Corr"));
+                    if (lookup != null) director.streamStarted(lookup, line.intValue("RoundNo", 0));
                 }
-                case "BELL" -> to.timerFired(l.longValue("Name"));
+                case "BELL" -> director.timerFired(line.longValue("Name"));
                 case "SUPERSEDED" -> {
-                    long item = l.longValue("Item", -1);
-                    to.purged(item, item < 0 ? l.intValue("Tag") : l.intValue("Tag", -1), l.milliseconds("AgeSpan", 0));
+                    long object = line.longValue("Item", -1);
+                    int group = object < 0 ? line.intValue("Tag") : line.intValue("Tag", -1);
+                    director.purged(object, group, line.milliseconds("AgeSpan", 0));
                 }
                 case "HEALTH_RESULT" -> {
-                    Integer node = nodeOf.get(l.text("Node"));
-                    if (node != null) to.probeCompleted(node, l.intValue("Disposition"), l.milliseconds("Spent", 0),
-                        report(l));
+                    Integer node = nodeIndices.get(line.text("Node"));
+                    if (node != null) {
+                        director.probeCompleted(node, line.intValue("Disposition"), line.milliseconds("Spent", 0),
+                            report(line));
+                    }
                 }
-                case "TARGETS" -> i = targets(l, i, to);
-                default -> { }                      // what is not known is skipped
+                case "TARGETS" -> i = targets(line, i, director);
+                // Unknown messages are ignored.
+                default -> { }
             }
         }
     }
 
-    private void submit(WireLine l, Director to) {
-        long id = l.longValue("Corr");
-        Integer workload = opening.workloads.get(l.text("Class"));
-        if (workload == null) throw l.malformed("Class", l.text("Class"));
-        double expires = l.milliseconds("Expires");
-        if (lookupOf.containsKey(id)) return;
-        int at = slots.allocate();
-        if (at == ids.length) ids = Arrays.copyOf(ids, 2 * at);
-        ids[at] = id;
-        lookupOf.put(id, at);
-        to.lookup(at, workload, expires, l.longValue("Item", 0), (int) l.number("Segment", 0),
-            (int) l.number("Group", -1), l.number("BytesK", 0), l.flag("IsRetry"), l.flag("IsWrite"));
-    }
-
-    private void attemptEnd(WireLine l, Director to) {
-        long id = l.longValue("Corr");
-        int hop = l.intValue("RoundNo"), outcome = l.intValue("Disposition");
-        Integer at = lookupOf.get(id), node = nodeOf.get(l.text("Node"));
-        if (at == null || node == null || !slots.hopEnded(at, hop)) return;
-        boolean last = l.flag("Last");
-        if (last) slots.markOver(at);
-        to.hopEnded(at, hop, node, outcome, last, l.intValue("Note", 0), l.milliseconds("Spent", 0),
-            l.milliseconds("SourceWait", 0), report(l));
-        release(at);
-    }
-
-    private double[] report(WireLine l) {
-        if (l.text("Stats", null) == null) return null;
-        return opening.decodeReport(l.numbers("Stats"));
-    }
-
-    private int targets(WireLine l, int i, Director to) {
-        int entries = l.intValue("Entries", 0);
-        String kind = l.text("Kind");
-        to.listStarted(switch (kind) {
+    private void submit(WireLine line, Director director) {
+        long id = line.longValue("Corr");
+        Integer workload = settings.workloads.get(line.text("Class"));
+        if (workload == null) throw line.malformed("Class", line.text("Class"));
+        double expires = line.milliseconds("Expires");
+        if (lookupIndices.containsKey(id)) return;
+        int lookup = allocator.allocate();
+        if (lookup == lookupIds.length) lookupIds = Arrays.copyOf(lookupIds, 2 * lookup);
+        lookupIds[lookup] = id;
+        lookupIndices.put(id, lookup);
+        director.lookup(lookup, workload, expires, line.longValue("Item", 0), (int) line.number("Segment", 0),
+            (int) line.number("Group", -1), line.number("BytesK", 0), line.flag("IsRetry"), line.flag("IsWrite"));
+    }
+
+    private void attemptEnd(WireLine line, Director director) {
+        long id = line.longValue("Corr");
+        int hop = line.intValue("RoundNo");
+        int outcome = line.intValue("Disposition");
+        Integer lookup = lookupIndices.get(id);
+        Integer node = nodeIndices.get(line.text("Node"));
+        if (lookup == null || node == null || !allocator.hopEnded(lookup, hop)) return;
+        boolean last = line.flag("Last");
+        if (last) allocator.markOver(lookup);
+        director.hopEnded(lookup, hop, node, outcome, last, line.intValue("Note", 0), line.milliseconds("Spent", 0),
+            line.milliseconds("SourceWait", 0), report(line));
+        release(lookup);
+    }
+
+    private void dropped(WireLine line, Director director) {
+        Integer lookup = lookupIndices.get(line.longValue("Corr"));
+        if (lookup == null || allocator.isOver(lookup)) return;
+        allocator.markOver(lookup);
+        director.clientDisconnected(lookup);
+        release(lookup);
+    }
+
+    private double[] report(WireLine line) {
+        if (line.text("Stats", null) == null) return null;
+        return settings.decodeReport(line.numbers("Stats"));
+    }
+
+    /** Delivers a list update, whose entries are the lines after the header; returns the index of the last one. */
+    private int targets(WireLine header, int headerIndex, Director director) {
+        int entries = header.intValue("Entries", 0);
+        String kind = header.text("Kind");
+        director.listStarted(switch (kind) {
             case "INCREMENTAL" -> Director.LIST_DELTA;
             case "FULL" -> Director.LIST_SNAPSHOT;
             case "SAVED" -> Director.LIST_RESTORED;
             case "FAILED" -> Director.LIST_UNAVAILABLE;
-            default -> throw l.malformed("Kind", kind);
+            default -> throw header.malformed("Kind", kind);
         });
-        for (int e = 0; e < entries; e++) {
-            if (++i >= lines.size() || !lines.get(i).name.equals("ITEM")) {
-                throw l.malformed("Entries", entries + "', but " + e + " entries follow, not '" + entries);
-            }
-            WireLine item = lines.get(i);
-            String address = item.text("Node");
-            int place = opening.zones.indexOf(item.text("Locality"));
-            int nodeKind = opening.kinds.indexOf(item.text("FamilyType", ""));
-            String health = item.text("Health");
-            int standing = DirectorSettings.parseNodeStatus(health);
-            if (standing < 0) throw item.malformed("Health", health);
-            Integer node = nodeOf.get(address);
-            if (node == null) {
-                nodeOf.put(address, node = nodes.size());
-                nodes.add(address);
+        int last = headerIndex;
+        for (int entry = 0; entry < entries; entry++) {
+            last++;
+            if (last >= lines.size() || !lines.get(last).name.equals("ITEM")) {
+                throw header.malformed("Entries", entries + "', but " + entry + " entries follow, not '" + entries);
             }
-            to.nodeListed(node, address, place, nodeKind, item.intValue("Cluster", 0), standing,
-                item.number("Units", 1), item.milliseconds("BootTime", 0));
+            nodeListed(lines.get(last), director);
+        }
+        director.listFinished();
+        return last;
+    }
+
+    private void nodeListed(WireLine item, Director director) {
+        String address = item.text("Node");
+        int zone = settings.zones.indexOf(item.text("Locality"));
+        int nodeKind = settings.kinds.indexOf(item.text("FamilyType", ""));
+        String health = item.text("Health");
+        int status = DirectorSettings.parseNodeStatus(health);
+        if (status < 0) throw item.malformed("Health", health);
+        Integer node = nodeIndices.get(address);
+        if (node == null) {
+            node = nodes.size();
+            nodeIndices.put(address, node);
+            nodes.add(address);
         }
-        to.listFinished();
-        return i;
+        director.nodeListed(node, address, zone, nodeKind, item.intValue("Cluster", 0), status,
+            item.number("Units", 1), item.milliseconds("BootTime", 0));
     }
 
-    private void release(int at) {
-        if (slots.release(at)) lookupOf.remove(ids[at]);
+    private void release(int lookup) {
+        if (allocator.release(lookup)) lookupIndices.remove(lookupIds[lookup]);
     }
 
-    // ---- writing ----
+    // ---- decisions ----
 
     private StringBuilder line(String name) {
-        if (!named) {
+        if (!instanceWritten) {
             reply.append("CONTEXT I=").append(instance).append('\n');
-            named = true;
+            instanceWritten = true;
         }
         return reply.append(name);
     }
 
+    /** Appends a time in seconds, with six decimals. */
     private StringBuilder seconds(double ms) {
-        long us = Math.round(ms * 1000);
-        if (us < 0) {
+        long micros = Math.round(ms * 1000);
+        if (micros < 0) {
             reply.append('-');
-            us = -us;
+            micros = -micros;
         }
-        reply.append(us / 1_000_000).append('.');
-        String rest = Long.toString(us % 1_000_000);
-        return reply.append("000000", 0, 6 - rest.length()).append(rest);
+        reply.append(micros / 1_000_000).append('.');
+        String decimals = Long.toString(micros % 1_000_000);
+        return reply.append("000000", 0, 6 - decimals.length()).append(decimals);
     }
 
-    private void hop(String name, int lookup, int node, double giveUpAt) {
-        slots.hopSent(lookup);
-        line(name).append(" Corr=").append(ids[lookup]).append(" Node=").append(nodes.get(node))
+    private void hop(String name, int lookup, int node, double deadline) {
+        allocator.hopSent(lookup);
+        line(name).append(" Corr=").append(lookupIds[lookup]).append(" Node=").append(nodes.get(node))
             .append(" ExpireAt=");
-        seconds(giveUpAt);
+        seconds(deadline);
     }
 
-    @Override public void sendCacheOnly(int lookup, int node, double giveUpAt) {
-        hop("PLACE", lookup, node, giveUpAt);
+    @Override public void sendCacheOnly(int lookup, int node, double deadline) {
+        hop("PLACE", lookup, node, deadline);
         reply.append('\n');
     }
 
-    @Override public void sendFetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge,
-                                int how) {
-        hop("GET", lookup, node, giveUpAt);
+    @Override public void sendFetch(int lookup, int node, double deadline, int source, int rank, double maxAge,
+                                    int flags) {
+        hop("GET", lookup, node, deadline);
         reply.append(" FromWhere=").append(nodes.get(source));
         reply.append(" Keep=").append(rank);
         if (maxAge > 0) {
             reply.append(" AgeSpan=");
             seconds(maxAge);
         }
-        if (how > 0) reply.append(" Bits=").append(how);
+        if (flags > 0) reply.append(" Bits=").append(flags);
         reply.append('\n');
     }
 
     @Override public void cancelHop(int lookup, int hop) {
-        line("RECALL").append(" Corr=").append(ids[lookup]).append(" RoundNo=").append(hop).append('\n');
+        line("RECALL").append(" Corr=").append(lookupIds[lookup]).append(" RoundNo=").append(hop).append('\n');
     }
 
-    @Override public void reject(int lookup, double comeBackAfter) {
-        line("REFUSE").append(" Corr=").append(ids[lookup]);
-        if (comeBackAfter > 0) {
+    @Override public void reject(int lookup, double retryAfterMs) {
+        line("REFUSE").append(" Corr=").append(lookupIds[lookup]);
+        if (retryAfterMs > 0) {
             reply.append(" Backoff=");
-            seconds(comeBackAfter);
+            seconds(retryAfterMs);
         }
         reply.append('\n');
-        slots.markOver(lookup);
+        allocator.markOver(lookup);
         release(lookup);
     }
 
     @Override public void fail(int lookup) {
-        line("FAIL").append(" Corr=").append(ids[lookup]).append('\n');
-        slots.markOver(lookup);
+        line("FAIL").append(" Corr=").append(lookupIds[lookup]).append('\n');
+        allocator.markOver(lookup);
         release(lookup);
     }
 
--- a/src/main/java/mothcross/simhost/SimHost.java
+++ b/src/main/java/mothcross/simhost/SimHost.java
@@ -13,13 +13,19 @@
 import mothcross.adapter.DirectorSettings;
 import mothcross.adapter.FieldMap;
 
-/** Hosts directors on the simulator's wire: one reply for each batch, until the input ends. */
+/**
+ * Hosts directors in the simulator's protocol: reads batches of lines until the input ends, hands each instance its
+ * lines, and writes one reply for each batch.
+ */
 public final class SimHost {
     private final BufferedReader in;
-    private final PrintStream out, err;
+    private final PrintStream out;
+    private final PrintStream err;
     private final StringBuilder reply = new StringBuilder();
-    private final Map<Integer, Door> doors = new HashMap<>();
+    private final Map<Integer, Door> instances = new HashMap<>();
+    /** The lines of the current batch for the target instance. */
     private final List<WireLine> lines = new ArrayList<>();
+    /** The instance that lines are for, -1 before the batch names one. */
     private int target = -1;
     private double now;
 
@@ -29,7 +35,7 @@
         this.err = err;
     }
 
-    /** 0 at the end of the input, 1 after a line that could not be used or a fault of the module. */
+    /** Returns 0 at the end of the input, 1 after a malformed line or a failure of a director. */
     public int run() throws IOException {
         long number = 0;
         boolean inBatch = false;
@@ -37,38 +43,17 @@
             for (String text; (text = in.readLine()) != null;) {
                 number++;
                 if (text.isBlank()) continue;
-                WireLine l = new WireLine(text, number);
-                if (l.name.equals("SYNC")) {
-                    now = l.milliseconds("Now");
+                WireLine line = new WireLine(text, number);
+                if (line.name.equals("SYNC")) {
+                    now = line.milliseconds("Now");
                     inBatch = true;
                     target = -1;
                 } else if (!inBatch) {
-                    throw new FieldMap.MalformedFieldException("line " + number + " (" + l.name + "): outside a batch");
+                    throw new FieldMap.MalformedFieldException("line " + number + " (" + line.name
+                        + "): outside a batch");
                 } else {
-                    switch (l.name) {
-                        case "YOUR_TURN" -> {
-                            flushRound();
-                            inBatch = false;
-                            send("END\n");
-                        }
-                        case "TARGET_INSTANCE" -> {
-                            flushRound();
-                            target = l.intValue("I");
-                        }
-                        case "CREATE" -> {
-                            flushRound();
-                            doors.put(needTarget(l), new Door(target,
-                                new DirectorSettings(l, l.longValue("RandomSeed")), reply));
-                        }
-                        case "HALT" -> {
-                            flushRound();
-                            doors.remove(needTarget(l));
-                        }
-                        default -> {
-                            needTarget(l);
-                            lines.add(l);
-                        }
-                    }
+                    handle(line);
+                    inBatch = !line.name.equals("YOUR_TURN");
                 }
             }
             return 0;
@@ -76,40 +61,68 @@
             return fault(e.getMessage());
         } catch (RuntimeException e) {
             e.printStackTrace(err);
-            return fault("the module failed near line " + number + ": " + e);
+            return fault("the director failed near line " + number + ": " + e);
         }
     }
 
-    private int needTarget(WireLine l) {
+    /** Handles a line within a batch. */
+    private void handle(WireLine line) {
+        switch (line.name) {
+            case "YOUR_TURN" -> {
+                processLines();
+                send("END\n");
+            }
+            case "TARGET_INSTANCE" -> {
+                processLines();
+                target = line.intValue("I");
+            }
+            case "CREATE" -> {
+                processLines();
+                int instance = requireTarget(line);
+                DirectorSettings settings = new DirectorSettings(line, line.longValue("RandomSeed"));
+                instances.put(instance, new Door(instance, settings, reply));
+            }
+            case "HALT" -> {
+                processLines();
+                instances.remove(requireTarget(line));
+            }
+            default -> {
+                requireTarget(line);
+                lines.add(line);
+            }
+        }
+    }
+
+    private int requireTarget(WireLine line) {
         if (target < 0) {
-            throw new FieldMap.MalformedFieldException("line " + l.number + " (" + l.name
+            throw new FieldMap.MalformedFieldException("line " + line.number + " (" + line.name
                 + "): no TARGET_INSTANCE before it");
         }
         return target;
     }
 
-    private void flushRound() {
+    private void processLines() {
         if (lines.isEmpty()) return;
-        Door door = doors.get(target);
-        if (door != null) door.round(now, lines);
+        Door instance = instances.get(target);
+        if (instance != null) instance.process(now, lines);
         lines.clear();
     }
 
-    private void send(String closing) {
-        reply.append(closing);
+    private void send(String lastLines) {
+        reply.append(lastLines);
         byte[] bytes = reply.toString().getBytes(StandardCharsets.UTF_8);
         out.write(bytes, 0, bytes.length);
         out.flush();
         reply.setLength(0);
     }
 
-    /** The wire's own report of a fault, and the same on standard error. */
-    private int fault(String text) {
-        err.println("mothcross: " + text);
+    /** Reports a failure to the simulator, in place of the reply, and on standard error. */
+    private int fault(String message) {
+        err.println("mothcross: " + message);
         err.flush();
         reply.setLength(0);
         if (target >= 0) reply.append("CONTEXT I=").append(target).append('\n');
-        send("GIVE_IN BodyText=" + text.replace('\n', ' ') + "\nEND\n");
+        send("GIVE_IN BodyText=" + message.replace('\n', ' ') + "\nEND\n");
         return 1;
     }
 }
--- a/src/main/java/mothcross/simhost/WireLine.java
+++ b/src/main/java/mothcross/simhost/WireLine.java
@@ -2,34 +2,36 @@
 
 import mothcross.adapter.FieldMap;
 
-/** One line of the wire: its message name and its name=value parts. */
+/** One line of the simulator's protocol: a message name and its name=value fields, separated by spaces. */
 final class WireLine extends FieldMap {
     final long number;
     final String name;
 
     WireLine(String text, long number) {
-        super(where(text, number));
+        super(location(text, number));
         this.number = number;
-        int end = text.indexOf(' ');
-        name = end < 0 ? text : text.substring(0, end);
-        int at = end < 0 ? text.length() : end + 1;
-        while (at < text.length()) {
-            int stop = text.indexOf(' ', at);
-            if (stop < 0) stop = text.length();
-            int eq = text.indexOf('=', at);
-            if (stop > at) {
-                if (eq <= at || eq > stop) {
-                    throw new MalformedFieldException(where(text, number) + ": part '" + text.substring(at, stop)
-                        + "' is not name=value");
-                }
-                add(text.substring(at, eq), text.substring(eq + 1, stop));
-            }
-            at = stop + 1;
+        int nameEnd = text.indexOf(' ');
+        name = nameEnd < 0 ? text : text.substring(0, nameEnd);
+        int start = nameEnd < 0 ? text.length() : nameEnd + 1;
+        while (start < text.length()) {
+            int end = text.indexOf(' ', start);
+            if (end < 0) end = text.length();
+            if (end > start) addField(text, start, end);
+            start = end + 1;
         }
     }
 
-    private static String where(String text, long number) {
-        int end = text.indexOf(' ');
-        return "line " + number + " (" + (end < 0 ? text : text.substring(0, end)) + ")";
+    private void addField(String text, int start, int end) {
+        int equals = text.indexOf('=', start);
+        if (equals <= start || equals > end) {
+            throw new MalformedFieldException(location(text, number) + ": part '" + text.substring(start, end)
+                + "' is not name=value");
+        }
+        add(text.substring(start, equals), text.substring(equals + 1, end));
+    }
+
+    private static String location(String text, long number) {
+        int nameEnd = text.indexOf(' ');
+        return "line " + number + " (" + (nameEnd < 0 ? text : text.substring(0, nameEnd)) + ")";
     }
 }
