--- a/src/test/java/mothcross/Stage.java
+++ b/src/test/java/mothcross/Stage.java
@@ -2,158 +2,192 @@
 
 import java.util.*;
 
-/** One director on a stage: plays scenario lines into it and notes what it writes. */
+/** Plays the events of a scenario into one director and records its decisions as text. */
 final class Stage implements DecisionWriter {
+    private static final int MAX_LOOKUPS = 4096;
+
+    /** The decisions since this list was last cleared; timers are kept apart and fire by themselves. */
     final List<String> written = new ArrayList<>();
     int checks;
-    private final Map<String, String> told = new HashMap<>(Map.of("effect", "IDEMPOTENT", "group", "ALL",
-        "fresh", "0", "stale", "0", "hops", "4", "copies", "1", "straight", "0", "links", "1",
-        "explained", "1", "directors", "2"));
-    private final Map<String, Integer> nodes = new HashMap<>();
-    private final List<String> names = new ArrayList<>();
-    private final PriorityQueue<double[]> bells = new PriorityQueue<>((a, b) -> Double.compare(a[0], b[0]));
-    private final int[] hops = new int[4096], lastNode = new int[4096];
-    private final String[] lastSource = new String[4096];
+    private final Map<String, String> settings = new HashMap<>(Map.ofEntries(
+        Map.entry("effect", "IDEMPOTENT"), Map.entry("scope", "ALL"), Map.entry("fresh", "0"),
+        Map.entry("stale", "0"), Map.entry("hops", "4"), Map.entry("hedging", "1"), Map.entry("bypass", "0"),
+        Map.entry("capacityKnown", "1"), Map.entry("reasons", "1"), Map.entry("directors", "2"),
+        Map.entry("directorsInZone", "1")));
+    private final Map<String, Integer> nodeIndices = new HashMap<>();
+    private final List<String> nodeNames = new ArrayList<>();
+    /** Pairs of time and timer name. */
+    private final PriorityQueue<double[]> timers = new PriorityQueue<>((a, b) -> Double.compare(a[0], b[0]));
+    private final int[] hopCounts = new int[MAX_LOOKUPS];
+    private final int[] lastNode = new int[MAX_LOOKUPS];
+    private final String[] lastSource = new String[MAX_LOOKUPS];
     private final Director director;
 
+    /** Each line of {@code start} has settings of the form KEY=VALUE, separated by spaces. */
     Stage(List<String> start) {
-        told.put("here", "1");
-        for (String s : start) for (String p : s.split(" ")) told.put(p.split("=")[0], p.split("=")[1]);
-        Workload w = new Workload(Workload.Effect.valueOf(told.get("effect")),
-            Workload.DeduplicationScope.valueOf(told.get("group")), 5000, 400, 2, 6000, 2, 0.15, n("fresh"),
-            n("stale"), 0.5, told.containsKey("never"));
-        director = new CacheDirector(7, new Workload[] {w},
-            new Topology(1, new int[] {0, (int) n("here"), 1}, (int) n("directors"), 1, 2),
-            new Capabilities((int) n("hops"), n("copies") > 0, true, n("straight") > 0, true, 1000),
-            new SiteParameters(n("links") > 0, n("explained") > 0, told.containsKey("follow"), 10, 0),
+        for (String line : start) {
+            for (String setting : line.split(" ")) settings.put(setting.split("=")[0], setting.split("=")[1]);
+        }
+        Workload workload = new Workload(Workload.Effect.valueOf(settings.get("effect")),
+            Workload.DeduplicationScope.valueOf(settings.get("scope")), 5000, 400, 2, 6000, 2, 0.15,
+            setting("fresh"), setting("stale"), 0.5, settings.containsKey("uncacheable"));
+        Topology topology = new Topology(1, new int[] {0, (int) setting("directorsInZone"), 1},
+            (int) setting("directors"), 1, 2);
+        Capabilities capabilities = new Capabilities((int) setting("hops"), setting("hedging") > 0, true,
+            setting("bypass") > 0, true, 1000);
+        SiteParameters siteParameters = new SiteParameters(setting("capacityKnown") > 0, setting("reasons") > 0,
+            settings.containsKey("listOnRequest"), 10, 0);
+        director = new CacheDirector(7, new Workload[] {workload}, topology, capabilities, siteParameters,
             new SlowStartLimits(0.2, 10_000, 3, 1000), new SlowStartLimits(0.1, 20_000, 2, 1000), 6000);
     }
 
-    private double n(String key) {
-        return Double.parseDouble(told.get(key));
+    private double setting(String key) {
+        return Double.parseDouble(settings.get(key));
     }
 
-    /** {@code ask L KEY [kb=] [group=] [wait=]}, {@code end L OUTCOME [note=] [spent=] [hop=] [last=]}, ... */
-    void play(double t, String line) {
-        while (!bells.isEmpty() && bells.peek()[0] <= t) {
-            double[] b = bells.poll();
-            director.process(b[0], to -> to.timerFired((long) b[1]), this);
+    /**
+     * Plays one event, after the timers that are due by then. {@link ScenarioTest} describes the events.
+     */
+    void play(double time, String line) {
+        while (!timers.isEmpty() && timers.peek()[0] <= time) {
+            double[] timer = timers.poll();
+            director.process(timer[0], to -> to.timerFired((long) timer[1]), this);
         }
-        if (line.startsWith("serve ") || line.startsWith("fail ")) {   // asked, and ended if a hop went out
-            int before = written.size();
-            play(t, "ask" + line.substring(line.indexOf(' ')));
-            if (written.size() > before && written.get(before).startsWith("fetch")) {
-                play(t, "end " + line.split(" ")[1] + (line.startsWith("serve") ? " 0 note=1" : " 2 note=10"));
-            }
-            return;
+        String[] words = line.split(" ");
+        switch (words[0]) {
+            case "serve", "originfail" -> askAndEnd(time, line);
+            case "error" -> askAndFailAll(time, line);
+            default -> director.process(time, to -> deliver(to, time, line, words), this);
         }
-        if (line.startsWith("err ")) {                                  // every node it is sent to gives an error
-            play(t, "ask" + line.substring(3));
-            for (int l = Integer.parseInt(line.split(" ")[1]), n = -1; n != hops[l];) {
-                n = hops[l];
-                play(t, "end " + l + " 1");
-            }
-            return;
+    }
+
+    /** Ends the lookup's first hop at once, with a hit or a failure of the origin, where one is sent. */
+    private void askAndEnd(double time, String line) {
+        int before = written.size();
+        play(time, "ask" + line.substring(line.indexOf(' ')));
+        if (written.size() > before && written.get(before).startsWith("fetch")) {
+            play(time, "end " + line.split(" ")[1] + (line.startsWith("serve") ? " 0 note=1" : " 2 note=10"));
         }
-        String[] p = line.split(" ");
-        Map<String, String> f = new HashMap<>();
-        for (String x : p) if (x.indexOf('=') > 0) f.put(x.split("=")[0], x.split("=")[1]);
-        director.process(t, to -> {
-            switch (p[0]) {
-                case "ask" -> {
-                    int l = Integer.parseInt(p[1]);
-                    hops[l] = 0;
-                    lastSource[l] = null;
-                    to.lookup(l, 0, t + num(f, "wait", 6000), Long.parseLong(p[2]), (int) num(f, "part", 0),
-                        (int) num(f, "group", 0), num(f, "kb", 1000), false, f.containsKey("write"), narrowing(f));
-                }
-                case "end" -> {
-                    int l = Integer.parseInt(p[1]), outcome = Integer.parseInt(p[2]);
-                    double[] report = new double[Director.REPORT_SIZE];
-                    Arrays.fill(report, Double.NaN);
-                    to.hopEnded(l, (int) num(f, "hop", hops[l] - 1), lastNode[l], outcome,
-                        num(f, "last", outcome == 0 ? 1 : 0) > 0, (int) num(f, "note", 0),
-                        num(f, "spent", 100), num(f, "wait", 0), report);
-                }
-                case "source" -> {                          // ends every hop out that names this source
-                    for (int l = 0; l < hops.length; l++) {
-                        if (!p[1].equals(lastSource[l])) continue;
-                        lastSource[l] = null;
-                        to.hopEnded(l, hops[l] - 1, lastNode[l], Integer.parseInt(p[2]), true,
-                            (int) num(f, "note", 0), num(f, "spent", 100), num(f, "wait", 0), null);
-                    }
-                }
-                case "left" -> to.clientDisconnected(Integer.parseInt(p[1]));
-                case "purge" -> to.purged(Long.parseLong(p[1]), (int) num(f, "group", -1), num(f, "ago", 0));
-                case "list" -> {
-                    to.listStarted(Integer.parseInt(p[1]));
-                    for (int i = 2; i < p.length; i++) entry(to, p[i].split(","));
-                    to.listFinished();
+    }
+
+    /** Ends every hop of the lookup at once with an error. */
+    private void askAndFailAll(double time, String line) {
+        play(time, "ask" + line.substring(line.indexOf(' ')));
+        int lookup = Integer.parseInt(line.split(" ")[1]);
+        int ended = -1;
+        while (ended != hopCounts[lookup]) {
+            ended = hopCounts[lookup];
+            play(time, "end " + lookup + " 1");
+        }
+    }
+
+    private void deliver(Director to, double time, String line, String[] words) {
+        Map<String, String> options = new HashMap<>();
+        for (String word : words) {
+            if (word.indexOf('=') > 0) options.put(word.split("=")[0], word.split("=")[1]);
+        }
+        switch (words[0]) {
+            case "ask" -> {
+                int lookup = Integer.parseInt(words[1]);
+                hopCounts[lookup] = 0;
+                lastSource[lookup] = null;
+                to.lookup(lookup, 0, time + number(options, "wait", 6000), Long.parseLong(words[2]),
+                    (int) number(options, "part", 0), (int) number(options, "group", 0),
+                    number(options, "kb", 1000), false, options.containsKey("write"), constraints(options));
+            }
+            case "end" -> {
+                int lookup = Integer.parseInt(words[1]);
+                int outcome = Integer.parseInt(words[2]);
+                double[] report = new double[Director.REPORT_SIZE];
+                Arrays.fill(report, Double.NaN);
+                to.hopEnded(lookup, (int) number(options, "hop", hopCounts[lookup] - 1), lastNode[lookup], outcome,
+                    number(options, "last", outcome == 0 ? 1 : 0) > 0, (int) number(options, "note", 0),
+                    number(options, "spent", 100), number(options, "wait", 0), report);
+            }
+            case "source" -> {
+                for (int lookup = 0; lookup < hopCounts.length; lookup++) {
+                    if (!words[1].equals(lastSource[lookup])) continue;
+                    lastSource[lookup] = null;
+                    to.hopEnded(lookup, hopCounts[lookup] - 1, lastNode[lookup], Integer.parseInt(words[2]), true,
+                        (int) number(options, "note", 0), number(options, "spent", 100),
+                        number(options, "wait", 0), null);
                 }
-                default -> throw new IllegalArgumentException(line);
             }
-        }, this);
+            case "disconnect" -> to.clientDisconnected(Integer.parseInt(words[1]));
+            case "purge" -> to.purged(Long.parseLong(words[1]), (int) number(options, "group", -1),
+                number(options, "ago", 0));
+            case "list" -> {
+                to.listStarted(Integer.parseInt(words[1]));
+                for (int i = 2; i < words.length; i++) nodeListed(to, words[i].split(","));
+                to.listFinished();
+            }
+            default -> throw new IllegalArgumentException("unknown event: " + line);
+        }
     }
 
-    /** {@code by=KEY}, {@code most=HOPS} and {@code weight=SHARE} of an {@code ask}: what a route narrows. */
-    private static RouteConstraints narrowing(Map<String, String> f) {
-        if (!f.containsKey("by") && !f.containsKey("most") && !f.containsKey("weight")) return null;
-        return new RouteConstraints(f.containsKey("by"), (long) num(f, "by", 0), (int) num(f, "most", 99),
-            num(f, "weight", 1));
+    /** The constraints of a route that an 'ask' names, or null. */
+    private static RouteConstraints constraints(Map<String, String> options) {
+        if (!options.containsKey("key") && !options.containsKey("maxHops") && !options.containsKey("share")) {
+            return null;
+        }
+        return new RouteConstraints(options.containsKey("key"), (long) number(options, "key", 0),
+            (int) number(options, "maxHops", 99), number(options, "share", 1));
     }
 
-    /** NAME,place,kind,standing,units,startedAt: kind 0 cache, 1 parent, 2 origin. */
-    private void entry(Director to, String[] e) {
-        Integer at = nodes.get(e[0]);
-        if (at == null) {
-            nodes.put(e[0], at = names.size());
-            names.add(e[0]);
+    /** An entry is NAME,zone,kind,status,units,startedAt; its cell is its zone. */
+    private void nodeListed(Director to, String[] entry) {
+        Integer index = nodeIndices.get(entry[0]);
+        if (index == null) {
+            index = nodeNames.size();
+            nodeIndices.put(entry[0], index);
+            nodeNames.add(entry[0]);
         }
-        to.nodeListed(at, e[0], Integer.parseInt(e[1]), Integer.parseInt(e[2]), Integer.parseInt(e[1]),
-            Integer.parseInt(e[3]), Double.parseDouble(e[4]), Double.parseDouble(e[5]));
+        to.nodeListed(index, entry[0], Integer.parseInt(entry[1]), Integer.parseInt(entry[2]),
+            Integer.parseInt(entry[1]), Integer.parseInt(entry[3]), Double.parseDouble(entry[4]),
+            Double.parseDouble(entry[5]));
     }
 
-    private static double num(Map<String, String> f, String key, double otherwise) {
-        return f.containsKey(key) ? Double.parseDouble(f.get(key)) : otherwise;
+    private static double number(Map<String, String> options, String key, double defaultValue) {
+        return options.containsKey(key) ? Double.parseDouble(options.get(key)) : defaultValue;
     }
 
-    @Override public void sendCacheOnly(int lookup, int node, double giveUpAt) {
-        hops[lookup]++;
+    @Override public void sendCacheOnly(int lookup, int node, double deadline) {
+        hopCounts[lookup]++;
         lastNode[lookup] = node;
-        written.add("look " + lookup + " " + names.get(node));
+        written.add("cacheonly " + lookup + " " + nodeNames.get(node));
     }
 
-    @Override public void sendFetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge,
-                                int how) {
-        hops[lookup]++;
+    @Override public void sendFetch(int lookup, int node, double deadline, int source, int rank, double maxAge,
+                                    int flags) {
+        hopCounts[lookup]++;
         lastNode[lookup] = node;
-        lastSource[lookup] = names.get(source);
-        written.add("fetch " + lookup + " " + names.get(node) + " from=" + names.get(source) + " rank=" + rank
-            + " age=" + Math.round(maxAge) + " how=" + how + " until=" + Math.round(giveUpAt));
+        lastSource[lookup] = nodeNames.get(source);
+        written.add("fetch " + lookup + " " + nodeNames.get(node) + " from=" + nodeNames.get(source) + " rank=" + rank
+            + " age=" + Math.round(maxAge) + " flags=" + flags + " until=" + Math.round(deadline));
     }
 
     @Override public void cancelHop(int lookup, int hop) {
-        written.add("calloff " + lookup + " " + hop);
+        written.add("cancel " + lookup + " " + hop);
     }
 
-    @Override public void reject(int lookup, double comeBackAfter) {
-        written.add("bounce " + lookup + (comeBackAfter > 0 ? " later" : ""));
+    @Override public void reject(int lookup, double retryAfterMs) {
+        written.add("reject " + lookup + (retryAfterMs > 0 ? " later" : ""));
     }
 
     @Override public void fail(int lookup) {
-        written.add("giveup " + lookup);
+        written.add("fail " + lookup);
     }
 
     @Override public void probe(int node) {
-        written.add("probe " + names.get(node));
+        written.add("probe " + nodeNames.get(node));
     }
 
     @Override public void setTimer(double at, long name) {
-        bells.add(new double[] {at, name});
+        timers.add(new double[] {at, name});
     }
 
     @Override public void watchNodeList(boolean on) {
-        written.add("follow " + on);
+        written.add("watch " + on);
     }
 
     @Override public void log(String text) { }
