--- a/src/main/java/mothcross/CacheDirector.java
+++ b/src/main/java/mothcross/CacheDirector.java
@@ -167,7 +167,7 @@
         if (node == null && lookup.hopCount == 0) {
             node = placement.highestRanked(Tier.CACHE, lookup, false, Requirement.ANY);
         }
-        // Hops that bypass the caches share the zone's link with the fills, and congest it when all caches are gone.
+        // Hops that bypass the caches share the zone's link with the fills, and congest it when no cache is left.
         boolean bypass = node == null && !lookup.hedging && capabilities.bypassCache()
             && zoneLink.canMeetTarget(lookup);
         if (bypass) node = placement.highestRanked(Tier.PARENT, lookup, false, Requirement.HEALTHY);
@@ -308,7 +308,7 @@
         lookup.originFailed |= note == ORIGIN_FAILED;
         hop.sourceBlamed = hop.source != hop.node && (bySource || unclear);
         boolean byNode = !bySource && note != ORIGIN_FAILED;
-        // After a lost connection the node may be asked again: the copy that it was sending is held there.
+        // After a lost connection the node may be asked again, since it may hold the copy that it was sending.
         hop.nodeBlamed = byNode && outcome != CONNECTION_LOST;
         if (hop.sourceBlamed && note != SOURCE_MISS) health.recordFailure(hop.source, outcome);
         if (note == ORIGIN_FAILED || hop.source.tier == Tier.ORIGIN && hop.sourceBlamed) {
@@ -498,7 +498,7 @@
         double loadUpdatedAt;
         /** This director's part of the node's capacity, in flows, as its load and utilization show; 0 if unknown. */
         double capacityFlows;
-        /** Smoothed share of the node in use, by its load reports. */
+        /** Smoothed share of the CPU in use, by its load reports; 1 until the first report. */
         double utilization = 1;
         LinkEstimate link;
         double hitRatio = Double.NaN;
