--- a/src/main/java/mothcross/net/Rulebook.java
+++ b/src/main/java/mothcross/net/ActiveRoutes.java
@@ -9,13 +9,13 @@
  * one
  * lookup, nor decide which text is in force.
  */
-final class Rulebook {
+final class ActiveRoutes {
     private final String director;
     private Plan plan;                                      // null: the operators' own file, no changes by the fleet
     private Routing main, trial;
     private double share = 1;
 
-    Rulebook(String director) {
+    ActiveRoutes(String director) {
         this.director = director;
     }
 
@@ -63,7 +63,7 @@
 
     /** The table that a lookup of this object goes by; null where that has no rules. */
     Routing of(long object) {
-        return plan != null && plan.tries(director, object) ? trial : main;
+        return plan != null && plan.isOnTrial(director, object) ? trial : main;
     }
 
     String line() {
--- a/src/main/java/mothcross/net/DiscoveryWatch.java
+++ b/src/main/java/mothcross/net/DiscoveryWatch.java
@@ -15,9 +15,9 @@
 import java.util.concurrent.TimeUnit;
 import mothcross.Director;
 import mothcross.adapter.DirectorSettings;
-import mothcross.membership.Kept;
+import mothcross.membership.ListedNode;
+import mothcross.membership.MembershipSnapshot;
 import mothcross.membership.Purge;
-import mothcross.membership.Told;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.future.ConnectFuture;
 import org.pcollections.HashTreePMap;
@@ -37,8 +37,8 @@
     private static final double FRAME_EVERY_MS = 1000;
     private static final int LONGEST_FRAME = 4 << 20, RECORD = 27, TRIES_TO_SPEAK = 2;
 
-    private final Desk desk;
-    private final News news;
+    private final Dispatcher desk;
+    private final DiscoveryListener news;
     private InetSocketAddress address;
     private Feed feed;
     private double waitMs = FIRST_WAIT_MS;
@@ -47,7 +47,7 @@
     /** Down once it has brought a frame since the start, or can't: what is known may be older than what was told. */
     private final CountDownLatch spoken = new CountDownLatch(1);
 
-    DiscoveryWatch(Desk desk, News news, InetSocketAddress address) {
+    DiscoveryWatch(Dispatcher desk, DiscoveryListener news, InetSocketAddress address) {
         this.desk = desk;
         this.news = news;
         this.address = address;
@@ -114,14 +114,14 @@
     }
 
     /** The same as a list that was kept when the file was written. */
-    static Kept kept(JsonObject known, String fleet, String director, double writtenAt) {
+    static MembershipSnapshot kept(JsonObject known, String fleet, String director, double writtenAt) {
         JsonArray items = known.getAsJsonArray("items");
-        Map<String, Told> entries = new LinkedHashMap<>();
+        Map<String, ListedNode> entries = new LinkedHashMap<>();
         for (Member m : members(items)) {
-            entries.put(m.id, new Told(m.id, m.at.getHostString(), m.at.getPort(), m.place, m.kind, m.cell, m.standing,
+            entries.put(m.id, new ListedNode(m.id, m.at.getHostString(), m.at.getPort(), m.place, m.kind, m.cell, m.standing,
                 m.units, m.started, writtenAt, 0, true));
         }
-        return new Kept(fleet, director, writtenAt, known.get("no").getAsLong(), writtenAt,
+        return new MembershipSnapshot(fleet, director, writtenAt, known.get("no").getAsLong(), writtenAt,
             HashTreePMap.from(entries), purges(items));
     }
 
--- a/src/main/java/mothcross/policy/Change.java
+++ b/src/main/java/mothcross/policy/Change.java
@@ -1,11 +1,11 @@
 package mothcross.policy;
 
 /**
- * The change that is under way. {@code since} is the revision at which its stage began: what a director says of a stage
+ * The change that is under way. {@code stageRevision} is the revision at which its stage began: what a director says of a stage
  * counts for that one only. {@code target} is the plan that a commit would put in force.
  */
 public record Change(String id, String digest, int size, String by, String note, Mode mode, double deadlineMs,
-                     Plan.Canary canary, Stage stage, long since, Plan target) {
+                     Plan.Canary canary, Stage stage, long stageRevision, Plan target) {
     /** HOLD: waits for each director that may serve; STOP: goes on without it when its lease is over. */
     public enum Mode { HOLD, STOP }
 
--- a/src/main/java/mothcross/policy/Driver.java
+++ b/src/main/java/mothcross/policy/ChangeCoordinator.java
@@ -17,13 +17,13 @@
  * asked again. Owns that; must never count what was said of another stage, by another life, or before a lease that it
  * waits for was over. Spans on the own clock only.
  */
-public final class Driver {
+public final class ChangeCoordinator {
     /** Clocks that run at other rates, and what lies between a clock's reading and its use. */
     static final double DRIFT = 0.02, GRACE_MS = 50;
     private static final double PATIENCE_LEASES = 1;
 
     /** How far a director was, by its own last word. */
-    record Word(long life, Said.Far far, String why) { }
+    record Word(long life, PolicyMessage.Progress far, String why) { }
 
     private long since = -1;
     private Stage stage;
@@ -33,9 +33,9 @@
     private final Map<String, Long> ended = new TreeMap<>();
     private final Map<String, Double> excludedAt = new TreeMap<>();
 
-    public Driver() { }
+    public ChangeCoordinator() { }
 
-    public Driver(Driver d) {
+    public ChangeCoordinator(ChangeCoordinator d) {
         since = d.since;
         stage = d.stage;
         began = d.began;
@@ -45,9 +45,9 @@
     }
 
     /** The latest decided book is heard of. */
-    public void heard(Book b, double now) {
+    public void learn(PolicyRegister b, double now) {
         Change c = b.change();
-        long s = c == null ? -1 : c.since();
+        long s = c == null ? -1 : c.stageRevision();
         Stage at = c == null ? null : c.stage();
         if (s != since || at != stage) {
             words.clear();
@@ -55,81 +55,81 @@
             since = s;
             stage = at;
         }
-        if (!b.whole()) return;
+        if (!b.complete()) return;
         excludedAt.keySet().retainAll(excluded(b));
         for (String w : excluded(b)) excludedAt.putIfAbsent(w, now);
-        ended.entrySet().removeIf(e -> b.seat(e.getKey(), e.getValue()) == null);
+        ended.entrySet().removeIf(e -> b.registration(e.getKey(), e.getValue()) == null);
     }
 
-    private static Set<String> excluded(Book b) {
+    private static Set<String> excluded(PolicyRegister b) {
         Set<String> all = new HashSet<>();
-        b.roll().forEach((n, s) -> {
-            if (s.excluded()) all.add(Move.Commit.who(n, s.life()));
+        b.registrations().forEach((n, s) -> {
+            if (s.excluded()) all.add(Transition.Commit.who(n, s.incarnation()));
         });
         return all;
     }
 
     /** Nobody holds the address that this life had: it has ended, whatever comes there later. */
-    public void refused(Book b, String host, int port) {
-        b.roll().forEach((n, s) -> {
-            if (s.host().equals(host) && s.port() == port) ended.put(n, s.life());
+    public void onConnectionRefused(PolicyRegister b, String host, int port) {
+        b.registrations().forEach((n, s) -> {
+            if (s.host().equals(host) && s.port() == port) ended.put(n, s.incarnation());
         });
     }
 
-    public void said(Book b, String from, Said.Standing s) {
-        if (b.change() == null || s.since() != since) return;
+    public void onProgress(PolicyRegister b, String from, PolicyMessage.ProgressReport s) {
+        if (b.change() == null || s.stageRevision() != since) return;
         Word w = words.get(from);
-        if (w == null || w.life() <= s.life()) words.put(from, new Word(s.life(), s.far(), s.why()));
+        if (w == null || w.life() <= s.incarnation()) words.put(from, new Word(s.incarnation(), s.progress(), s.reason()));
     }
 
     /** What it has heard of all of them, for another that drives. */
-    public Map<String, Said.Standing> words(long plan) {
-        Map<String, Said.Standing> all = new TreeMap<>();
-        words.forEach((n, w) -> all.put(n, new Said.Standing(w.life(), since, plan, w.far(), w.why())));
+    public Map<String, PolicyMessage.ProgressReport> words(long plan) {
+        Map<String, PolicyMessage.ProgressReport> all = new TreeMap<>();
+        words.forEach((n, w) -> all.put(n, new PolicyMessage.ProgressReport(w.life(), since, plan, w.far(), w.why())));
         return all;
     }
 
     /** Who has to be asked again: on the roll, and not yet where this stage wants it. */
-    public List<String> waitsFor(Book b) {
+    public List<String> waitsFor(PolicyRegister b) {
         List<String> all = new ArrayList<>();
         if (b.change() == null || b.change().stage() == Stage.TRIAL) return all;
-        Said.Far wanted = b.change().stage() == Stage.BINDING ? Said.Far.READY : Said.Far.TAKEN;
-        for (Map.Entry<String, Book.Seat> e : b.roll().entrySet()) {
+        PolicyMessage.Progress wanted = b.change().stage() == Stage.BINDING ? PolicyMessage.Progress.READY : PolicyMessage.Progress.TAKEN;
+        for (Map.Entry<String, PolicyRegister.Registration> e : b.registrations().entrySet()) {
             Word w = words.get(e.getKey());
-            boolean there = w != null && w.life() == e.getValue().life() && w.far() == wanted;
+            boolean there = w != null && w.life() == e.getValue().incarnation() && w.far() == wanted;
             if (!there && !e.getValue().excluded()) all.add(e.getKey());
         }
         return all;
     }
 
-    public Said.Far far(String name) {
+    public PolicyMessage.Progress far(String name) {
         Word w = words.get(name);
         return w == null ? null : w.far();
     }
 
     /** For operators: who holds it up, and how. */
-    public Map<String, String> holdsUp(Book b, double now) {
+    public Map<String, String> blockers(PolicyRegister b, double now) {
         Map<String, String> all = new LinkedHashMap<>();
         for (String n : waitsFor(b)) {
             Word w = words.get(n);
             all.put(n, w == null ? "has not answered for " + Math.round(now - began) + " ms"
                 : w.far() + (w.why().isEmpty() ? "" : ": " + w.why()));
         }
-        b.roll().forEach((n, s) -> {
+        b.registrations().forEach((n, s) -> {
             if (s.excluded()) all.put(n, "left out; its lease is waited for");
         });
         return all;
     }
 
-    public double since(double now) {
+    public double stageElapsed(double now) {
         return now - began;
     }
 
-    private double leaseOver(Book b) {
+    private double leaseOver(PolicyRegister b) {
         return b.leaseMs() * (1 + DRIFT) + GRACE_MS;
     }
 
-    private Set<String> over(Book b, double now) {
+    private Set<String> over(PolicyRegister b, double now) {
         Set<String> all = new HashSet<>();
         excludedAt.forEach((w, at) -> {
             if (now - at >= leaseOver(b)) all.add(w);
@@ -138,53 +138,53 @@
     }
 
     /** The next step that all it has heard allows; null where it has to wait. {@code b} has to be whole. */
-    public Move wants(Book b, double now) {
+    public Transition nextTransition(PolicyRegister b, double now) {
         Change c = b.change();
-        if (c == null || c.stage() == Stage.TRIAL || c.since() != since) return null;
+        if (c == null || c.stage() == Stage.TRIAL || c.stageRevision() != since) return null;
         for (Map.Entry<String, Long> e : ended.entrySet()) {
-            if (b.seat(e.getKey(), e.getValue()) != null) {
-                return new Move.Strike(e.getKey(), e.getValue(), "nobody holds its address");
+            if (b.registration(e.getKey(), e.getValue()) != null) {
+                return new Transition.RemoveDirector(e.getKey(), e.getValue(), "nobody holds its address");
             }
         }
         return c.stage() == Stage.BINDING ? binding(b, c, now) : settling(b, now);
     }
 
-    private Move binding(Book b, Change c, double now) {
+    private Transition binding(PolicyRegister b, Change c, double now) {
         StringBuilder no = new StringBuilder();
         Set<String> ready = new HashSet<>();
-        b.roll().forEach((n, s) -> {
+        b.registrations().forEach((n, s) -> {
             Word w = words.get(n);
-            if (w == null || w.life() != s.life()) return;
-            if (w.far() == Said.Far.READY) ready.add(Move.Commit.who(n, s.life()));
-            if (w.far() == Said.Far.NO && no.length() < 500) {
+            if (w == null || w.life() != s.incarnation()) return;
+            if (w.far() == PolicyMessage.Progress.READY) ready.add(Transition.Commit.who(n, s.incarnation()));
+            if (w.far() == PolicyMessage.Progress.NO && no.length() < 500) {
                 no.append(no.isEmpty() ? "" : "; ").append(n).append(": ").append(w.why());
             }
         });
-        if (!no.isEmpty() && !c.isWithdrawn()) return new Move.Abort(c.id(), c.since(), no.toString());
+        if (!no.isEmpty() && !c.isWithdrawn()) return new Transition.Abort(c.id(), c.stageRevision(), no.toString());
         Set<String> over = over(b, now);
-        List<String> missing = Move.Commit.missing(b, ready, over);
-        if (missing.isEmpty()) return new Move.Commit(c.id(), c.since(), ready, over);
+        List<String> missing = Transition.Commit.missing(b, ready, over);
+        if (missing.isEmpty()) return new Transition.Commit(c.id(), c.stageRevision(), ready, over);
         if (now - began >= c.deadlineMs()) {
-            return new Move.Abort(c.id(), c.since(), "not ready by the deadline: " + missing);
+            return new Transition.Abort(c.id(), c.stageRevision(), "not ready by the deadline: " + missing);
         }
         if (c.mode() == Mode.STOP && now - began >= PATIENCE_LEASES * b.leaseMs()) {
             Map<String, Long> late = new TreeMap<>();
-            for (String n : missing) if (!b.roll().get(n).excluded()) late.put(n, b.roll().get(n).life());
-            if (!late.isEmpty()) return new Move.Exclude(late);
+            for (String n : missing) if (!b.registrations().get(n).excluded()) late.put(n, b.registrations().get(n).incarnation());
+            if (!late.isEmpty()) return new Transition.ExcludeDirectors(late);
         }
         return null;
     }
 
     /** Whoever has not said that it decides by the new plan decides by none, once its last lease is over. */
-    private Move settling(Book b, double now) {
+    private Transition settling(PolicyRegister b, double now) {
         boolean all = waitsFor(b).isEmpty() && over(b, now).containsAll(excluded(b));
-        return all || now - began >= leaseOver(b) ? new Move.Settle(b.plan().number()) : null;
+        return all || now - began >= leaseOver(b) ? new Transition.Settle(b.plan().number()) : null;
     }
 
     /**
      * All that what comes next depends on, times as spans from now, at most {@code span}; the stage up to the blank.
      */
-    public String shown(double now, double span) {
+    public String fingerprint(double now, double span) {
         StringBuilder s = new StringBuilder().append(since).append(stage).append(' ').append(Math.min(span,
             now - began))
             .append(new TreeMap<>(words)).append(ended);
--- a/src/main/java/mothcross/policy/Plan.java
+++ b/src/main/java/mothcross/policy/Plan.java
@@ -25,10 +25,10 @@
 
     /** The text that decides a lookup of this object at this director; the same at all for a share. */
     public String decides(String director, long objectHash) {
-        return tries(director, objectHash) ? trial : main;
+        return isOnTrial(director, objectHash) ? trial : main;
     }
 
-    public boolean tries(String director, long objectHash) {
+    public boolean isOnTrial(String director, long objectHash) {
         if (canary.isNone()) return false;
         if (!canary.names().isEmpty()) return canary.names().contains(director);
         return (mix(objectHash) >>> 11) * 0x1p-53 < canary.share();
--- a/src/main/java/mothcross/policy/Party.java
+++ b/src/main/java/mothcross/policy/PolicyParticipant.java
@@ -19,30 +19,30 @@
  * written comes back. Owns who is told what and when; must never send what rests on a write before that has ended.
  * docs/design/policy-change.md has the promises by number.
  */
-public final class Party {
-    public record Send(String to, Said what) { }
+public final class PolicyParticipant {
+    public record Send(String to, PolicyMessage message) { }
 
     /** What the edge has to do before it sends what comes with it, in this order. */
-    public sealed interface Work { }
+    public sealed interface Action { }
 
-    /** To be kept and synced; then {@link #synced}. */
-    public record KeepVoter(Voter.State state) implements Work { }
+    /** To be kept and synced; then {@link #voterStateSynced}. */
+    public record PersistVoterState(Voter.State state) implements Action { }
 
-    public record KeepBook(Book book) implements Work { }
+    public record PersistRegister(PolicyRegister register) implements Action { }
 
-    /** To be compared with its digest, compiled, kept and synced; then {@link #checked}. */
-    public record Check(String digest, byte[] bytes) implements Work { }
+    /** To be compared with its digest, compiled, kept and synced; then {@link #textValidated}. */
+    public record ValidateText(String digest, byte[] bytes) implements Action { }
 
-    public record Drop(String digest) implements Work { }
+    public record DeleteText(String digest) implements Action { }
 
     /** From now on it decides by this plan; lookups under way keep what they began with. */
-    public record Take(Plan plan) implements Work { }
+    public record ActivatePlan(Plan plan) implements Action { }
 
     /** What is to be told to operators' logs. */
-    public record Tell(String what, Map<String, Object> with) implements Work { }
+    public record LogEvent(String event, Map<String, Object> fields) implements Action { }
 
     /** What a Party counts; each number only grows. */
-    public enum Count { WRITES_BEGUN, WRITES_DONE, WRITES_LOST, SYNCS, DECIDED_HEARD, LEASES, LEASE_REFUSALS, POLLS,
+    public enum Counter { WRITES_BEGUN, WRITES_DONE, WRITES_LOST, SYNCS, DECIDED_HEARD, LEASES, LEASE_REFUSALS, POLLS,
         TAKEOVERS, DOUBTS_ENDED }
 
     private static final double AGAIN = 200, LEARN = 300, ENROL = 500, POLL = 250, IDLE_LEARN = 3000, TAKEOVER = 1500,
@@ -56,14 +56,14 @@
     private final Supplier<Collection<String>> contacts;
     private final SplittableRandom chance;
     private final Voter voter;
-    private final Holder holder;
-    private final Writer writer;
-    private final Driver driver = new Driver();
-    private final Texts texts = new Texts();
+    private final PolicyReplica holder;
+    private final Proposer writer;
+    private final ChangeCoordinator driver = new ChangeCoordinator();
+    private final PolicyTexts texts = new PolicyTexts();
     private final List<Send> out = new ArrayList<>();
-    private final List<Work> works = new ArrayList<>();
+    private final List<Action> works = new ArrayList<>();
     // The last whole book heard of: it may be older than the holder's, and then no step is tried from it.
-    private Book whole;
+    private PolicyRegister whole;
     private boolean leaving, left;
     private double nextAt = Double.NEGATIVE_INFINITY;
     private double writerSaid, writerAgainAt = Double.NEGATIVE_INFINITY;
@@ -73,26 +73,26 @@
     private double otherDrove = Double.NEGATIVE_INFINITY;
     private boolean drives;
     private double doubtsSince = Double.NaN;                // something later may be decided than is known here
-    private Turn undecided = Turn.NONE;                     // what was accepted in it was found not to be decided
-    private Said.AskThem pointed;
+    private ProposalNumber undecided = ProposalNumber.NONE;                     // what was accepted in it was found not to be decided
+    private PolicyMessage.VotersRedirect pointed;
     private String fetchedFirst = "";
-    private Said.Standing saidLast;
+    private PolicyMessage.ProgressReport saidLast;
     private long taken = -1;
-    private final Map<String, Book.Seat> enrols = new LinkedHashMap<>();
+    private final Map<String, PolicyRegister.Registration> enrols = new LinkedHashMap<>();
     private final Map<String, Long> leaves = new LinkedHashMap<>();
     // What operators asked for, in order, and how it went; by a key of theirs.
-    private final Map<String, Move> asked = new LinkedHashMap<>();
+    private final Map<String, Transition> asked = new LinkedHashMap<>();
     private final Map<String, String> outcomes = new LinkedHashMap<>();
-    private final Map<String, String> marksSeen = new TreeMap<>();
-    public final long[] count = new long[Count.values().length];
+    private final Map<String, String> observedStoreIds = new TreeMap<>();
+    public final long[] count = new long[Counter.values().length];
 
     /**
      * {@code kept} is what was on disk: of the voter, null where this is none or its disk is new; the last book, null
      * where there is none; texts by digest. {@code mark} is drawn anew for a new disk. {@code founders} are named by
      * the operators' file; {@code contacts} are all that are known to be there, whether they vote or not.
      */
-    public Party(String name, long life, String host, int port, Set<String> founders,
-                 Supplier<Collection<String>> contacts, double leaseMs, Voter.State kept, String mark, Book book,
+    public PolicyParticipant(String name, long life, String host, int port, Set<String> founders,
+                 Supplier<Collection<String>> contacts, double leaseMs, Voter.State kept, String mark, PolicyRegister book,
                      Map<String, byte[]> held,
                  SplittableRandom chance) {
         this.name = name;
@@ -102,17 +102,17 @@
         this.contacts = contacts;
         this.chance = chance;
         voter = new Voter(name, this.founders, kept != null ? kept : Voter.State.blank(mark));
-        holder = new Holder(name, life, book != null ? book : Book.first(Voters.named(founders), leaseMs));
-        writer = new Writer(name, life, this.founders);
-        whole = holder.known().whole() ? holder.known() : null;
+        holder = new PolicyReplica(name, life, book != null ? book : PolicyRegister.first(VoterSet.named(founders), leaseMs));
+        writer = new Proposer(name, life, this.founders);
+        whole = holder.register().complete() ? holder.register() : null;
         held.forEach((d, b) -> {
             texts.kept(d, b);
-            holder.has(d, true);
+            holder.setTextAvailable(d, true);
         });
-        driver.heard(holder.known(), Double.NEGATIVE_INFINITY);
+        driver.learn(holder.register(), Double.NEGATIVE_INFINITY);
     }
 
-    public Holder holder() {
+    public PolicyReplica holder() {
         return holder;
     }
 
@@ -120,54 +120,54 @@
         return voter;
     }
 
-    public Driver driver() {
+    public ChangeCoordinator driver() {
         return driver;
     }
 
-    public Texts texts() {
+    public PolicyTexts texts() {
         return texts;
     }
 
-    public Book known() {
-        return holder.known();
+    public PolicyRegister register() {
+        return holder.register();
     }
 
     /** By name the mark that each voter last answered under. */
-    public Map<String, String> marksSeen() {
-        return marksSeen;
+    public Map<String, String> observedStoreIds() {
+        return observedStoreIds;
     }
 
-    public double next() {
+    public double nextTickAt() {
         return nextAt;
     }
 
     private boolean isVoter() {
-        return known().voters().names().contains(name) || known().revision() == 0 && founders.contains(name);
+        return register().voters().names().contains(name) || register().revision() == 0 && founders.contains(name);
     }
 
-    private void count(Count c) {
+    private void count(Counter c) {
         count[c.ordinal()]++;
     }
 
     private void tell(String what, Object... with) {
         Map<String, Object> m = new LinkedHashMap<>();
         for (int i = 0; i < with.length; i += 2) m.put((String) with[i], with[i + 1]);
-        works.add(new Tell(what, m));
+        works.add(new LogEvent(what, m));
     }
 
-    private void say(String to, Said what) {
+    private void say(String to, PolicyMessage what) {
         out.add(new Send(to, what));
     }
 
-    public List<Send> sends() {
+    public List<Send> takeSends() {
         List<Send> all = List.copyOf(out);
         out.clear();
         return all;
     }
 
-    /** To be done before the sends are taken; {@link #synced} and {@link #checked} may bring more of both. */
-    public List<Work> works() {
-        List<Work> all = List.copyOf(works);
+    /** To be done before the sends are taken; {@link #voterStateSynced} and {@link #textValidated} may bring more of both. */
+    public List<Action> takeActions() {
+        List<Action> all = List.copyOf(works);
         works.clear();
         return all;
     }
@@ -177,34 +177,34 @@
     public void tick(double now) {
         if (left) return;
         nextAt = now + 100;
-        Book b = known();
+        PolicyRegister b = register();
         // Whoever is not seated asks what is decided, then for its seat; whoever is asks now and then.
         if (now >= learnAt) {
-            boolean urgent = !holder.isSeated() || holder.stopped(now) != Holder.Stopped.NO;
+            boolean urgent = !holder.isRegistered() || holder.stopReason(now) != PolicyReplica.StopReason.NO;
             boolean needsWhole = drives && !isWholeNow();
             learnAt = now + (urgent || needsWhole ? LEARN : IDLE_LEARN * (0.8 + 0.4 * chance.nextDouble()));
             // The voters that it knows may all be gone: now and then anybody is asked who is one now.
             String v = urgent && chance.nextInt(4) == 0 ? anybody() : someVoter();
-            if (v != null) say(v, new Said.Learn(b.revision(), needsWhole || isVoter()));
+            if (v != null) say(v, new PolicyMessage.Learn(b.revision(), needsWhole || isVoter()));
         }
-        if (!holder.isSeated() && !leaving && now >= enrolAt) {
+        if (!holder.isRegistered() && !leaving && now >= enrolAt) {
             enrolAt = now + ENROL * (0.7 + 0.6 * chance.nextDouble());
-            Book.Seat former = b.roll().get(name);
+            PolicyRegister.Registration former = b.registrations().get(name);
             boolean here = former != null && former.host().equals(host) && former.port() == port;
-            if (here && former.life() > holder.life()) holder.relives(former.life());
-            Said.Enrol e = new Said.Enrol(holder.life(), host, port);
+            if (here && former.incarnation() > holder.incarnation()) holder.relives(former.incarnation());
+            PolicyMessage.JoinRequest e = new PolicyMessage.JoinRequest(holder.incarnation(), host, port);
             String v = someVoter();
-            if (v == null) on(now, name, e);
+            if (v == null) onMessage(now, name, e);
             else say(v, e);
         }
         if (leaving && now >= leaveAt) {
             leaveAt = now + AGAIN;
             String v = someVoter();
-            if (v != null) say(v, new Said.Leave(holder.life()));
+            if (v != null) say(v, new PolicyMessage.LeaveRequest(holder.incarnation()));
         }
-        Said.MayI m = holder.asks(now);
+        PolicyMessage.LeaseRequest m = holder.nextLeaseRequest(now);
         if (m != null) {
-            count(Count.LEASES);
+            count(Counter.LEASES);
             for (String v : b.voters().names()) tell(v, m, now);
         }
         fetch(now);
@@ -214,8 +214,8 @@
     }
 
     /** A message to a voter, which may be this one. */
-    private void tell(String v, Said what, double now) {
-        if (v.equals(name)) on(now, name, what);
+    private void tell(String v, PolicyMessage what, double now) {
+        if (v.equals(name)) onMessage(now, name, what);
         else say(v, what);
     }
 
@@ -227,29 +227,29 @@
 
     /** Those that it knows as voters, and those that others know as later ones. */
     private String someVoter() {
-        Set<String> names = new TreeSet<>(known().voters().names());
-        if (pointed != null && pointed.voters() > known().voters().number()) names.addAll(pointed.names());
+        Set<String> names = new TreeSet<>(register().voters().names());
+        if (pointed != null && pointed.voterSetNumber() > register().voters().number()) names.addAll(pointed.names());
         List<String> all = new ArrayList<>(names);
         all.remove(name);
         return all.isEmpty() ? null : all.get(chance.nextInt(all.size()));
     }
 
     private boolean isWholeNow() {
-        return whole != null && whole.revision() == known().revision();
+        return whole != null && whole.revision() == register().revision();
     }
 
     // ---- texts ----
 
     private Set<String> wanted() {
         Set<String> all = new HashSet<>();
-        Book b = known();
+        PolicyRegister b = register();
         all.add(b.plan().main());
         all.add(b.plan().trial());
         if (b.change() != null) {
             all.add(b.change().target().main());
             all.add(b.change().target().trial());
         }
-        for (Move m : asked.values()) if (m instanceof Move.Propose p) all.add(p.digest());
+        for (Transition m : asked.values()) if (m instanceof Transition.Propose p) all.add(p.digest());
         all.remove("");
         return all;
     }
@@ -261,29 +261,29 @@
             texts.wants(d);
             if (!texts.isWanted(d)) continue;
             String from = source(d);
-            if (from != null) say(from, new Said.Fetch(d, texts.from(d)));
+            if (from != null) say(from, new PolicyMessage.TextRequest(d, texts.from(d)));
         }
     }
 
     /** First whoever brought it, who has it for sure; then any that may have it by now. */
     private String source(String digest) {
-        Change by = known().change();
+        Change by = register().change();
         boolean first = !digest.equals(fetchedFirst);
         fetchedFirst = digest;
         if (first && by != null && by.digest().equals(digest) && !by.by().equals(name)) return by.by();
-        List<String> all = new ArrayList<>(known().voters().names());
-        Change c = known().change();
+        List<String> all = new ArrayList<>(register().voters().names());
+        Change c = register().change();
         if (c != null && !all.contains(c.by())) all.add(c.by());
-        if (whole != null) for (String n : whole.roll().keySet()) if (all.size() < 16 && !all.contains(n)) all.add(n);
+        if (whole != null) for (String n : whole.registrations().keySet()) if (all.size() < 16 && !all.contains(n)) all.add(n);
         all.remove(name);
         return all.isEmpty() ? null : all.get(chance.nextInt(all.size()));
     }
 
     /** The edge's word on a text: {@code why} null, and it is on disk; "" where its bytes do not have the digest. */
-    public void checked(double now, String digest, byte[] bytes, String why) {
+    public void textValidated(double now, String digest, byte[] bytes, String why) {
         if (why == null) {
             texts.kept(digest, bytes);
-            holder.has(digest, true);
+            holder.setTextAvailable(digest, true);
             tell("policy: text kept", "digest", digest, "bytes", bytes.length);
             takes();
         } else if (why.isEmpty()) {
@@ -296,29 +296,29 @@
     }
 
     /** A text that an operator brings; it is checked here first. */
-    public void bring(String digest, byte[] bytes) {
+    public void submitText(String digest, byte[] bytes) {
         texts.checks(digest);
-        works.add(new Check(digest, bytes));
+        works.add(new ValidateText(digest, bytes));
     }
 
     private void dropOthers() {
-        Book b = known();
+        PolicyRegister b = register();
         Set<String> wanted = wanted();
         // Without a change under way, the one before stays, to be taken back to at once.
         if (b.change() == null && texts.all().size() <= 2) return;
-        if (b.change() == null && !b.lately().isEmpty()) wanted.add(before(b));
+        if (b.change() == null && !b.recentChanges().isEmpty()) wanted.add(previousText(b));
         for (String gone : texts.keepOnly(wanted)) {
-            holder.has(gone, false);
-            works.add(new Drop(gone));
+            holder.setTextAvailable(gone, false);
+            works.add(new DeleteText(gone));
         }
     }
 
     /** The text that was in force before the one that is. */
-    public static String before(Book b) {
+    public static String previousText(PolicyRegister b) {
         String now = b.plan().main();
-        List<Book.Ended> all = b.lately();
+        List<PolicyRegister.CompletedChange> all = b.recentChanges();
         for (int i = all.size() - 1; i >= 0; i--) {
-            if (all.get(i).outcome() == Book.Outcome.COMMITTED && !all.get(i).digest().equals(now)) {
+            if (all.get(i).outcome() == PolicyRegister.Outcome.COMMITTED && !all.get(i).digest().equals(now)) {
                 return all.get(i).digest();
             }
         }
@@ -327,30 +327,30 @@
 
     // ---- what is decided ----
 
-    private void heard(Book b, double now) {
-        if (b.whole() && (whole == null || b.revision() > whole.revision())) whole = b;
-        boolean wasSeated = holder.isSeated();
-        Book before = known();
-        if (!holder.heard(b)) return;
-        count(Count.DECIDED_HEARD);
-        driver.heard(known(), now);
+    private void heard(PolicyRegister b, double now) {
+        if (b.complete() && (whole == null || b.revision() > whole.revision())) whole = b;
+        boolean wasSeated = holder.isRegistered();
+        PolicyRegister before = register();
+        if (!holder.learn(b)) return;
+        count(Counter.DECIDED_HEARD);
+        driver.learn(register(), now);
         boolean planned = before.plan().number() != b.plan().number();
         Change c = b.change(), o = before.change();
-        boolean staged = (c == null) != (o == null) || c != null && o != null && c.since() != o.since();
+        boolean staged = (c == null) != (o == null) || c != null && o != null && c.stageRevision() != o.stageRevision();
         if (staged || planned) {
             otherDrove = now;
             boolean same = c != null && o != null && o.id().equals(c.id());
             boolean goesOn = same && o.stage() != Stage.TRIAL;
             drives = c != null && (goesOn ? drives : c.by().equals(name));
             tell("policy: decided", "revision", b.revision(), "plan", b.plan().number(), "change", c == null ? ""
-                : c.id(), "stage", c == null ? "" : c.stage(), "outcome", b.lately().isEmpty() ? ""
-                : b.lately().get(b.lately().size() - 1).outcome());
+                : c.id(), "stage", c == null ? "" : c.stage(), "outcome", b.recentChanges().isEmpty() ? ""
+                : b.recentChanges().get(b.recentChanges().size() - 1).outcome());
         }
-        if (wasSeated && !holder.isSeated() && !leaving) tell("policy: has no seat any more", "revision", b.revision());
-        if (leaving && !holder.isSeated()) left = true;
-        if (staged || planned || b.voters().number() != before.voters().number()) works.add(new KeepBook(b));
-        enrols.entrySet().removeIf(e -> b.whole() && b.seats(e.getKey(), e.getValue().life()));
-        leaves.entrySet().removeIf(e -> b.whole() && b.seat(e.getKey(), e.getValue()) == null);
+        if (wasSeated && !holder.isRegistered() && !leaving) tell("policy: has no seat any more", "revision", b.revision());
+        if (leaving && !holder.isRegistered()) left = true;
+        if (staged || planned || b.voters().number() != before.voters().number()) works.add(new PersistRegister(b));
+        enrols.entrySet().removeIf(e -> b.complete() && b.isRegistered(e.getKey(), e.getValue().incarnation()));
+        leaves.entrySet().removeIf(e -> b.complete() && b.registration(e.getKey(), e.getValue()) == null);
         fetchAt = Double.NEGATIVE_INFINITY;
         takes();
         fetch(now);
@@ -361,60 +361,60 @@
     private void takes() {
         if (holder.plan() < 0 || holder.plan() == taken) return;
         taken = holder.plan();
-        works.add(new Take(known().plan()));
-        tell("policy: taken up", "plan", taken, "revision", known().revision());
+        works.add(new ActivatePlan(register().plan()));
+        tell("policy: taken up", "plan", taken, "revision", register().revision());
     }
 
     // ---- how far this director is ----
 
     /** Says how far it is where that is news, or was said long ago; to the voters and to whom began the change. */
     private void stand(double now, boolean atOnce) {
-        Change c = known().change();
-        if (c == null || c.stage() == Stage.TRIAL || !holder.isSeated()) {
+        Change c = register().change();
+        if (c == null || c.stage() == Stage.TRIAL || !holder.isRegistered()) {
             saidLast = null;
             return;
         }
-        Said.Standing s = standing(now);
+        PolicyMessage.ProgressReport s = standing(now);
         if (s.equals(saidLast) && (atOnce || now - saidAt < SAYS_AGAIN)) return;
         saidLast = s;
         saidAt = now;
-        Set<String> to = new TreeSet<>(known().voters().names());
+        Set<String> to = new TreeSet<>(register().voters().names());
         to.add(c.by());
         for (String n : to) tell(n, s, now);
     }
 
-    private Said.Standing standing(double now) {
-        Change c = known().change();
-        Said.Far far = Said.Far.BEHIND;
+    private PolicyMessage.ProgressReport standing(double now) {
+        Change c = register().change();
+        PolicyMessage.Progress far = PolicyMessage.Progress.BEHIND;
         String why = "";
         if (c.stage() == Stage.SETTLING) {
-            if (holder.plan() == known().plan().number()) far = Said.Far.TAKEN;
-        } else if (holder.binds(c.since(), now)) {
-            far = Said.Far.READY;
+            if (holder.plan() == register().plan().number()) far = PolicyMessage.Progress.TAKEN;
+        } else if (holder.bind(c.stageRevision(), now)) {
+            far = PolicyMessage.Progress.READY;
         } else {
-            far = Said.Far.FETCHING;
+            far = PolicyMessage.Progress.FETCHING;
             for (String d : List.of(c.target().main(), c.target().trial())) {
-                if (texts.isChecking(d)) far = Said.Far.CHECKING;
+                if (texts.isChecking(d)) far = PolicyMessage.Progress.CHECKING;
                 if (texts.fault(d) == null) continue;
-                far = Said.Far.NO;
+                far = PolicyMessage.Progress.NO;
                 why = texts.fault(d);
             }
         }
-        return new Said.Standing(holder.life(), c.since(), known().plan().number(), far, why);
+        return new PolicyMessage.ProgressReport(holder.incarnation(), c.stageRevision(), register().plan().number(), far, why);
     }
 
     // ---- driving ----
 
     /** Whoever began the change drives it; where nobody is heard to, the next one in order goes on with it. */
     private void drive(double now) {
-        Change c = known().change();
+        Change c = register().change();
         if (c == null || c.stage() == Stage.TRIAL) {
             drives = false;
             return;
         }
         if (!drives && now - otherDrove >= TAKEOVER + RANK * rank()) {
             drives = true;
-            count(Count.TAKEOVERS);
+            count(Counter.TAKEOVERS);
             tell("policy: drives what another began", "change", c.id(), "by", c.by());
         }
         if (!drives || now < pollAt) return;
@@ -423,16 +423,16 @@
             learnAt = Math.min(learnAt, now);
             return;
         }
-        count(Count.POLLS);
-        Said.HowFar how = new Said.HowFar(known().revision(), c.since(), known().plan().number());
+        count(Counter.POLLS);
+        PolicyMessage.ProgressRequest how = new PolicyMessage.ProgressRequest(register().revision(), c.stageRevision(), register().plan().number());
         Set<String> to = new TreeSet<>(driver.waitsFor(whole));
-        to.addAll(known().voters().names());
+        to.addAll(register().voters().names());
         to.remove(name);
         for (String n : to) say(n, how);
     }
 
     private int rank() {
-        List<String> all = new ArrayList<>(new TreeSet<>(known().voters().names()));
+        List<String> all = new ArrayList<>(new TreeSet<>(register().voters().names()));
         int r = all.indexOf(name);
         return r >= 0 ? r : all.size() + 1 + Math.floorMod(name.hashCode(), MOST_RANKS);
     }
@@ -440,16 +440,16 @@
     // ---- writing ----
 
     private void write(double now) {
-        Writer.State s = writer.state();
-        if (s == Writer.State.ASKS || s == Writer.State.OFFERS) {
+        Proposer.State s = writer.state();
+        if (s == Proposer.State.PREPARING || s == Proposer.State.ACCEPTING) {
             if (now - writerSaid >= AGAIN) saysOfWriter(now);
             return;
         }
         if (now < writerAgainAt) return;
-        Move m = nextMove(now);
+        Transition m = nextMove(now);
         if (m == null && !doubts(now)) return;
-        count(m == null ? Count.DOUBTS_ENDED : Count.WRITES_BEGUN);
-        writer.begin(whole != null && isWholeNow() ? whole : known(), m);
+        count(m == null ? Counter.DOUBTS_ENDED : Counter.WRITES_BEGUN);
+        writer.begin(whole != null && isWholeNow() ? whole : register(), m);
         saysOfWriter(now);
     }
 
@@ -458,9 +458,9 @@
      * wait for its word. After a while, by rank, it finishes that itself.
      */
     private boolean doubts(double now) {
-        Book b = voter.state().accepted();
-        boolean settled = b == null || b.revision() <= known().revision()
-            || voter.state().acceptedAt().equals(undecided);
+        PolicyRegister b = voter.state().accepted();
+        boolean settled = b == null || b.revision() <= register().revision()
+            || voter.state().acceptedNumber().equals(undecided);
         if (settled) doubtsSince = Double.NaN;
         else if (Double.isNaN(doubtsSince)) doubtsSince = now;
         return now - doubtsSince >= TAKEOVER + RANK * rank();
@@ -468,32 +468,32 @@
 
     private void saysOfWriter(double now) {
         writerSaid = now;
-        Map<String, Said> all = writer.says();
+        Map<String, PolicyMessage> all = writer.pendingRequests();
         all.forEach((n, what) -> {
             if (!n.equals(name)) say(n, what);
         });
-        if (all.containsKey(name)) on(now, name, all.get(name));
+        if (all.containsKey(name)) onMessage(now, name, all.get(name));
     }
 
-    private Move nextMove(double now) {
+    private Transition nextMove(double now) {
         if (!asked.isEmpty()) return asked.values().iterator().next();
-        if (!enrols.isEmpty()) return new Move.Enrol(Map.copyOf(enrols));
+        if (!enrols.isEmpty()) return new Transition.RegisterDirectors(Map.copyOf(enrols));
         if (!leaves.isEmpty()) {
             Map.Entry<String, Long> e = leaves.entrySet().iterator().next();
-            return new Move.Strike(e.getKey(), e.getValue(), "it said so");
+            return new Transition.RemoveDirector(e.getKey(), e.getValue(), "it said so");
         }
-        return drives && isWholeNow() ? driver.wants(whole, now) : null;
+        return drives && isWholeNow() ? driver.nextTransition(whole, now) : null;
     }
 
     private void afterWrite(double now) {
-        Writer.State s = writer.state();
-        if (s == Writer.State.DONE) {
-            Book b = writer.decided();
+        Proposer.State s = writer.state();
+        if (s == Proposer.State.DONE) {
+            PolicyRegister b = writer.decided();
             boolean own = writer.isOwn();
-            Move m = writer.move();
-            if (own) count(Count.WRITES_DONE);
+            Transition m = writer.move();
+            if (own) count(Counter.WRITES_DONE);
             // Most voters know nothing later: what this one has accepted was never decided, and is left at that.
-            if (m == null && (b == null || b.revision() <= known().revision())) undecided = voter.state().acceptedAt();
+            if (m == null && (b == null || b.revision() <= register().revision())) undecided = voter.state().acceptedNumber();
             if (own) settleAsked(m, "done, revision " + b.revision());
             writer.stop();
             if (b != null) {
@@ -501,22 +501,22 @@
                 heard(b, now);
             }
             write(now);
-        } else if (s == Writer.State.LOST) {
-            count(Count.WRITES_LOST);
-            Move m = writer.move();
+        } else if (s == Proposer.State.LOST) {
+            count(Counter.WRITES_LOST);
+            Transition m = writer.move();
             if (writer.refused() != null) {
                 settleAsked(m, "refused: " + writer.refused());
-                if (m instanceof Move.Enrol e) enrols.keySet().removeAll(e.who().keySet());
-                if (m instanceof Move.Strike k) leaves.remove(k.name());
+                if (m instanceof Transition.RegisterDirectors e) enrols.keySet().removeAll(e.who().keySet());
+                if (m instanceof Transition.RemoveDirector k) leaves.remove(k.name());
             }
             writer.stop();
             writerAgainAt = now + LOST_MIN + LOST_RANDOM * chance.nextDouble();
         }
     }
 
-    private void settleAsked(Move m, String how) {
+    private void settleAsked(Transition m, String how) {
         if (how == null) return;
-        for (Map.Entry<String, Move> e : asked.entrySet()) {
+        for (Map.Entry<String, Transition> e : asked.entrySet()) {
             if (e.getValue() != m) continue;
             if (outcomes.size() >= MOST_TRIED) outcomes.remove(outcomes.keySet().iterator().next());
             outcomes.put(e.getKey(), how);
@@ -526,22 +526,22 @@
     }
 
     /** What concerns all is told to all; who comes and goes only to those and to the voters. */
-    private void announce(Book b, Move m) {
+    private void announce(PolicyRegister b, Transition m) {
         Set<String> to = new TreeSet<>();
-        boolean ofFew = m instanceof Move.Enrol || m instanceof Move.Strike || m == null;
-        if (!ofFew) to.addAll(b.roll().keySet());
-        if (m instanceof Move.Enrol e) to.addAll(e.who().keySet());
-        if (m instanceof Move.Strike s) to.add(s.name());
+        boolean ofFew = m instanceof Transition.RegisterDirectors || m instanceof Transition.RemoveDirector || m == null;
+        if (!ofFew) to.addAll(b.registrations().keySet());
+        if (m instanceof Transition.RegisterDirectors e) to.addAll(e.who().keySet());
+        if (m instanceof Transition.RemoveDirector s) to.add(s.name());
         to.removeAll(b.voters().names());
         to.remove(name);
-        for (String n : b.voters().names()) if (!n.equals(name)) say(n, new Said.Decided(b));
-        for (String n : to) say(n, new Said.Decided(b.brief(n)));
+        for (String n : b.voters().names()) if (!n.equals(name)) say(n, new PolicyMessage.Decided(b));
+        for (String n : to) say(n, new PolicyMessage.Decided(b.brief(n)));
     }
 
     // ---- operators ----
 
     /** Tries a step that an operator wants; {@link #outcome} has the answer under this key. */
-    public void asks(double now, String key, Move m) {
+    public void submit(double now, String key, Transition m) {
         asked.put(key, m);
         write(now);
     }
@@ -551,90 +551,90 @@
         return outcomes.get(key);
     }
 
-    public boolean isAsked(String key) {
+    public boolean isPending(String key) {
         return asked.containsKey(key);
     }
 
-    /** It decides nothing any more, and says so until it is off the roll; {@link #isGone} then. */
+    /** It decides nothing any more, and says so until it is off the roll; {@link #hasLeft} then. */
     public void leave(double now) {
         leaving = true;
-        if (!holder.isSeated()) left = true;
+        if (!holder.isRegistered()) left = true;
         tick(now);
     }
 
-    public boolean isGone() {
+    public boolean hasLeft() {
         return left;
     }
 
-    public void refused(String atHost, int atPort) {
-        if (whole != null) driver.refused(whole, atHost, atPort);
+    public void onConnectionRefused(String atHost, int atPort) {
+        if (whole != null) driver.onConnectionRefused(whole, atHost, atPort);
     }
 
     // ---- messages ----
 
-    public void on(double now, String from, Said s) {
+    public void onMessage(double now, String from, PolicyMessage s) {
         if (left) return;
-        if (s instanceof Said.Prepare p) step(from, voter.on(p), false);
-        else if (s instanceof Said.Accept a) step(from, voter.on(a), true);
-        else if (s instanceof Said.Promised p) {
-            marksSeen.put(from, p.mark());
+        if (s instanceof PolicyMessage.Prepare p) step(from, voter.on(p), false);
+        else if (s instanceof PolicyMessage.Accept a) step(from, voter.on(a), true);
+        else if (s instanceof PolicyMessage.Promised p) {
+            observedStoreIds.put(from, p.storeId());
             writer.on(from, p);
-            if (writer.state() == Writer.State.OFFERS) saysOfWriter(now);
+            if (writer.state() == Proposer.State.ACCEPTING) saysOfWriter(now);
             afterWrite(now);
-        } else if (s instanceof Said.Accepted a) {
+        } else if (s instanceof PolicyMessage.Accepted a) {
             writer.on(from, a);
             afterWrite(now);
-        } else if (s instanceof Said.Late l) {
+        } else if (s instanceof PolicyMessage.Rejected l) {
             writer.on(l);
             afterWrite(now);
-        } else if (s instanceof Said.Decided d) {
-            heard(d.book(), now);
-        } else if (s instanceof Said.Learn l) {
+        } else if (s instanceof PolicyMessage.Decided d) {
+            heard(d.register(), now);
+        } else if (s instanceof PolicyMessage.Learn l) {
             teach(from, l);
-        } else if (s instanceof Said.AskThem a) {
-            if (a.voters() > known().voters().number() && (pointed == null || a.voters() > pointed.voters())) {
+        } else if (s instanceof PolicyMessage.VotersRedirect a) {
+            if (a.voterSetNumber() > register().voters().number() && (pointed == null || a.voterSetNumber() > pointed.voterSetNumber())) {
                 pointed = a;
                 learnAt = Math.min(learnAt, now);
             }
-        } else if (s instanceof Said.Enrol e) {
-            enrols.put(from, new Book.Seat(e.life(), e.host(), e.port(), false));
-            if (isWholeNow() && whole.seats(from, e.life())) {
+        } else if (s instanceof PolicyMessage.JoinRequest e) {
+            enrols.put(from, new PolicyRegister.Registration(e.incarnation(), e.host(), e.port(), false));
+            if (isWholeNow() && whole.isRegistered(from, e.incarnation())) {
                 enrols.remove(from);
-                say(from, new Said.Decided(whole.brief(from)));
+                say(from, new PolicyMessage.Decided(whole.brief(from)));
             }
-        } else if (s instanceof Said.Leave l) {
-            if (isWholeNow() && whole.seat(from, l.life()) == null) say(from, new Said.Decided(whole.brief(from)));
-            else leaves.put(from, l.life());
-        } else if (s instanceof Said.MayI m) {
+        } else if (s instanceof PolicyMessage.LeaveRequest l) {
+            if (isWholeNow() && whole.registration(from, l.incarnation()) == null) say(from, new PolicyMessage.Decided(whole.brief(from)));
+            else leaves.put(from, l.incarnation());
+        } else if (s instanceof PolicyMessage.LeaseRequest m) {
             if (isVoter()) tell(from, voter.on(m, from, isWholeNow() ? whole : null), now);
-        } else if (s instanceof Said.YouMay y) {
-            marksSeen.put(from, y.mark());
-            if (!y.yes()) count(Count.LEASE_REFUSALS);
-            if (holder.on(from, y)) say(from, new Said.Learn(known().revision(), isVoter()));
-        } else if (s instanceof Said.HowFar h) {
+        } else if (s instanceof PolicyMessage.LeaseReply y) {
+            observedStoreIds.put(from, y.storeId());
+            if (!y.granted()) count(Counter.LEASE_REFUSALS);
+            if (holder.onLeaseReply(from, y)) say(from, new PolicyMessage.Learn(register().revision(), isVoter()));
+        } else if (s instanceof PolicyMessage.ProgressRequest h) {
             howFar(now, from, h);
-        } else if (s instanceof Said.Standing st) {
-            driver.said(known(), from, st);
-        } else if (s instanceof Said.Words w) {
-            if (known().change() != null && w.since() == known().change().since()) {
-                w.of().forEach((n, st) -> driver.said(known(), n, st));
+        } else if (s instanceof PolicyMessage.ProgressReport st) {
+            driver.onProgress(register(), from, st);
+        } else if (s instanceof PolicyMessage.ProgressReports w) {
+            if (register().change() != null && w.stageRevision() == register().change().stageRevision()) {
+                w.reports().forEach((n, st) -> driver.onProgress(register(), n, st));
             }
-        } else if (s instanceof Said.Fetch f) {
+        } else if (s instanceof PolicyMessage.TextRequest f) {
             say(from, texts.piece(f));
-        } else if (s instanceof Said.Chunk c) {
+        } else if (s instanceof PolicyMessage.TextChunk c) {
             piece(from, c);
-        } else if (s instanceof Said.NotHere) {
+        } else if (s instanceof PolicyMessage.TextNotFound) {
             fetchAt = Math.min(fetchAt, now + FETCH_AGAIN / 4);
         }
-        if (s instanceof Said.Enrol || s instanceof Said.Leave || s instanceof Said.Standing
-            || s instanceof Said.Words) write(now);
+        if (s instanceof PolicyMessage.JoinRequest || s instanceof PolicyMessage.LeaveRequest || s instanceof PolicyMessage.ProgressReport
+            || s instanceof PolicyMessage.ProgressReports) write(now);
     }
 
     private void step(String from, Voter.Step s, boolean accepts) {
-        if (s.now() != null) say(from, s.now());
-        if (s.keep() == null) return;
+        if (s.reply() != null) say(from, s.reply());
+        if (s.persist() == null) return;
         rest.add(new Rest(from, accepts));
-        works.add(new KeepVoter(s.keep()));
+        works.add(new PersistVoterState(s.persist()));
     }
 
     // Who waits for which write, in the order of the works.
@@ -643,47 +643,47 @@
     private record Rest(String to, boolean accepts) { }
 
     /** The voter's state is on disk; what rested on it is said now. */
-    public void synced(double now, Voter.State kept) {
-        count(Count.SYNCS);
-        Said.Receipt r = voter.synced(kept);
+    public void voterStateSynced(double now, Voter.State kept) {
+        count(Counter.SYNCS);
+        PolicyMessage.Receipt r = voter.synced(kept);
         Rest x = rest.remove(0);
-        tell(x.to, x.accepts ? Said.Accepted.of(r) : Said.Promised.of(r), now);
+        tell(x.to, x.accepts ? PolicyMessage.Accepted.of(r) : PolicyMessage.Promised.of(r), now);
     }
 
     /** The disk has refused: what would have rested on it is not said, to anybody. */
-    public void notSynced() {
+    public void voterStateNotSynced() {
         rest.remove(0);
         voter.unsynced();
     }
 
-    private void teach(String from, Said.Learn l) {
-        Book b = isWholeNow() ? whole : null;
+    private void teach(String from, PolicyMessage.Learn l) {
+        PolicyRegister b = isWholeNow() ? whole : null;
         if (b != null && (b.revision() > l.revision() || l.whole() && b.revision() == l.revision())
             && b.revision() > 0) {
-            say(from, new Said.Decided(l.whole() ? b : b.brief(from)));
-        } else if (b == null && known().revision() > l.revision()) {
-            say(from, new Said.AskThem(known().voters().number(), known().voters().names()));
+            say(from, new PolicyMessage.Decided(l.whole() ? b : b.brief(from)));
+        } else if (b == null && register().revision() > l.revision()) {
+            say(from, new PolicyMessage.VotersRedirect(register().voters().number(), register().voters().names()));
         }
     }
 
-    private void howFar(double now, String from, Said.HowFar h) {
+    private void howFar(double now, String from, PolicyMessage.ProgressRequest h) {
         if (!from.equals(name)) {
             otherDrove = now;
             // Of two that drive the one that began it goes on, else the first by name.
-            Change c = known().change();
+            Change c = register().change();
             boolean yields = c != null && !c.by().equals(name) && (c.by().equals(from) || from.compareTo(name) < 0);
             if (drives && yields) drives = false;
         }
-        if (h.revision() > known().revision()) say(from, new Said.Learn(known().revision(), isVoter()));
-        Change c = known().change();
-        if (c == null || c.since() != h.since()) return;
-        if (isVoter()) say(from, new Said.Words(c.since(), driver.words(known().plan().number())));
-        if (holder.isSeated() && c.stage() != Stage.TRIAL) say(from, standing(now));
+        if (h.revision() > register().revision()) say(from, new PolicyMessage.Learn(register().revision(), isVoter()));
+        Change c = register().change();
+        if (c == null || c.stageRevision() != h.stageRevision()) return;
+        if (isVoter()) say(from, new PolicyMessage.ProgressReports(c.stageRevision(), driver.words(register().plan().number())));
+        if (holder.isRegistered() && c.stage() != Stage.TRIAL) say(from, standing(now));
     }
 
-    private void piece(String from, Said.Chunk c) {
+    private void piece(String from, PolicyMessage.TextChunk c) {
         byte[] all = texts.takes(c);
-        if (all != null) works.add(new Check(c.digest(), all));
-        else if (texts.isWanted(c.digest())) say(from, new Said.Fetch(c.digest(), texts.from(c.digest())));
+        if (all != null) works.add(new ValidateText(c.digest(), all));
+        else if (texts.isWanted(c.digest())) say(from, new PolicyMessage.TextRequest(c.digest(), texts.from(c.digest())));
     }
 }
--- a/src/main/java/mothcross/policy/Holder.java
+++ b/src/main/java/mothcross/policy/PolicyReplica.java
@@ -12,34 +12,34 @@
  * Spans on the own clock only. Owns that; must never decide by a plan that is not decided, by an older one than it has
  * heard of, or past its lease.
  */
-public final class Holder {
+public final class PolicyReplica {
     /** Why it decides nothing. */
-    public enum Stopped { NO, NOT_SEATED, NO_TEXT, LEASE_OVER }
+    public enum StopReason { NO, NOT_SEATED, NO_TEXT, LEASE_OVER }
 
     private final String name;
-    private long life;
-    private Book known;
+    private long incarnation;
+    private PolicyRegister register;
     private long plan = -1;                                 // what it decides by; -1: nothing yet
-    private long boundFor = -1;                             // the stage, by its first revision; -1: free of it
-    private double until = Double.NEGATIVE_INFINITY;        // end of the lease, where it is bound
+    private long boundStage = -1;                             // the stage, by its first revision; -1: free of it
+    private double leaseExpiresAt = Double.NEGATIVE_INFINITY;        // end of the lease, where it is bound
     private long question;
     private double askedAt = Double.NaN, askedLast = Double.NEGATIVE_INFINITY;
     private final Map<String, String> yes = new TreeMap<>();
     private final Set<String> no = new TreeSet<>();
     private final Set<String> texts = new TreeSet<>();      // digests that are on disk and compiled here
 
-    public Holder(String name, long life, Book kept) {
+    public PolicyReplica(String name, long life, PolicyRegister kept) {
         this.name = name;
-        this.life = life;
-        this.known = kept;
+        this.incarnation = life;
+        this.register = kept;
         texts.add("");
     }
 
-    public Holder(Holder h) {
-        this(h.name, h.life, h.known);
+    public PolicyReplica(PolicyReplica h) {
+        this(h.name, h.incarnation, h.register);
         plan = h.plan;
-        boundFor = h.boundFor;
-        until = h.until;
+        boundStage = h.boundStage;
+        leaseExpiresAt = h.leaseExpiresAt;
         question = h.question;
         askedAt = h.askedAt;
         askedLast = h.askedLast;
@@ -48,20 +48,20 @@
         texts.addAll(h.texts);
     }
 
-    public Book known() {
-        return known;
+    public PolicyRegister register() {
+        return register;
     }
 
     public long plan() {
         return plan;
     }
 
-    public long life() {
-        return life;
+    public long incarnation() {
+        return incarnation;
     }
 
-    public double until() {
-        return until;
+    public double leaseExpiresAt() {
+        return leaseExpiresAt;
     }
 
     public Set<String> texts() {
@@ -70,32 +70,32 @@
 
     /** Its clock went back and its disk is new: its seat is a former life's, which this one has outlived. */
     void relives(long above) {
-        if (!isSeated()) life = above + 1;
+        if (!isRegistered()) incarnation = above + 1;
     }
 
     /** A text is on disk and compiled, or is not held any more. */
-    public void has(String digest, boolean here) {
+    public void setTextAvailable(String digest, boolean here) {
         if (here) texts.add(digest);
         else if (!digest.isEmpty()) texts.remove(digest);
         take();
     }
 
-    public boolean isSeated() {
-        return known.seats(name, life);
+    public boolean isRegistered() {
+        return register.isRegistered(name, incarnation);
     }
 
     /** It decides only while it has a lease. */
-    public boolean isBound() {
-        return known.plan().leases() || boundFor >= 0;
+    public boolean requiresLease() {
+        return register.plan().leases() || boundStage >= 0;
     }
 
     /** A decided book; false where it is no news. A brief one is cut for this director. */
-    public boolean heard(Book b) {
-        boolean fuller = b.revision() == known.revision() && b.whole() && !known.whole();
-        if (b.revision() < known.revision() || b.revision() == known.revision() && !fuller) return false;
-        known = b;
+    public boolean learn(PolicyRegister b) {
+        boolean fuller = b.revision() == register.revision() && b.complete() && !register.complete();
+        if (b.revision() < register.revision() || b.revision() == register.revision() && !fuller) return false;
+        register = b;
         Change c = b.change();
-        if (boundFor >= 0 && (c == null || c.since() != boundFor)) boundFor = -1;
+        if (boundStage >= 0 && (c == null || c.stageRevision() != boundStage)) boundStage = -1;
         if (no.size() > 0 || !yes.isEmpty()) forgetAnswers();
         take();
         return true;
@@ -103,37 +103,37 @@
 
     /** The decided plan is taken up as soon as its texts are here, and no older one is decided by from then on. */
     private void take() {
-        Plan p = known.plan();
-        if (p.number() == plan || known.revision() == 0) return;
+        Plan p = register.plan();
+        if (p.number() == plan || register.revision() == 0) return;
         plan = texts.contains(p.main()) && texts.contains(p.trial()) ? p.number() : -1;
     }
 
     /** Its own word that it is ready for this stage: from now on it decides by the old plan only under a lease. */
-    public boolean binds(long since, double now) {
-        Change c = known.change();
-        boolean fits = c != null && c.stage() == Change.Stage.BINDING && c.since() == since && isSeated()
+    public boolean bind(long since, double now) {
+        Change c = register.change();
+        boolean fits = c != null && c.stage() == Change.Stage.BINDING && c.stageRevision() == since && isRegistered()
             && texts.contains(c.target().main()) && texts.contains(c.target().trial());
         if (!fits) return false;
-        if (!isBound()) until = now + known.leaseMs();
-        boundFor = since;
+        if (!requiresLease()) leaseExpiresAt = now + register.leaseMs();
+        boundStage = since;
         return true;
     }
 
     /** Whether a lookup that starts now may be decided here, and if not, why. */
-    public Stopped stopped(double now) {
-        if (!isSeated()) return Stopped.NOT_SEATED;
-        if (plan < 0) return Stopped.NO_TEXT;
-        return isBound() && now >= until ? Stopped.LEASE_OVER : Stopped.NO;
+    public StopReason stopReason(double now) {
+        if (!isRegistered()) return StopReason.NOT_SEATED;
+        if (plan < 0) return StopReason.NO_TEXT;
+        return requiresLease() && now >= leaseExpiresAt ? StopReason.LEASE_OVER : StopReason.NO;
     }
 
     // ---- leases ----
 
     /** The next question for a lease where one is due; null where none is. Each voter is asked the same. */
-    public Said.MayI asks(double now) {
-        if (!isBound() || !isSeated() || plan < 0 || now - askedLast < known.leaseMs() / 4) return null;
+    public PolicyMessage.LeaseRequest nextLeaseRequest(double now) {
+        if (!requiresLease() || !isRegistered() || plan < 0 || now - askedLast < register.leaseMs() / 4) return null;
         forgetAnswers();
         askedLast = askedAt = now;
-        return new Said.MayI(life, plan, known.voters().number(), ++question);
+        return new PolicyMessage.LeaseRequest(incarnation, plan, register.voters().number(), ++question);
     }
 
     private void forgetAnswers() {
@@ -143,15 +143,15 @@
     }
 
     /** True where a voter knows of a later book. */
-    public boolean on(String from, Said.YouMay y) {
+    public boolean onLeaseReply(String from, PolicyMessage.LeaseReply y) {
         if (y.number() == question && !Double.isNaN(askedAt)) {
-            if (y.yes()) yes.put(from, y.mark());
+            if (y.granted()) yes.put(from, y.storeId());
             else no.add(from);
-            if (y.yes() && known.voters().number() > 0 && known.voters().enough(yes)) {
-                until = Math.max(until, askedAt + known.leaseMs());
+            if (y.granted() && register.voters().number() > 0 && register.voters().enough(yes)) {
+                leaseExpiresAt = Math.max(leaseExpiresAt, askedAt + register.leaseMs());
             }
         }
-        return !y.yes() && y.revision() > known.revision();
+        return !y.granted() && y.revision() > register.revision();
     }
 
     /** Who said no to the last question. */
@@ -160,7 +160,7 @@
     }
 
     /** The stage that it has bound itself for, by its first revision; -1: none. */
-    public long boundFor() {
-        return boundFor;
+    public long boundStage() {
+        return boundStage;
     }
 }
--- a/src/main/java/mothcross/policy/Texts.java
+++ b/src/main/java/mothcross/policy/PolicyTexts.java
@@ -12,7 +12,7 @@
  * stays where a source is lost. Owns which digests are wanted and how far they are; must never hold more than the one
  * in force and one beside it, and while one is tried or taken back those two.
  */
-public final class Texts {
+public final class PolicyTexts {
     static final int PIECE = 32_768, LONGEST = 1 << 20;
 
     private static final class Coming {
@@ -77,16 +77,16 @@
         if (!here.containsKey(digest)) checking.add(digest);
     }
 
-    Said piece(Said.Fetch f) {
+    PolicyMessage piece(PolicyMessage.TextRequest f) {
         byte[] all = here.get(f.digest());
-        if (all == null || f.from() < 0 || f.from() > all.length) return new Said.NotHere(f.digest());
+        if (all == null || f.from() < 0 || f.from() > all.length) return new PolicyMessage.TextNotFound(f.digest());
         int n = Math.min(PIECE, all.length - f.from());
-        return new Said.Chunk(f.digest(), f.from(), all.length, java.util.Arrays.copyOfRange(all, f.from(),
+        return new PolicyMessage.TextChunk(f.digest(), f.from(), all.length, java.util.Arrays.copyOfRange(all, f.from(),
             f.from() + n));
     }
 
     /** All of it, once the last piece is in; null before. What is not the next piece is dropped. */
-    byte[] takes(Said.Chunk c) {
+    byte[] takes(PolicyMessage.TextChunk c) {
         Coming x = coming.get(c.digest());
         if (x == null || c.from() != x.got.size() || c.size() < 0 || c.size() > LONGEST) return null;
         if (x.size >= 0 && x.size != c.size() || c.from() + c.bytes().length > c.size()) return null;
--- a/src/main/java/mothcross/policy/Writer.java
+++ b/src/main/java/mothcross/policy/Proposer.java
@@ -17,31 +17,31 @@
  * ASKS, OFFERS --a later turn is promised--> LOST
  * </pre>
  */
-public final class Writer {
-    public enum State { IDLE, ASKS, OFFERS, DONE, LOST }
+public final class Proposer {
+    public enum State { IDLE, PREPARING, ACCEPTING, DONE, LOST }
 
     private final String name;
     private final long life;
     private final Set<String> founders;
     private long round;
     private State state = State.IDLE;
-    private Turn turn = Turn.NONE;
-    private Book known, offered;
-    private Move move;
+    private ProposalNumber turn = ProposalNumber.NONE;
+    private PolicyRegister known, offered;
+    private Transition move;
     private boolean own;
     private String refused;
     // The sets of voters that have to be heard: the known ones, and those of a later book that was found.
-    private final List<Voters> asked = new ArrayList<>();
-    private final Map<String, Said.Promised> promises = new TreeMap<>();
+    private final List<VoterSet> asked = new ArrayList<>();
+    private final Map<String, PolicyMessage.Promised> promises = new TreeMap<>();
     private final Map<String, String> accepted = new TreeMap<>();
 
-    public Writer(String name, long life, Set<String> founders) {
+    public Proposer(String name, long life, Set<String> founders) {
         this.name = name;
         this.life = life;
         this.founders = founders;
     }
 
-    public Writer(Writer w) {
+    public Proposer(Proposer w) {
         this(w.name, w.life, w.founders);
         round = w.round;
         state = w.state;
@@ -60,12 +60,12 @@
         return state;
     }
 
-    public Turn turn() {
+    public ProposalNumber turn() {
         return turn;
     }
 
     /** What is being tried; null where only what others left is finished. */
-    public Move move() {
+    public Transition move() {
         return move;
     }
 
@@ -81,9 +81,9 @@
     /** Those that have to answer next and have not. */
     public List<String> waitsFor() {
         Map<String, Boolean> all = new TreeMap<>();
-        for (Voters v : sets()) {
+        for (VoterSet v : sets()) {
             for (String n : v.names()) {
-                String mark = state == State.ASKS ? promises.containsKey(n) ? promises.get(n).mark() : null
+                String mark = state == State.PREPARING ? promises.containsKey(n) ? promises.get(n).storeId() : null
                     : accepted.get(n);
                 if (mark == null || !v.has(n, mark)) all.put(n, true);
             }
@@ -91,28 +91,28 @@
         return List.copyOf(all.keySet());
     }
 
-    private List<Voters> sets() {
-        List<Voters> all = new ArrayList<>(asked);
-        if (state == State.OFFERS && !all.contains(offered.voters())) all.add(offered.voters());
+    private List<VoterSet> sets() {
+        List<VoterSet> all = new ArrayList<>(asked);
+        if (state == State.ACCEPTING && !all.contains(offered.voters())) all.add(offered.voters());
         return all;
     }
 
     /** By name what each voter is to be told now; to be said again as long as it does not answer. */
-    public Map<String, Said> says() {
-        Map<String, Said> all = new LinkedHashMap<>();
-        if (state != State.ASKS && state != State.OFFERS) return all;
-        Said s = state == State.ASKS ? new Said.Prepare(turn, known.revision() == 0 ? founders : Set.of())
-            : new Said.Accept(turn, offered);
+    public Map<String, PolicyMessage> pendingRequests() {
+        Map<String, PolicyMessage> all = new LinkedHashMap<>();
+        if (state != State.PREPARING && state != State.ACCEPTING) return all;
+        PolicyMessage s = state == State.PREPARING ? new PolicyMessage.Prepare(turn, known.revision() == 0 ? founders : Set.of())
+            : new PolicyMessage.Accept(turn, offered);
         for (String n : waitsFor()) all.put(n, s);
         return all;
     }
 
     /** {@code move} null: only to find out, and finish what another began. */
-    public void begin(Book knownNow, Move toTry) {
+    public void begin(PolicyRegister knownNow, Transition toTry) {
         known = knownNow;
         move = toTry;
-        turn = new Turn(++round, name, life);
-        state = State.ASKS;
+        turn = new ProposalNumber(++round, name, life);
+        state = State.PREPARING;
         offered = null;
         own = false;
         refused = null;
@@ -126,16 +126,16 @@
         state = State.IDLE;
     }
 
-    public void on(Said.Late l) {
+    public void on(PolicyMessage.Rejected l) {
         round = Math.max(round, l.promised().round());
-        if (l.turn().equals(turn) && (state == State.ASKS || state == State.OFFERS)) state = State.LOST;
+        if (l.number().equals(turn) && (state == State.PREPARING || state == State.ACCEPTING)) state = State.LOST;
     }
 
-    public void on(String from, Said.Promised p) {
-        if (state != State.ASKS || !p.turn().equals(turn)) return;
+    public void on(String from, PolicyMessage.Promised p) {
+        if (state != State.PREPARING || !p.number().equals(turn)) return;
         promises.put(from, p);
         while (enoughPromises()) {
-            Book latest = latest();
+            PolicyRegister latest = latest();
             if (latest == null || asked.contains(latest.voters())) {
                 offer(latest);
                 return;
@@ -146,28 +146,28 @@
 
     private boolean enoughPromises() {
         Map<String, String> marks = new HashMap<>();
-        promises.forEach((n, p) -> marks.put(n, p.mark()));
-        for (Voters v : asked) if (!v.enough(marks)) return false;
+        promises.forEach((n, p) -> marks.put(n, p.storeId()));
+        for (VoterSet v : asked) if (!v.enough(marks)) return false;
         return true;
     }
 
     /** Of what those that count have accepted, the one of the latest turn. */
-    private Book latest() {
-        Turn at = Turn.NONE;
-        Book b = null;
-        for (Map.Entry<String, Said.Promised> e : promises.entrySet()) {
-            Said.Promised p = e.getValue();
-            if (p.accepted() == null || p.at().compareTo(at) <= 0) continue;
+    private PolicyRegister latest() {
+        ProposalNumber at = ProposalNumber.NONE;
+        PolicyRegister b = null;
+        for (Map.Entry<String, PolicyMessage.Promised> e : promises.entrySet()) {
+            PolicyMessage.Promised p = e.getValue();
+            if (p.accepted() == null || p.acceptedNumber().compareTo(at) <= 0) continue;
             boolean counts = false;
-            for (Voters v : asked) counts |= v.has(e.getKey(), p.mark());
+            for (VoterSet v : asked) counts |= v.has(e.getKey(), p.storeId());
             if (!counts) continue;
-            at = p.at();
+            at = p.acceptedNumber();
             b = p.accepted();
         }
         return b;
     }
 
-    private void offer(Book latest) {
+    private void offer(PolicyRegister latest) {
         long found = latest == null ? 0 : latest.revision();
         if (found < known.revision()) {
             refused = "the voters have forgotten revision " + known.revision() + ": most of their disks are gone";
@@ -178,9 +178,9 @@
         boolean founds = latest == null && move != null;
         if (found == known.revision() && move != null) {
             try {
-                offered = (founds ? new Move.Found(marks()) : move).after(founds ? known : latest);
+                offered = (founds ? new Transition.Bootstrap(marks()) : move).applyTo(founds ? known : latest);
                 own = !founds;
-            } catch (Move.Refused e) {
+            } catch (Transition.RejectedException e) {
                 refused = e.getMessage();
             }
         }
@@ -189,39 +189,39 @@
             return;
         }
         if (offered == null) offered = latest;
-        state = State.OFFERS;
+        state = State.ACCEPTING;
     }
 
-    public void on(String from, Said.Accepted a) {
-        if (state != State.OFFERS || !a.turn().equals(turn)) return;
-        accepted.put(from, a.mark());
-        for (Voters v : sets()) if (!v.enough(accepted)) return;
+    public void on(String from, PolicyMessage.Accepted a) {
+        if (state != State.ACCEPTING || !a.number().equals(turn)) return;
+        accepted.put(from, a.storeId());
+        for (VoterSet v : sets()) if (!v.enough(accepted)) return;
         state = State.DONE;
     }
 
     /** What is decided now, once it is done; null where nothing ever was. */
-    public Book decided() {
+    public PolicyRegister decided() {
         return state == State.DONE ? offered : null;
     }
 
     /** By name the marks that voters answered with, also where they do not count. */
     public Map<String, String> marks() {
         Map<String, String> all = new TreeMap<>();
-        promises.forEach((n, p) -> all.put(n, p.mark()));
+        promises.forEach((n, p) -> all.put(n, p.storeId()));
         return all;
     }
 
-    /** All that the next step depends on, but for what each voter said: {@link #of}. */
-    public String shown() {
+    /** All that the next step depends on, but for what each voter said: {@link #voterFingerprint}. */
+    public String fingerprint() {
         StringBuilder s = new StringBuilder().append(state).append(turn).append(round).append('o').append(offered)
             .append('m').append(move).append('k').append(known == null ? 0 : known.revision());
-        for (Voters v : asked) s.append(v.number());
+        for (VoterSet v : asked) s.append(v.number());
         return s.toString();
     }
 
     /** What one voter has said in this attempt. */
-    public String of(String voter) {
-        Said.Promised p = promises.get(voter);
-        return (p == null ? "" : p.mark() + p.at().round() + p.at().by() + p.accepted()) + ';' + accepted.get(voter);
+    public String voterFingerprint(String voter) {
+        PolicyMessage.Promised p = promises.get(voter);
+        return (p == null ? "" : p.storeId() + p.acceptedNumber().round() + p.acceptedNumber().proposer() + p.accepted()) + ';' + accepted.get(voter);
     }
 }
--- a/src/main/java/mothcross/policy/Move.java
+++ b/src/main/java/mothcross/policy/Transition.java
@@ -6,54 +6,54 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import mothcross.policy.Book.Outcome;
-import mothcross.policy.Book.Seat;
 import mothcross.policy.Change.Stage;
+import mothcross.policy.PolicyRegister.Outcome;
+import mothcross.policy.PolicyRegister.Registration;
 
 /**
  * One step from a decided book to the next, as data: any director may try any of them, and the register decides which
  * comes. Owns what each needs to be allowed; must never rest on anything but the book and its own fields.
  */
-public sealed interface Move {
+public sealed interface Transition {
     /** It does not fit the book any more, or never did; the reason is for operators. */
-    final class Refused extends Exception {
+    final class RejectedException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Refused(String why) {
+        RejectedException(String why) {
             super(why, null, false, false);
         }
     }
 
-    /** The next book; {@link Book#next} has been called. */
-    Book on(Book b) throws Refused;
+    /** The next book; {@link PolicyRegister#next} has been called. */
+    PolicyRegister apply(PolicyRegister b) throws RejectedException;
 
-    default Book after(Book b) throws Refused {
-        if (b.revision() == 0 && !(this instanceof Found)) throw new Refused("the fleet's register is not founded yet");
-        return on(b.next());
+    default PolicyRegister applyTo(PolicyRegister b) throws RejectedException {
+        if (b.revision() == 0 && !(this instanceof Bootstrap)) throw new RejectedException("the fleet's register is not founded yet");
+        return apply(b.next());
     }
 
-    private static void need(boolean holds, String otherwise) throws Refused {
-        if (!holds) throw new Refused(otherwise);
+    private static void need(boolean holds, String otherwise) throws RejectedException {
+        if (!holds) throw new RejectedException(otherwise);
     }
 
     /** The register begins: the voters that the files name, with the marks that all of them answered with. */
-    record Found(Map<String, String> marks) implements Move {
-        @Override public Book on(Book b) throws Refused {
+    record Bootstrap(Map<String, String> marks) implements Transition {
+        @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
             need(b.revision() == 1, "the register was founded before");
             need(marks.keySet().equals(b.voters().names()), "not all voters have answered");
-            return b.with(new Voters(1, marks));
+            return b.with(new VoterSet(1, marks));
         }
     }
 
     /** Directors that are about to serve. One whose former life may still run, elsewhere, has to wait for its end. */
-    record Enrol(Map<String, Seat> who) implements Move {
-        @Override public Book on(Book b) throws Refused {
-            Map<String, Seat> roll = new TreeMap<>(b.roll());
+    record RegisterDirectors(Map<String, Registration> who) implements Transition {
+        @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
+            Map<String, Registration> roll = new TreeMap<>(b.registrations());
             boolean any = false;
-            for (Map.Entry<String, Seat> e : who.entrySet()) {
-                Seat s = e.getValue(), before = roll.get(e.getKey());
+            for (Map.Entry<String, Registration> e : who.entrySet()) {
+                Registration s = e.getValue(), before = roll.get(e.getKey());
                 if (!fits(before, s)) continue;
-                roll.put(e.getKey(), new Seat(s.life(), s.host(), s.port(), false));
+                roll.put(e.getKey(), new Registration(s.incarnation(), s.host(), s.port(), false));
                 any = true;
             }
             need(any, "their names are taken by processes that may still run");
@@ -61,10 +61,10 @@
         }
 
         /** Who holds the address of the former life has outlived it: an address is held by one process. */
-        static boolean fits(Seat before, Seat s) {
+        static boolean fits(Registration before, Registration s) {
             if (before == null) return true;
-            if (s.life() < before.life()) return false;
-            if (s.life() == before.life()) return before.excluded();
+            if (s.incarnation() < before.incarnation()) return false;
+            if (s.incarnation() == before.incarnation()) return before.excluded();
             return s.host().equals(before.host()) && s.port() == before.port();
         }
     }
@@ -72,32 +72,32 @@
     /**
      * A director that serves no more: it said so, nobody holds its address, its lease is over, or an operator's word.
      */
-    record Strike(String name, long life, String why) implements Move {
-        @Override public Book on(Book b) throws Refused {
-            need(b.seat(name, life) != null, name + " is not on the roll in that life");
-            Map<String, Seat> roll = new TreeMap<>(b.roll());
+    record RemoveDirector(String name, long life, String why) implements Transition {
+        @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
+            need(b.registration(name, life) != null, name + " is not on the roll in that life");
+            Map<String, Registration> roll = new TreeMap<>(b.registrations());
             roll.remove(name);
             return b.with(roll);
         }
     }
 
     /** Gets no lease any more; when the last one is over the change goes on without it. */
-    record Exclude(Map<String, Long> who) implements Move {
-        @Override public Book on(Book b) throws Refused {
+    record ExcludeDirectors(Map<String, Long> who) implements Transition {
+        @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
             need(b.plan().leases(), "leases are off: nobody can be left out while it may serve");
-            Map<String, Seat> roll = new TreeMap<>(b.roll());
+            Map<String, Registration> roll = new TreeMap<>(b.registrations());
             for (Map.Entry<String, Long> e : who.entrySet()) {
-                Seat s = b.seat(e.getKey(), e.getValue());
-                if (s != null) roll.put(e.getKey(), new Seat(s.life(), s.host(), s.port(), true));
+                Registration s = b.registration(e.getKey(), e.getValue());
+                if (s != null) roll.put(e.getKey(), new Registration(s.incarnation(), s.host(), s.port(), true));
             }
-            need(!roll.equals(b.roll()), "none of them is on the roll");
+            need(!roll.equals(b.registrations()), "none of them is on the roll");
             return b.with(roll);
         }
     }
 
     record Propose(String id, String digest, int size, String by, String note, Change.Mode mode, double deadlineMs,
-                   Plan.Canary canary, boolean leases) implements Move {
-        @Override public Book on(Book b) throws Refused {
+                   Plan.Canary canary, boolean leases) implements Transition {
+        @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
             need(b.change() == null, b.change() == null ? "" : "change " + b.change().id() + " of " + b.change().by()
                 + " is under way");
             Plan p = b.plan();
@@ -112,24 +112,24 @@
     }
 
     /** Every director on the roll has bound itself for this stage, or is left out and its lease waited out. */
-    record Commit(String id, long since, Set<String> ready, Set<String> over) implements Move {
+    record Commit(String id, long since, Set<String> ready, Set<String> over) implements Transition {
         static String who(String name, long life) {
             return name + "@" + life;
         }
 
-        @Override public Book on(Book b) throws Refused {
+        @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
             Change c = b.change();
-            need(c != null && c.id().equals(id) && c.stage() == Stage.BINDING && c.since() == since,
+            need(c != null && c.id().equals(id) && c.stage() == Stage.BINDING && c.stageRevision() == since,
                 "the change is past that stage");
             List<String> missing = missing(b, ready, over);
             need(missing.isEmpty(), "not ready: " + missing);
             return b.with(c.target(), c.at(Stage.SETTLING, b.revision(), c.target()));
         }
 
-        static List<String> missing(Book b, Set<String> ready, Set<String> over) {
+        static List<String> missing(PolicyRegister b, Set<String> ready, Set<String> over) {
             List<String> all = new ArrayList<>();
-            for (Map.Entry<String, Seat> e : b.roll().entrySet()) {
-                String w = who(e.getKey(), e.getValue().life());
+            for (Map.Entry<String, Registration> e : b.registrations().entrySet()) {
+                String w = who(e.getKey(), e.getValue().incarnation());
                 if (!(e.getValue().excluded() ? over : ready).contains(w)) all.add(e.getKey());
             }
             return all;
@@ -137,8 +137,8 @@
     }
 
     /** Nobody decides by the plan before any more: all said so, or the longest lease is over. */
-    record Settle(long plan) implements Move {
-        @Override public Book on(Book b) throws Refused {
+    record Settle(long plan) implements Transition {
+        @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
             Change c = b.change();
             need(c != null && c.stage() == Stage.SETTLING && b.plan().number() == plan, "there is nothing to settle");
             if (b.plan().isTrial()) return b.with(b.plan(), c.at(Stage.TRIAL, b.revision(), b.plan()));
@@ -148,10 +148,10 @@
     }
 
     /** Ends it; one that is on trial is taken back under the same rules as it came. */
-    record Abort(String id, long since, String why) implements Move {
-        @Override public Book on(Book b) throws Refused {
+    record Abort(String id, long since, String why) implements Transition {
+        @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
             Change c = b.change();
-            need(c != null && c.id().equals(id) && (since < 0 || c.since() == since), "that change is over");
+            need(c != null && c.id().equals(id) && (since < 0 || c.stageRevision() == since), "that change is over");
             need(c.stage() != Stage.SETTLING, "it is committed: undo it by a new change");
             if (c.stage() == Stage.TRIAL) {
                 Plan p = b.plan();
@@ -163,8 +163,8 @@
         }
     }
 
-    record Promote(String id) implements Move {
-        @Override public Book on(Book b) throws Refused {
+    record Promote(String id) implements Transition {
+        @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
             Change c = b.change();
             need(c != null && c.id().equals(id) && c.stage() == Stage.TRIAL, "it is not on trial");
             Plan p = b.plan();
@@ -174,20 +174,20 @@
     }
 
     /** Changes nothing: whoever tries it learns who answers. */
-    record Probe() implements Move {
-        @Override public Book on(Book b) throws Refused {
-            throw new Refused("nothing to decide");
+    record Probe() implements Transition {
+        @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
+            throw new RejectedException("nothing to decide");
         }
     }
 
     /** Other voters, by name and mark; decided by most of the old and most of the new. */
-    record Vote(long before, Map<String, String> marks) implements Move {
-        @Override public Book on(Book b) throws Refused {
+    record ChangeVoters(long before, Map<String, String> marks) implements Transition {
+        @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
             need(b.voters().number() == before, "the voters have changed meanwhile");
             need(!marks.isEmpty() && !marks.containsValue(""), "a voter is named without its mark");
             need(new HashSet<>(marks.values()).size() == marks.size(), "one mark is given twice");
-            need(!marks.equals(b.voters().marks()), "these are the voters already");
-            return b.with(new Voters(before + 1, marks));
+            need(!marks.equals(b.voters().storeIds()), "these are the voters already");
+            return b.with(new VoterSet(before + 1, marks));
         }
     }
 }
--- a/src/main/java/mothcross/policy/Voter.java
+++ b/src/main/java/mothcross/policy/Voter.java
@@ -9,14 +9,14 @@
  */
 public final class Voter {
     /** All that it must remember; a new disk has a new mark and nothing else. */
-    public record State(String mark, Turn promised, Turn acceptedAt, Book accepted) {
+    public record State(String storeId, ProposalNumber promised, ProposalNumber acceptedNumber, PolicyRegister accepted) {
         public static State blank(String mark) {
-            return new State(mark, Turn.NONE, Turn.NONE, null);
+            return new State(mark, ProposalNumber.NONE, ProposalNumber.NONE, null);
         }
     }
 
     /** Either an answer that needs nothing kept, or what has to be kept first. */
-    public record Step(Said now, State keep) { }
+    public record Step(PolicyMessage reply, State persist) { }
 
     private final String name;
     private final Set<String> founders;
@@ -33,17 +33,17 @@
         return state;
     }
 
-    public Step on(Said.Prepare p) {
+    public Step on(PolicyMessage.Prepare p) {
         // Nothing decided, and other founders than this one's file names: two fleets, or a file that is not everywhere.
         boolean other = !p.founders().isEmpty() && !p.founders().equals(founders);
         if (latest.accepted() == null && other) return new Step(null, null);
-        if (p.turn().compareTo(latest.promised()) < 0) return late(p.turn());
-        return keep(new State(latest.mark(), p.turn(), latest.acceptedAt(), latest.accepted()));
+        if (p.number().compareTo(latest.promised()) < 0) return late(p.number());
+        return keep(new State(latest.storeId(), p.number(), latest.acceptedNumber(), latest.accepted()));
     }
 
-    public Step on(Said.Accept a) {
-        if (a.turn().compareTo(latest.promised()) < 0) return late(a.turn());
-        return keep(new State(latest.mark(), a.turn(), a.turn(), a.book()));
+    public Step on(PolicyMessage.Accept a) {
+        if (a.number().compareTo(latest.promised()) < 0) return late(a.number());
+        return keep(new State(latest.storeId(), a.number(), a.number(), a.register()));
     }
 
     private Step keep(State s) {
@@ -51,8 +51,8 @@
         return new Step(null, s);
     }
 
-    private Step late(Turn t) {
-        return new Step(new Said.Late(t, latest.promised()), null);
+    private Step late(ProposalNumber t) {
+        return new Step(new PolicyMessage.Rejected(t, latest.promised()), null);
     }
 
     /** What was to be kept may not be on disk: as if the message had never come. */
@@ -61,21 +61,21 @@
     }
 
     /** What was to be kept is on disk. */
-    public Said.Receipt synced(State kept) {
+    public PolicyMessage.Receipt synced(State kept) {
         state = kept;
         if (latest.promised().compareTo(kept.promised()) < 0) latest = kept;
-        return new Said.Receipt(kept);
+        return new PolicyMessage.Receipt(kept);
     }
 
     /**
      * Whether a director may go on under a plan, for as long as a lease from when it asked. Of what was accepted and
      * what is known to be decided the later speaks: whatever may have been decided by most, one of them says no.
      */
-    public Said.YouMay on(Said.MayI m, String who, Book decided) {
-        Book a = latest.accepted();
-        Book b = a == null || decided != null && decided.revision() >= a.revision() ? decided : a;
-        boolean yes = b != null && b.whole() && b.plan().number() == m.plan() && b.voters().number() == m.voters()
-            && b.voters().has(name, state.mark()) && b.seats(who, m.life());
-        return new Said.YouMay(m.number(), state.mark(), yes, b == null ? 0 : b.revision());
+    public PolicyMessage.LeaseReply on(PolicyMessage.LeaseRequest m, String who, PolicyRegister decided) {
+        PolicyRegister a = latest.accepted();
+        PolicyRegister b = a == null || decided != null && decided.revision() >= a.revision() ? decided : a;
+        boolean yes = b != null && b.complete() && b.plan().number() == m.plan() && b.voters().number() == m.voterSetNumber()
+            && b.voters().has(name, state.storeId()) && b.isRegistered(who, m.incarnation());
+        return new PolicyMessage.LeaseReply(m.number(), state.storeId(), yes, b == null ? 0 : b.revision());
     }
 }
--- a/src/main/java/mothcross/policy/Voters.java
+++ b/src/main/java/mothcross/policy/VoterSet.java
@@ -11,24 +11,24 @@
  * before
  * any mark is known: there all have to agree, not only most.
  */
-public record Voters(long number, Map<String, String> marks) {
-    public Voters {
-        marks = Collections.unmodifiableMap(new TreeMap<>(marks));
+public record VoterSet(long number, Map<String, String> storeIds) {
+    public VoterSet {
+        storeIds = Collections.unmodifiableMap(new TreeMap<>(storeIds));
     }
 
     /** As the operators' files name them. */
-    public static Voters named(Iterable<String> names) {
+    public static VoterSet named(Iterable<String> names) {
         Map<String, String> all = new TreeMap<>();
         for (String n : names) all.put(n, "");
-        return new Voters(0, all);
+        return new VoterSet(0, all);
     }
 
     public Set<String> names() {
-        return marks.keySet();
+        return storeIds.keySet();
     }
 
     public boolean has(String name, String mark) {
-        String m = marks.get(name);
+        String m = storeIds.get(name);
         return m != null && (number == 0 || m.equals(mark));
     }
 
@@ -36,6 +36,6 @@
     boolean enough(Map<String, String> answered) {
         int n = 0;
         for (Map.Entry<String, String> e : answered.entrySet()) if (has(e.getKey(), e.getValue())) n++;
-        return number == 0 ? n == marks.size() : 2 * n > marks.size();
+        return number == 0 ? n == storeIds.size() : 2 * n > storeIds.size();
     }
 }
--- a/src/main/java/mothcross/policy/net/PolicyNode.java
+++ b/src/main/java/mothcross/policy/net/PolicyNode.java
@@ -22,35 +22,35 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 import mothcross.fleet.net.FleetNode;
-import mothcross.net.Current;
-import mothcross.policy.Book;
+import mothcross.net.ServingPermit;
 import mothcross.policy.Change;
-import mothcross.policy.Holder;
-import mothcross.policy.Move;
-import mothcross.policy.Party;
 import mothcross.policy.Plan;
-import mothcross.policy.Said;
+import mothcross.policy.PolicyMessage;
+import mothcross.policy.PolicyParticipant;
+import mothcross.policy.PolicyRegister;
+import mothcross.policy.PolicyReplica;
+import mothcross.policy.Transition;
 import mothcross.policy.Voter;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * A {@link Party} in service: its messages ride on the fleet's, its writes go to disk, its texts are compiled beside.
+ * A {@link PolicyParticipant} in service: its messages ride on the fleet's, its writes go to disk, its texts are compiled beside.
  * Owns the one thread that it runs on, and the order in which a write comes before what rests on it; must never decide
  * anything, nor send from a step whose write has failed.
  */
-public final class PolicyNode implements FleetNode.MessageHandler, Current, AutoCloseable {
+public final class PolicyNode implements FleetNode.MessageHandler, ServingPermit, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("mothcross.policy");
     private static final int MOST_WAITING = 4096;
     private static final long LEAVE_MS = 1500, ASKED_MS = 3000;
 
     /** What a lookup that starts is held against; made anew with each step, read without a lock. */
-    private record Leave(Holder.Stopped why, long plan, double until) { }
+    private record Leave(PolicyReplica.StopReason why, long plan, double until) { }
 
-    private final Party party;
-    private final KeptPolicy kept;
-    private final InService service;
+    private final PolicyParticipant party;
+    private final PolicyStore kept;
+    private final PolicyActivator service;
     private final BiConsumer<String, byte[]> sends;
     private final String fleet, mark;
     private final BlockingQueue<Runnable> waiting = new LinkedBlockingQueue<>(MOST_WAITING);
@@ -63,7 +63,7 @@
     private final Map<String, Object> made = new HashMap<>();
     private final Map<String, Double> voterHeard = new TreeMap<>();
     private final Thread thread = new Thread(this::run, "policy");
-    private volatile Leave leave = new Leave(Holder.Stopped.NOT_SEATED, -1, 0);
+    private volatile Leave leave = new Leave(PolicyReplica.StopReason.NOT_SEATED, -1, 0);
     private volatile boolean stopped;
     private Plan taken;
     private long unread, crowded, unwritten;
@@ -71,16 +71,16 @@
 
     /** {@code address}: where the others reach this one, HOST and port; {@code life} of this process. */
     public PolicyNode(String fleet, String name, long life, String host, int port, Set<String> voters,
-                      Supplier<Collection<String>> contacts, double leaseMs, Path dir, InService service,
+                      Supplier<Collection<String>> contacts, double leaseMs, Path dir, PolicyActivator service,
                       BiConsumer<String, byte[]> sends) throws IOException {
         this.fleet = fleet;
         this.service = service;
         this.sends = sends;
-        kept = new KeptPolicy(dir, fleet, name);
+        kept = new PolicyStore(dir, fleet, name);
         SplittableRandom chance = new SplittableRandom();
         Voter.State state = kept.voter();
         if (state == null) kept.voter(state = Voter.State.blank(Long.toHexString(chance.nextLong())));
-        mark = state.mark();
+        mark = state.storeId();
         Map<String, byte[]> texts = new HashMap<>();
         for (Map.Entry<String, byte[]> t : kept.texts().entrySet()) {
             List<String> faults = new ArrayList<>();
@@ -93,14 +93,14 @@
             made.put(t.getKey(), m);
             texts.put(t.getKey(), t.getValue());
         }
-        party = new Party(name, life, host, port, voters, contacts, leaseMs, state, mark, kept.book(), texts, chance);
+        party = new PolicyParticipant(name, life, host, port, voters, contacts, leaseMs, state, mark, kept.book(), texts, chance);
         thread.setDaemon(true);
     }
 
-    public void begin() {
+    public void start() {
         LOG.atInfo().addKeyValue("name", party.name).addKeyValue("mark", mark).addKeyValue("life",
-            party.holder().life())
-            .addKeyValue("revision", party.known().revision()).log("policy: begins");
+            party.holder().incarnation())
+            .addKeyValue("revision", party.register().revision()).log("policy: begins");
         thread.start();
     }
 
@@ -114,11 +114,11 @@
     private void run() {
         try {
             while (!stopped) {
-                double wait = Math.max(1, Math.min(100, party.next() - now()));
+                double wait = Math.max(1, Math.min(100, party.nextTickAt() - now()));
                 Runnable r = waiting.poll((long) (wait * 1000), TimeUnit.MICROSECONDS);
                 if (r != null) step(r);
                 else step(() -> party.tick(now()));
-                if (r != null && now() >= party.next()) step(() -> party.tick(now()));
+                if (r != null && now() >= party.nextTickAt()) step(() -> party.tick(now()));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -128,52 +128,52 @@
     private void step(Runnable what) {
         try {
             what.run();
-            for (List<Party.Work> works = party.works(); !works.isEmpty(); works = party.works()) {
-                for (Party.Work w : works) does(w);
+            for (List<PolicyParticipant.Action> works = party.takeActions(); !works.isEmpty(); works = party.takeActions()) {
+                for (PolicyParticipant.Action w : works) does(w);
             }
         } catch (RuntimeException e) {
             LOG.error("policy: a fault; what this step would have said is not said", e);
-            party.sends();
+            party.takeSends();
         }
-        Holder h = party.holder();
-        leave = new Leave(h.stopped(Double.NEGATIVE_INFINITY), h.plan(), h.isBound() ? h.until()
+        PolicyReplica h = party.holder();
+        leave = new Leave(h.stopReason(Double.NEGATIVE_INFINITY), h.plan(), h.requiresLease() ? h.leaseExpiresAt()
             : Double.POSITIVE_INFINITY);
-        for (Party.Send s : party.sends()) sends.accept(s.to(), Codec.bytes(s.what()));
+        for (PolicyParticipant.Send s : party.takeSends()) sends.accept(s.to(), PolicyMessageCodec.encode(s.message()));
         warnOfMark();
     }
 
-    private void does(Party.Work w) {
-        if (w instanceof Party.KeepVoter k) {
+    private void does(PolicyParticipant.Action w) {
+        if (w instanceof PolicyParticipant.PersistVoterState k) {
             try {
                 if (!k.state().equals(party.voter().state())) kept.voter(k.state());
-                party.synced(now(), k.state());
+                party.voterStateSynced(now(), k.state());
             } catch (IOException e) {
                 unwritten++;
                 LOG.atWarn().addKeyValue("why", e).log("policy: the disk refuses; this voter does not answer");
-                party.notSynced();
+                party.voterStateNotSynced();
             }
-        } else if (w instanceof Party.KeepBook k) {
+        } else if (w instanceof PolicyParticipant.PersistRegister k) {
             try {
-                kept.book(k.book());
+                kept.book(k.register());
             } catch (IOException e) {
                 unwritten++;                                // it is asked for again at the next start
             }
-        } else if (w instanceof Party.Check c) {
+        } else if (w instanceof PolicyParticipant.ValidateText c) {
             compiler.execute(() -> check(c.digest(), c.bytes()));
-        } else if (w instanceof Party.Drop d) {
+        } else if (w instanceof PolicyParticipant.DeleteText d) {
             made.remove(d.digest());
             try {
                 kept.drop(d.digest());
             } catch (IOException e) {
                 unwritten++;
             }
-        } else if (w instanceof Party.Take t) {
-            service.take(t.plan(), made.get(t.plan().main()), made.get(t.plan().trial()));
+        } else if (w instanceof PolicyParticipant.ActivatePlan t) {
+            service.activate(t.plan(), made.get(t.plan().main()), made.get(t.plan().trial()));
             taken = t.plan();
-        } else if (w instanceof Party.Tell t) {
+        } else if (w instanceof PolicyParticipant.LogEvent t) {
             LoggingEventBuilder e = LOG.atInfo();
-            for (Map.Entry<String, Object> x : t.with().entrySet()) e = e.addKeyValue(x.getKey(), x.getValue());
-            e.log(t.what());
+            for (Map.Entry<String, Object> x : t.fields().entrySet()) e = e.addKeyValue(x.getKey(), x.getValue());
+            e.log(t.event());
         }
     }
 
@@ -182,7 +182,7 @@
         List<String> faults = new ArrayList<>();
         String why = null;
         Object m = null;
-        if (!KeptPolicy.digest(bytes).equals(digest)) {
+        if (!PolicyStore.digest(bytes).equals(digest)) {
             why = "";
         } else {
             m = service.compile(digest, bytes, faults);
@@ -197,7 +197,7 @@
         Object ready = m;
         later(() -> {
             if (found == null) made.put(digest, ready);
-            party.checked(now(), digest, bytes, found);
+            party.textValidated(now(), digest, bytes, found);
         });
     }
 
@@ -206,8 +206,8 @@
     }
 
     private void warnOfMark() {
-        String right = party.known().voters().marks().get(party.name);
-        if (right == null || party.known().revision() == 0 || right.equals(mark) || marksWarned++ > 0) return;
+        String right = party.register().voters().storeIds().get(party.name);
+        if (right == null || party.register().revision() == 0 || right.equals(mark) || marksWarned++ > 0) return;
         LOG.atWarn().addKeyValue("mark", mark).addKeyValue("known_as", right).log(
             "policy: this voter's disk is not the one that it was named with; its votes do not count");
     }
@@ -216,15 +216,15 @@
 
     @Override public boolean mayStart() {
         Leave l = leave;
-        return l.why == Holder.Stopped.NO && now() < l.until;
+        return l.why == PolicyReplica.StopReason.NO && now() < l.until;
     }
 
     @Override public double comeBackAfter() {
-        return party.known().leaseMs() / 2;
+        return party.register().leaseMs() / 2;
     }
 
     /** False where it was not on the roll, with its texts, by then. */
-    public boolean awaitSeat(long mostMs) throws InterruptedException {
+    public boolean awaitRegistration(long mostMs) throws InterruptedException {
         double until = now() + mostMs;
         while (!mayStart()) {
             if (now() >= until) return false;
@@ -234,26 +234,26 @@
     }
 
     /** For the log, while it waits. */
-    public String whyNot() {
-        return leave.why + ", known revision " + party.known().revision();
+    public String notReadyReason() {
+        return leave.why + ", known revision " + party.register().revision();
     }
 
     // ---- the fleet's messages ----
 
     @Override public void onMessage(String from, byte[] body) {
         later(() -> {
-            Said s = Codec.said(body);
+            PolicyMessage s = PolicyMessageCodec.decode(body);
             if (s == null) {
                 unread++;
                 return;
             }
-            if (party.known().voters().names().contains(from)) voterHeard.put(from, now());
-            party.on(now(), from, s);
+            if (party.register().voters().names().contains(from)) voterHeard.put(from, now());
+            party.onMessage(now(), from, s);
         });
     }
 
     @Override public void onConnectionRefused(String host, int port) {
-        later(() -> party.refused(host, port));
+        later(() -> party.onConnectionRefused(host, port));
     }
 
     // ---- the operators' questions ----
@@ -301,38 +301,38 @@
             case "status" -> {
                 return status();
             }
-            case "bring" -> party.bring(p[1], body);
+            case "bring" -> party.submitText(p[1], body);
             case "brought" -> o.addProperty("state", party.texts().has(p[1]) ? "kept"
                 : party.texts().fault(p[1]) != null
                 ? party.texts().fault(p[1]) : party.texts().isChecking(p[1]) ? "checking" : "unknown");
             case "propose" -> {
-                Proposal x = Codec.GSON.fromJson(new String(body, java.nio.charset.StandardCharsets.UTF_8),
+                Proposal x = PolicyMessageCodec.GSON.fromJson(new String(body, java.nio.charset.StandardCharsets.UTF_8),
                     Proposal.class);
                 int size = x.digest.isEmpty() ? 0 : party.texts().bytes(x.digest) == null ? -1
                     : party.texts().bytes(x.digest).length;
                 if (size < 0) return failed("its text is not here");
-                party.asks(now(), x.id, new Move.Propose(x.id, x.digest, size, party.name, x.note, x.mode, x.deadlineMs,
+                party.submit(now(), x.id, new Transition.Propose(x.id, x.digest, size, party.name, x.note, x.mode, x.deadlineMs,
                     x.canary, x.leases));
             }
-            case "abort" -> party.asks(now(), p[1], new Move.Abort(p[2], -1, "aborted by an operator at "
+            case "abort" -> party.submit(now(), p[1], new Transition.Abort(p[2], -1, "aborted by an operator at "
                 + party.name));
-            case "promote" -> party.asks(now(), p[1], new Move.Promote(p[2]));
+            case "promote" -> party.submit(now(), p[1], new Transition.Promote(p[2]));
             case "strike" -> {
-                Book b = party.known();
-                Book.Seat s = b.roll().get(p[2]);
-                if (s == null) return failed(b.whole() ? p[2] + " is not on the roll"
+                PolicyRegister b = party.register();
+                PolicyRegister.Registration s = b.registrations().get(p[2]);
+                if (s == null) return failed(b.complete() ? p[2] + " is not on the roll"
                     : "ask a voter: the roll is there");
-                party.asks(now(), p[1], new Move.Strike(p[2], s.life(), "struck by an operator at " + party.name));
+                party.submit(now(), p[1], new Transition.RemoveDirector(p[2], s.incarnation(), "struck by an operator at " + party.name));
             }
             case "voters" -> {
                 Map<String, String> marks = new TreeMap<>();
                 for (String n : p[2].split(",")) {
                     String m = n.contains("=") ? n.substring(n.indexOf('=') + 1)
-                        : party.known().voters().marks().get(n);
+                        : party.register().voters().storeIds().get(n);
                     if (m == null) return failed(n + " is no voter yet: name it with its mark, NAME=MARK");
                     marks.put(n.replaceAll("=.*", ""), m);
                 }
-                party.asks(now(), p[1], new Move.Vote(party.known().voters().number(), marks));
+                party.submit(now(), p[1], new Transition.ChangeVoters(party.register().voters().number(), marks));
             }
             case "text" -> {
                 byte[] t = party.texts().bytes(p[1]);
@@ -341,9 +341,9 @@
             }
             case "tried" -> {
                 if (party.outcome(p[1]) != null) o.addProperty("outcome", party.outcome(p[1]));
-                else o.addProperty("trying", party.isAsked(p[1]));
+                else o.addProperty("trying", party.isPending(p[1]));
             }
-            case "probe" -> party.asks(now(), p[1], new Move.Probe());
+            case "probe" -> party.submit(now(), p[1], new Transition.Probe());
             default -> {
                 return failed("no such question: " + p[0]);
             }
@@ -352,35 +352,35 @@
     }
 
     private String status() {
-        Book b = party.known();
+        PolicyRegister b = party.register();
         double now = now();
         JsonObject o = new JsonObject();
         o.addProperty("fleet", fleet);
         o.addProperty("name", party.name);
-        o.addProperty("life", party.holder().life());
+        o.addProperty("life", party.holder().incarnation());
         o.addProperty("mark", mark);
         o.addProperty("revision", b.revision());
-        o.addProperty("stopped", party.holder().stopped(now).toString());
-        o.addProperty("bound", party.holder().isBound());
-        o.addProperty("lease_left_ms", party.holder().isBound() ? Math.round(party.holder().until() - now) : -1);
+        o.addProperty("stopped", party.holder().stopReason(now).toString());
+        o.addProperty("bound", party.holder().requiresLease());
+        o.addProperty("lease_left_ms", party.holder().requiresLease() ? Math.round(party.holder().leaseExpiresAt() - now) : -1);
         o.addProperty("lease_ms", b.leaseMs());
         o.addProperty("deciding_by", party.holder().plan());
-        o.add("plan", Codec.GSON.toJsonTree(b.plan()));
-        o.addProperty("previous_text", Party.before(b));
+        o.add("plan", PolicyMessageCodec.GSON.toJsonTree(b.plan()));
+        o.addProperty("previous_text", PolicyParticipant.previousText(b));
         if (b.change() != null) {
-            o.add("change", Codec.GSON.toJsonTree(b.change()));
-            o.addProperty("stage_for_ms", Math.round(party.driver().since(now)));
+            o.add("change", PolicyMessageCodec.GSON.toJsonTree(b.change()));
+            o.addProperty("stage_for_ms", Math.round(party.driver().stageElapsed(now)));
             JsonObject up = new JsonObject();
-            if (b.whole()) party.driver().holdsUp(b, now).forEach(up::addProperty);
+            if (b.complete()) party.driver().blockers(b, now).forEach(up::addProperty);
             o.add("held_up_by", up);
         }
         JsonArray lately = new JsonArray();
-        for (Book.Ended e : b.lately()) lately.add(Codec.GSON.toJsonTree(e));
+        for (PolicyRegister.CompletedChange e : b.recentChanges()) lately.add(PolicyMessageCodec.GSON.toJsonTree(e));
         o.add("lately", lately);
         JsonArray voters = new JsonArray();
-        for (Map.Entry<String, String> v : b.voters().marks().entrySet()) {
+        for (Map.Entry<String, String> v : b.voters().storeIds().entrySet()) {
             JsonObject x = new JsonObject();
-            String seen = v.getKey().equals(party.name) ? mark : party.marksSeen().get(v.getKey());
+            String seen = v.getKey().equals(party.name) ? mark : party.observedStoreIds().get(v.getKey());
             x.addProperty("name", v.getKey());
             x.addProperty("mark", v.getValue());
             if (seen != null && !seen.equals(v.getValue()) && b.revision() > 0) x.addProperty("answers_as", seen);
@@ -390,12 +390,12 @@
         }
         o.add("voters", voters);
         o.addProperty("voters_number", b.voters().number());
-        if (b.whole()) {
+        if (b.complete()) {
             JsonArray roll = new JsonArray();
-            b.roll().forEach((n, s) -> {
+            b.registrations().forEach((n, s) -> {
                 JsonObject x = new JsonObject();
                 x.addProperty("name", n);
-                x.addProperty("life", s.life());
+                x.addProperty("life", s.incarnation());
                 x.addProperty("at", s.host() + ":" + s.port());
                 x.addProperty("left_out", s.excluded());
                 roll.add(x);
@@ -403,7 +403,7 @@
             o.add("roll", roll);
         }
         JsonObject counts = new JsonObject();
-        for (Party.Count c : Party.Count.values()) {
+        for (PolicyParticipant.Counter c : PolicyParticipant.Counter.values()) {
             counts.addProperty(c.name().toLowerCase(Locale.ROOT), party.count[c.ordinal()]);
         }
         counts.addProperty("unread", unread);
@@ -417,7 +417,7 @@
     public void leave() throws InterruptedException {
         later(() -> party.leave(now()));
         double until = now() + LEAVE_MS;
-        while (!party.isGone() && now() < until) Thread.sleep(5);
+        while (!party.hasLeft() && now() < until) Thread.sleep(5);
     }
 
     @Override public void close() {
--- a/src/main/java/mothcross/policy/net/KeptPolicy.java
+++ b/src/main/java/mothcross/policy/net/PolicyStore.java
@@ -19,7 +19,7 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import java.util.zip.CRC32C;
-import mothcross.policy.Book;
+import mothcross.policy.PolicyRegister;
 import mothcross.policy.Voter;
 
 /**
@@ -27,7 +27,7 @@
  * digest. Each file is replaced whole and synced, the folder too; a line with a checksum leads it. Owns the folder;
  * must never give out what does not fit its checksum, nor what another fleet's or another name's director kept there.
  */
-final class KeptPolicy {
+final class PolicyStore {
     /** The folder can't be used as it is; nothing is guessed. */
     static final class Unusable extends IOException {
         private static final long serialVersionUID = 1;
@@ -43,7 +43,7 @@
     private final Path dir;
     private final Whose whose;
 
-    KeptPolicy(Path dir, String fleet, String name) throws IOException {
+    PolicyStore(Path dir, String fleet, String name) throws IOException {
         this.dir = dir;
         this.whose = new Whose(fleet, name);
         Files.createDirectories(dir);
@@ -60,8 +60,8 @@
         return read("voter.json", Voter.State.class);
     }
 
-    Book book() throws IOException {
-        return read("book.json", Book.class);
+    PolicyRegister book() throws IOException {
+        return read("book.json", PolicyRegister.class);
     }
 
     /** Those that still have their digest; others are as if they were not there, and are fetched again. */
@@ -82,7 +82,7 @@
         write("voter.json", s);
     }
 
-    void book(Book b) throws IOException {
+    void book(PolicyRegister b) throws IOException {
         write("book.json", b);
     }
 
@@ -118,7 +118,7 @@
             throw new Unusable(dir.resolve(file), "its checksum does not fit: not written by this program, or damaged");
         }
         try {
-            T t = Codec.GSON.fromJson(all.substring(nl + 1), type);
+            T t = PolicyMessageCodec.GSON.fromJson(all.substring(nl + 1), type);
             if (t == null) throw new Unusable(dir.resolve(file), "is empty");
             return t;
         } catch (JsonParseException | NullPointerException e) {
@@ -127,7 +127,7 @@
     }
 
     private void write(String file, Object o) throws IOException {
-        String json = Codec.GSON.toJson(o);
+        String json = PolicyMessageCodec.GSON.toJson(o);
         replace(file, (checksum(json) + "\n" + json).getBytes(StandardCharsets.UTF_8));
     }
 
--- a/src/main/java/mothcross/rig/PolicyRules.java
+++ b/src/main/java/mothcross/rig/PolicyRules.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import mothcross.policy.Book;
 import mothcross.policy.Change;
 import mothcross.policy.Plan;
+import mothcross.policy.PolicyRegister;
 
 /**
  * Reads what was seen of a fleet's changes and says which promises of docs/design/policy-change.md it breaks. Shares
@@ -22,7 +22,7 @@
     /** Lookups that started, and those of them that were not decided at once. */
     public long lookups, refused;
     /** Changes by how they ended. */
-    public final Map<Book.Outcome, Integer> outcomes = new TreeMap<>();
+    public final Map<PolicyRegister.Outcome, Integer> outcomes = new TreeMap<>();
     /** Starts decided by an older plan after another director had taken up a newer one: the overlap, counted. */
     public long overlaps;
     private final boolean exact;
@@ -33,7 +33,7 @@
     // From when on nobody may decide by a plan before this one.
     private final TreeMap<Double, Long> points = new TreeMap<>();
     private final Map<Long, Map<String, Double>> taken = new TreeMap<>();
-    private Book latest;
+    private PolicyRegister latest;
     private double calmSince;
     private final Set<String> served = new HashSet<>();
 
@@ -79,7 +79,7 @@
         underWay = change;
         inForce = plan;
         calm = change.isEmpty() || stage.equals("TRIAL");
-        if (change.isEmpty() && !outcome.isEmpty()) outcomes.merge(Book.Outcome.valueOf(outcome), 1, Integer::sum);
+        if (change.isEmpty() && !outcome.isEmpty()) outcomes.merge(PolicyRegister.Outcome.valueOf(outcome), 1, Integer::sum);
     }
 
     void takes(double now, String name, long plan) {
@@ -113,12 +113,12 @@
     // ---- virtual time ----
 
     /** A director knows this book to be decided. */
-    void knows(double now, String name, Book b) {
+    void knows(double now, String name, PolicyRegister b) {
         if (b.revision() == 0) return;
         Change c = b.change();
         revision(now, name, b.revision(), b.plan().number() + " " + b.plan().main() + "/" + b.plan().trial() + " "
             + (c == null ? "-" : c.id() + c.stage()), b.plan().number(), c == null ? "" : c.stage().name());
-        for (Book.Ended e : b.lately()) ends(e.id(), e.outcome().name(), e.outcome());
+        for (PolicyRegister.CompletedChange e : b.recentChanges()) ends(e.id(), e.outcome().name(), e.outcome());
         if (latest == null || b.revision() > latest.revision()) {
             boolean wasCalm = latest == null || latest.change() == null;
             latest = b;
@@ -148,7 +148,7 @@
     }
 
     /** Promise 1: how a change ended is so for ever. */
-    void ends(String id, String outcome, Book.Outcome o) {
+    void ends(String id, String outcome, PolicyRegister.Outcome o) {
         String before = ended.putIfAbsent(id, outcome);
         if (before == null) outcomes.merge(o, 1, Integer::sum);
         if (before != null && !before.equals(outcome)) breaks(1, "change " + id + " " + before + " and " + outcome);
--- a/src/main/java/mothcross/rig/PolicyPlay.java
+++ b/src/main/java/mothcross/rig/PolicySimulation.java
@@ -8,16 +8,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
-import java.util.SplittableRandom;
 import java.util.Set;
+import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import mothcross.policy.Change;
-import mothcross.policy.Holder;
-import mothcross.policy.Move;
-import mothcross.policy.Party;
 import mothcross.policy.Plan;
-import mothcross.policy.Said;
+import mothcross.policy.PolicyMessage;
+import mothcross.policy.PolicyParticipant;
+import mothcross.policy.PolicyReplica;
+import mothcross.policy.Transition;
 import mothcross.policy.Voter;
 
 /**
@@ -25,11 +25,11 @@
  * may be cut, links as the script says. Owns the clock, the links and the disks; a play is decided by its script and
  * seed, to the byte. What is seen goes to {@link PolicyRules}, which judges it.
  */
-public final class PolicyPlay {
+public final class PolicySimulation {
     /** Stands between the play and a director: tests plant faults here. */
     public interface Spoils {
         /** What it hears of this; null: nothing. */
-        default Said hears(String who, String from, Said s) {
+        default PolicyMessage hears(String who, String from, PolicyMessage s) {
             return s;
         }
 
@@ -39,8 +39,8 @@
         }
 
         /** What holds for its lease and waits, in ms, of what the fleet says. */
-        default boolean mayStart(Party p, double now) {
-            return p.holder().stopped(now) == Holder.Stopped.NO;
+        default boolean mayStart(PolicyParticipant p, double now) {
+            return p.holder().stopReason(now) == PolicyReplica.StopReason.NO;
         }
     }
 
@@ -53,7 +53,7 @@
 
     private static final class Disk {
         Voter.State voter;
-        mothcross.policy.Book book;
+        mothcross.policy.PolicyRegister book;
         final Map<String, byte[]> texts = new LinkedHashMap<>();
         boolean refuses;
     }
@@ -63,7 +63,7 @@
         final int index;
         final String name;
         Disk disk = new Disk();
-        Party party;                                        // null while it is down
+        PolicyParticipant party;                                        // null while it is down
         long life = 1000, deciding = -1;
         int process;
         double pausedUntil, busyUntil;
@@ -83,7 +83,7 @@
             deciding = -1;
             waiting.clear();
             if (disk.voter == null) disk.voter = Voter.State.blank("m" + marks++);
-            party = new Party(name, life, "h", 1000 + index, voters, () -> names, lease, disk.voter, disk.voter.mark(),
+            party = new PolicyParticipant(name, life, "h", 1000 + index, voters, () -> names, lease, disk.voter, disk.voter.storeId(),
                 disk.book, disk.texts, chance.split());
             rules.starts(now, name);
             ticks(process);
@@ -98,7 +98,7 @@
         void ticks(int of) {
             if (of != process) return;
             does(() -> party.tick(now));
-            in(Math.max(5, party.next() - now), () -> ticks(of));
+            in(Math.max(5, party.nextTickAt() - now), () -> ticks(of));
         }
 
         /** What comes while it is paused, or waits for its disk, comes after. */
@@ -113,7 +113,7 @@
                 return;
             }
             what.run();
-            works(new ArrayDeque<>(party.works()));
+            works(new ArrayDeque<>(party.takeActions()));
         }
 
         void goesOn(int of) {
@@ -124,46 +124,46 @@
             }
             while (!waiting.isEmpty() && !writing && party != null) {
                 waiting.poll().run();
-                works(new ArrayDeque<>(party.works()));
+                works(new ArrayDeque<>(party.takeActions()));
             }
         }
 
         /** One after the other; a write holds up what comes after it, and what would be sent. */
-        void works(ArrayDeque<Party.Work> all) {
+        void works(ArrayDeque<PolicyParticipant.Action> all) {
             while (!all.isEmpty()) {
-                Party.Work w = all.poll();
-                if (w instanceof Party.KeepVoter k) {
+                PolicyParticipant.Action w = all.poll();
+                if (w instanceof PolicyParticipant.PersistVoterState k) {
                     syncs++;
                     writing = true;
                     int of = process;
                     written = k.state();
                     in(SYNC_LEAST + SYNC_MORE * chance.nextDouble(), () -> synced(of, k, all));
                     return;
-                } else if (w instanceof Party.KeepBook k) {
-                    disk.book = k.book();
-                } else if (w instanceof Party.Check c) {
+                } else if (w instanceof PolicyParticipant.PersistRegister k) {
+                    disk.book = k.register();
+                } else if (w instanceof PolicyParticipant.ValidateText c) {
                     int of = process;
                     in(CHECK_LEAST + CHECK_MORE * chance.nextDouble(), () -> {
                         if (of != process) return;
                         does(() -> checked(c));
                     });
-                } else if (w instanceof Party.Drop d) {
+                } else if (w instanceof PolicyParticipant.DeleteText d) {
                     disk.texts.remove(d.digest());
-                } else if (w instanceof Party.Take t) {
+                } else if (w instanceof PolicyParticipant.ActivatePlan t) {
                     deciding = t.plan().number();
-                    rules.knows(now, name, party.known());
+                    rules.knows(now, name, party.register());
                     rules.takes(now, name, t.plan());
                 }
-                if (all.isEmpty()) all.addAll(party.works());
+                if (all.isEmpty()) all.addAll(party.takeActions());
             }
-            rules.knows(now, name, party.known());
-            for (Party.Send s : party.sends()) carry(this, s);
+            rules.knows(now, name, party.register());
+            for (PolicyParticipant.Send s : party.takeSends()) carry(this, s);
             mostTexts = Math.max(mostTexts, disk.texts.size());
         }
 
         Voter.State written;
 
-        void synced(int of, Party.KeepVoter k, ArrayDeque<Party.Work> left) {
+        void synced(int of, PolicyParticipant.PersistVoterState k, ArrayDeque<PolicyParticipant.Action> left) {
             if (of != process) return;
             if (now < pausedUntil) {
                 in(pausedUntil - now, () -> synced(of, k, left));
@@ -171,21 +171,21 @@
             }
             writing = false;
             if (disk.refuses) {
-                party.notSynced();
+                party.voterStateNotSynced();
             } else {
                 disk.voter = spoils.keeps(disk.voter, k.state());
-                party.synced(now, k.state());
+                party.voterStateSynced(now, k.state());
             }
-            ArrayDeque<Party.Work> all = new ArrayDeque<>(left);
-            all.addAll(party.works());
+            ArrayDeque<PolicyParticipant.Action> all = new ArrayDeque<>(left);
+            all.addAll(party.takeActions());
             works(all);
             goesOn(of);
         }
 
-        void checked(Party.Check c) {
+        void checked(PolicyParticipant.ValidateText c) {
             boolean no = new String(c.bytes(), StandardCharsets.UTF_8).contains("refused by " + name);
             if (!no) disk.texts.put(c.digest(), c.bytes());
-            party.checked(now, c.digest(), c.bytes(), no ? "can't be compiled here" : null);
+            party.textValidated(now, c.digest(), c.bytes(), no ? "can't be compiled here" : null);
         }
 
         boolean mayStart() {
@@ -214,7 +214,7 @@
     private long orders;
     private int marks = 1, proposals;
 
-    private PolicyPlay(FaultScript script, double lease, int voters, long seed, Spoils spoils) {
+    private PolicySimulation(FaultScript script, double lease, int voters, long seed, Spoils spoils) {
         this.script = script;
         this.lease = lease;
         this.spoils = spoils == null ? new Spoils() { } : spoils;
@@ -222,8 +222,8 @@
         for (int i = 0; i < Math.min(voters, script.members); i++) this.voters.add("n" + i);
     }
 
-    public static PolicyPlay play(FaultScript script, double lease, int voters, long seed, Spoils spoils) {
-        PolicyPlay p = new PolicyPlay(script, lease, voters, seed, spoils);
+    public static PolicySimulation play(FaultScript script, double lease, int voters, long seed, Spoils spoils) {
+        PolicySimulation p = new PolicySimulation(script, lease, voters, seed, spoils);
         for (int i = 0; i < script.members; i++) {
             Node n = p.new Node(i);
             p.nodes.add(n);
@@ -255,16 +255,16 @@
     /** Lookups start at each director that runs: which plan would decide them now? */
     private void look() {
         for (Node n : nodes) {
-            if (n.party != null && n.party.isGone()) n.ends();
+            if (n.party != null && n.party.hasLeft()) n.ends();
             if (n.party == null || now < n.pausedUntil) continue;
             boolean may = n.mayStart();
-            rules.starts(now, n.name, may ? n.deciding : -1, n.party.holder().isBound(), n.party.holder().isSeated());
+            rules.starts(now, n.name, may ? n.deciding : -1, n.party.holder().requiresLease(), n.party.holder().isRegistered());
         }
     }
 
     // ---- the links ----
 
-    private void carry(Node from, Party.Send s) {
+    private void carry(Node from, PolicyParticipant.Send s) {
         if (from.says == DYING) return;
         if (from.says >= 0 && --from.says < 0) {
             from.says = DYING;                              // nothing that it does still, of this message, is heard of
@@ -272,7 +272,7 @@
             return;
         }
         sent++;
-        if (weighs) bytes += s.what().toString().length();
+        if (weighs) bytes += s.message().toString().length();
         Node to = nodes.get(Integer.parseInt(s.to().substring(1)));
         if (isCut(from, to)) return;
         for (double[] l : losses) {
@@ -283,10 +283,10 @@
         for (int i = 0; i < times; i++) {
             in(0.3 + chance.nextDouble() + delayed * chance.nextDouble(), () -> {
                 if (to.party != null) {
-                    Said what = spoils.hears(to.name, from.name, s.what());
-                    if (what != null) to.does(() -> to.party.on(now, from.name, what));
+                    PolicyMessage what = spoils.hears(to.name, from.name, s.message());
+                    if (what != null) to.does(() -> to.party.onMessage(now, from.name, what));
                 } else if (from.party != null && !isCut(to, from)) {
-                    from.does(() -> from.party.refused("h", 1000 + to.index));
+                    from.does(() -> from.party.onConnectionRefused("h", 1000 + to.index));
                 }
             });
         }
@@ -379,25 +379,25 @@
 
     private void votes(Node n, FaultScript.Line l) {
         Map<String, String> marks = new TreeMap<>();
-        for (int i : l.to()) marks.put("n" + i, nodes.get(i).disk.voter.mark());
-        n.party.asks(now, "v" + ++proposals, new Move.Vote(n.party.known().voters().number(), marks));
+        for (int i : l.to()) marks.put("n" + i, nodes.get(i).disk.voter.storeId());
+        n.party.submit(now, "v" + ++proposals, new Transition.ChangeVoters(n.party.register().voters().number(), marks));
     }
 
     private void asks(Node n, FaultScript.Line l) {
-        Party p = n.party;
-        Plan plan = p.known().plan();
-        Change c = p.known().change();
+        PolicyParticipant p = n.party;
+        Plan plan = p.register().plan();
+        Change c = p.register().change();
         String key = "k" + ++proposals;
         if (l.what() == FaultScript.What.PROMOTE || l.what() == FaultScript.What.ABORT) {
             if (c == null) return;
-            p.asks(now, key, l.what() == FaultScript.What.PROMOTE ? new Move.Promote(c.id())
-                : new Move.Abort(c.id(), -1, "asked for"));
+            p.submit(now, key, l.what() == FaultScript.What.PROMOTE ? new Transition.Promote(c.id())
+                : new Transition.Abort(c.id(), -1, "asked for"));
             return;
         }
         Change.Mode mode = l.what() == FaultScript.What.STOP ? Change.Mode.STOP : Change.Mode.HOLD;
         if (l.what() == FaultScript.What.LEASES) {
             rules.proposes(now, key, l.lasts());
-            p.asks(now, key, new Move.Propose(key, plan.main(), 0, n.name, "", mode, l.lasts(), Plan.Canary.NONE,
+            p.submit(now, key, new Transition.Propose(key, plan.main(), 0, n.name, "", mode, l.lasts(), Plan.Canary.NONE,
                 l.by() > 0));
             return;
         }
@@ -407,9 +407,9 @@
             ? new Plan.Canary(List.of("n1"), 0) : new Plan.Canary(List.of(), 0.3);
         n.disk.texts.put(digest, text);
         p.texts().kept(digest, text);
-        p.holder().has(digest, true);
+        p.holder().setTextAvailable(digest, true);
         rules.proposes(now, key, l.lasts());
-        p.asks(now, key, new Move.Propose(key, digest, text.length, n.name, "", mode, l.lasts(), canary,
+        p.submit(now, key, new Transition.Propose(key, digest, text.length, n.name, "", mode, l.lasts(), canary,
             plan.leases()));
     }
 
--- a/src/main/java/mothcross/rig/explore/RegisterModel.java
+++ b/src/main/java/mothcross/rig/explore/RegisterModel.java
@@ -8,15 +8,15 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
-import mothcross.policy.Book;
 import mothcross.policy.Change;
-import mothcross.policy.Move;
 import mothcross.policy.Plan;
-import mothcross.policy.Said;
-import mothcross.policy.Turn;
+import mothcross.policy.PolicyMessage;
+import mothcross.policy.PolicyRegister;
+import mothcross.policy.ProposalNumber;
+import mothcross.policy.Proposer;
+import mothcross.policy.Transition;
 import mothcross.policy.Voter;
-import mothcross.policy.Voters;
-import mothcross.policy.Writer;
+import mothcross.policy.VoterSet;
 
 /**
  * The register among a few voters and two writers, with the very classes that serve: every order of deliveries, each
@@ -36,20 +36,20 @@
     public enum Scene { TWO_STEPS, VOTERS, FOUNDING, LEASE }
 
     /** Of a writer to a voter; answers are heard at once or never. {@code bare}: without the voter's name. */
-    private record Letter(String to, String from, Said what, long hash, long bare) {
-        Turn turn() {
-            return what instanceof Said.Prepare p ? p.turn() : ((Said.Accept) what).turn();
+    private record Letter(String to, String from, PolicyMessage what, long hash, long bare) {
+        ProposalNumber turn() {
+            return what instanceof PolicyMessage.Prepare p ? p.number() : ((PolicyMessage.Accept) what).number();
         }
     }
 
     /** One state; {@code decided} is what some writer has seen decided, by revision. */
     public static final class State {
         private final Voter.State[] voters;
-        private final Writer[] writers;
-        private final Book[] known;
+        private final Proposer[] writers;
+        private final PolicyRegister[] known;
         private final int[] attempts, crashes;
         private final List<Letter> said;
-        private final Map<Long, Book> decided;
+        private final Map<Long, PolicyRegister> decided;
         private int disks;
         // Of the lease: whether it was asked after the commit was seen decided, and who has said yes.
         private boolean asked, askedAfter;
@@ -58,8 +58,8 @@
 
         private State(int voters, int writers) {
             this.voters = new Voter.State[voters];
-            this.writers = new Writer[writers];
-            known = new Book[writers];
+            this.writers = new Proposer[writers];
+            known = new PolicyRegister[writers];
             attempts = new int[writers];
             crashes = new int[1];
             said = new ArrayList<>();
@@ -104,19 +104,19 @@
 
     @Override public State first() {
         State s = new State(scene == Scene.VOTERS ? 5 : 3, 2);
-        Book b = Book.first(Voters.named(founders), 1000);
+        PolicyRegister b = PolicyRegister.first(VoterSet.named(founders), 1000);
         Map<String, String> marks = new TreeMap<>();
         for (String v : founders) marks.put(v, "m" + v);
         try {
-            if (scene != Scene.FOUNDING) b = new Move.Found(marks).after(b);
+            if (scene != Scene.FOUNDING) b = new Transition.Bootstrap(marks).applyTo(b);
             if (scene == Scene.LEASE) {
-                b = new Move.Enrol(Map.of(DIRECTOR, new Book.Seat(1, "h", 1, false))).after(b);
-                b = new Move.Propose("c", "x", 1, "w0", "", Change.Mode.HOLD, 1e6, Plan.Canary.NONE, false).after(b);
+                b = new Transition.RegisterDirectors(Map.of(DIRECTOR, new PolicyRegister.Registration(1, "h", 1, false))).applyTo(b);
+                b = new Transition.Propose("c", "x", 1, "w0", "", Change.Mode.HOLD, 1e6, Plan.Canary.NONE, false).applyTo(b);
             }
-        } catch (Move.Refused e) {
+        } catch (Transition.RejectedException e) {
             throw new IllegalStateException(e);
         }
-        Turn t = new Turn(1, "w", 0);
+        ProposalNumber t = new ProposalNumber(1, "w", 0);
         for (int i = 0; i < s.voters.length; i++) {
             String mark = "mv" + i;
             boolean has = scene != Scene.FOUNDING && i < 3;
@@ -125,7 +125,7 @@
         if (scene != Scene.FOUNDING) s.decided.put(b.revision(), b);
         for (int i = 0; i < 2; i++) {
             s.known[i] = b;
-            s.writers[i] = new Writer(writer(i), life(0), founders);
+            s.writers[i] = new Proposer(writer(i), life(0), founders);
         }
         return s;
     }
@@ -139,24 +139,24 @@
     }
 
     /** What a writer puts there: each its own, so that what is lost or put there twice shows. */
-    private Move move(State s, int i) {
+    private Transition move(State s, int i) {
         if (scene == Scene.LEASE) {
-            return new Move.Commit("c", 3, Set.of(DIRECTOR + "@1"), Set.of());
+            return new Transition.Commit("c", 3, Set.of(DIRECTOR + "@1"), Set.of());
         }
         if (scene == Scene.VOTERS && s.known[i].voters().number() == 1 && i == 0) {
             // A jump to a set that shares one voter with the old one.
-            return new Move.Vote(1, Map.of("v2", "mv2", "v3", "mv3", "v4", "mv4"));
+            return new Transition.ChangeVoters(1, Map.of("v2", "mv2", "v3", "mv3", "v4", "mv4"));
         }
         String name = "e" + i + s.attempts[i];
-        return new Move.Enrol(Map.of(name, new Book.Seat(1, "h", i * 10 + s.attempts[i], false)));
+        return new Transition.RegisterDirectors(Map.of(name, new PolicyRegister.Registration(1, "h", i * 10 + s.attempts[i], false)));
     }
 
     // ---- what can happen ----
 
     @Override public void next(State s, BiConsumer<String, State> to) {
         for (int i = 0; i < s.writers.length; i++) {
-            Writer.State w = s.writers[i].state();
-            boolean over = w == Writer.State.IDLE || w == Writer.State.DONE || w == Writer.State.LOST;
+            Proposer.State w = s.writers[i].state();
+            boolean over = w == Proposer.State.IDLE || w == Proposer.State.DONE || w == Proposer.State.LOST;
             if (s.attempts[i] == attempts[i]) continue;
             to.accept("w" + i + " begins" + (over ? "" : " again"), begun(s, i, false));
             if (!over && s.crashes[0] < crashes) to.accept("w" + i + " crashes and begins anew", begun(s, i, true));
@@ -174,11 +174,11 @@
             State n = new State(s);
             n.disks++;
             if (fault == Fault.FORGETS_PROMISES) {
-                n.voters[i] = new Voter.State(s.voters[i].mark(), Turn.NONE, s.voters[i].acceptedAt(),
+                n.voters[i] = new Voter.State(s.voters[i].storeId(), ProposalNumber.NONE, s.voters[i].acceptedNumber(),
                     s.voters[i].accepted());
                 to.accept("v" + i + " restarts and forgets its promise", n);
             } else if (fault == Fault.FORGETS_UNAWARE) {
-                n.voters[i] = Voter.State.blank(s.voters[i].mark());
+                n.voters[i] = Voter.State.blank(s.voters[i].storeId());
                 to.accept("v" + i + " loses its disk unaware", n);
             } else if (fault == Fault.NONE || fault == Fault.MARKS_IGNORED) {
                 n.voters[i] = Voter.State.blank("new" + i);
@@ -190,7 +190,7 @@
     private State begun(State s, int i, boolean crashed) {
         State n = new State(s);
         if (crashed) n.crashes[0]++;
-        Writer w = crashed ? new Writer(writer(i), life(n.crashes[0]), founders) : new Writer(s.writers[i]);
+        Proposer w = crashed ? new Proposer(writer(i), life(n.crashes[0]), founders) : new Proposer(s.writers[i]);
         w.begin(s.known[i], move(s, i));
         n.attempts[i]++;
         n.writers[i] = w;
@@ -200,10 +200,10 @@
     }
 
     private void says(State n, int i) {
-        n.writers[i].says().forEach((v, what) -> add(n, v, "w" + i, what));
+        n.writers[i].pendingRequests().forEach((v, what) -> add(n, v, "w" + i, what));
     }
 
-    private static void add(State n, String to, String from, Said what) {
+    private static void add(State n, String to, String from, PolicyMessage what) {
         long h = hashOf(to + from + what);
         for (Letter l : n.said) if (l.hash == h) return;
         // Without the voter's name, since voters are alike.
@@ -217,9 +217,9 @@
         if (!over) return;
         n.said.removeIf(l -> {
             Voter.State v = n.voters[l.to.charAt(1) - '0'];
-            Turn t = l.turn();
-            return l.what instanceof Said.Prepare ? t.compareTo(v.promised()) <= 0
-                : t.compareTo(v.promised()) < 0 || t.equals(v.acceptedAt());
+            ProposalNumber t = l.turn();
+            return l.what instanceof PolicyMessage.Prepare ? t.compareTo(v.promised()) <= 0
+                : t.compareTo(v.promised()) < 0 || t.equals(v.acceptedNumber());
         });
     }
 
@@ -231,23 +231,23 @@
         int i = l.to.charAt(1) - '0', w = l.from.charAt(1) - '0';
         if (i >= s.voters.length) return;
         Voter v = new Voter(l.to, founders, s.voters[i]);
-        Voter.Step step = l.what instanceof Said.Prepare p ? v.on(p) : v.on((Said.Accept) l.what);
+        Voter.Step step = l.what instanceof PolicyMessage.Prepare p ? v.on(p) : v.on((PolicyMessage.Accept) l.what);
         // That it is late is told by its silence as well: a writer may begin again at any time.
-        if (step.keep() == null) return;
-        Said.Receipt r = v.synced(step.keep());
-        Said answer = l.what instanceof Said.Prepare ? Said.Promised.of(r) : Said.Accepted.of(r);
+        if (step.persist() == null) return;
+        PolicyMessage.Receipt r = v.synced(step.persist());
+        PolicyMessage answer = l.what instanceof PolicyMessage.Prepare ? PolicyMessage.Promised.of(r) : PolicyMessage.Accepted.of(r);
         String what = l.to + " hears of " + l.from + " " + kind(l.what);
         State lost = new State(s);
-        lost.voters[i] = step.keep();
+        lost.voters[i] = step.persist();
         prune(lost);
         to.accept(what + ", its answer is lost", lost);
         State n = new State(s);
-        n.voters[i] = step.keep();
+        n.voters[i] = step.persist();
         boolean heard = hear(n, w, l.to, answer);
         // Planted: those that are not reachable, or not of the new set, are taken to agree.
-        boolean forged = answer instanceof Said.Accepted && (fault == Fault.MOST_OF_REACHABLE
+        boolean forged = answer instanceof PolicyMessage.Accepted && (fault == Fault.MOST_OF_REACHABLE
             || fault == Fault.NEW_VOTERS_ALONE && i >= 3);
-        if (forged) for (String o : founders) heard |= hear(n, w, o, new Said.Accepted(l.turn(), "m" + o));
+        if (forged) for (String o : founders) heard |= hear(n, w, o, new PolicyMessage.Accepted(l.turn(), "m" + o));
         if (!heard) return;
         if (fault == Fault.ANSWERS_BEFORE_SYNC && s.disks < mostDisks) {
             State torn = new State(n);
@@ -260,29 +260,29 @@
     }
 
     /** False where that changes nothing. */
-    private boolean hear(State n, int i, String from, Said said) {
-        Writer before = n.writers[i];
-        Said heard = said;
+    private boolean hear(State n, int i, String from, PolicyMessage said) {
+        Proposer before = n.writers[i];
+        PolicyMessage heard = said;
         if (fault == Fault.MARKS_IGNORED) {
             String right = "m" + from;
-            if (heard instanceof Said.Promised p) heard = new Said.Promised(p.turn(), right, p.at(), p.accepted());
-            if (heard instanceof Said.Accepted a) heard = new Said.Accepted(a.turn(), right);
+            if (heard instanceof PolicyMessage.Promised p) heard = new PolicyMessage.Promised(p.number(), right, p.acceptedNumber(), p.accepted());
+            if (heard instanceof PolicyMessage.Accepted a) heard = new PolicyMessage.Accepted(a.number(), right);
         }
-        if (fault == Fault.FINISHES_NOTHING && heard instanceof Said.Promised p && p.accepted() != null
+        if (fault == Fault.FINISHES_NOTHING && heard instanceof PolicyMessage.Promised p && p.accepted() != null
             && p.accepted().revision() > n.known[i].revision()) {
-            heard = new Said.Promised(p.turn(), p.mark(), new Turn(1, "w", 0), n.known[i]);
+            heard = new PolicyMessage.Promised(p.number(), p.storeId(), new ProposalNumber(1, "w", 0), n.known[i]);
         }
-        Writer w = new Writer(before);
-        if (heard instanceof Said.Promised p) w.on(from, p);
-        else if (heard instanceof Said.Accepted a) w.on(from, a);
-        if (w.shown().equals(before.shown()) && w.of(from).equals(before.of(from))) return false;
+        Proposer w = new Proposer(before);
+        if (heard instanceof PolicyMessage.Promised p) w.on(from, p);
+        else if (heard instanceof PolicyMessage.Accepted a) w.on(from, a);
+        if (w.fingerprint().equals(before.fingerprint()) && w.voterFingerprint(from).equals(before.voterFingerprint(from))) return false;
         n.writers[i] = w;
         says(n, i);
-        if (w.decided() != null && before.state() != Writer.State.DONE) decided(n, i, w.decided());
+        if (w.decided() != null && before.state() != Proposer.State.DONE) decided(n, i, w.decided());
         return true;
     }
 
-    private static String kind(Said s) {
+    private static String kind(PolicyMessage s) {
         String t = s.toString();
         return t.length() > 60 ? t.substring(0, 60) : t;
     }
@@ -290,8 +290,8 @@
     private void lease(State s, int i, BiConsumer<String, State> to) {
         if ((s.yes & 1 << i) != 0) return;
         Voter v = new Voter("v" + i, founders, s.voters[i]);
-        Said.YouMay y = v.on(new Said.MayI(1, 0, 1, 1), DIRECTOR, null);
-        if (!y.yes() || !y.mark().equals("mv" + i) && fault != Fault.MARKS_IGNORED) return;
+        PolicyMessage.LeaseReply y = v.on(new PolicyMessage.LeaseRequest(1, 0, 1, 1), DIRECTOR, null);
+        if (!y.granted() || !y.storeId().equals("mv" + i) && fault != Fault.MARKS_IGNORED) return;
         State n = new State(s);
         n.yes |= 1 << i;
         int enough = fault == Fault.LEASE_BY_ONE ? 1 : 2;
@@ -304,20 +304,20 @@
     // ---- what has to hold ----
 
     /** Promise 1: one book for each revision, for ever, and each made from the one before. */
-    private void decided(State n, int i, Book b) {
-        Book same = n.decided.putIfAbsent(b.revision(), b);
+    private void decided(State n, int i, PolicyRegister b) {
+        PolicyRegister same = n.decided.putIfAbsent(b.revision(), b);
         if (same != null && !same.equals(b)) {
             n.broken = "promise 1: revision " + b.revision() + " was decided twice: " + same + " and " + b;
         }
-        Book before = n.decided.get(b.revision() - 1), after = n.decided.get(b.revision() + 1);
+        PolicyRegister before = n.decided.get(b.revision() - 1), after = n.decided.get(b.revision() + 1);
         if (before != null && !follows(before, b) || after != null && !follows(b, after)) {
             n.broken = "promise 1: revision " + b.revision() + " does not follow from the one before";
         }
         if (b.revision() > n.known[i].revision()) n.known[i] = b;
     }
 
-    private static boolean follows(Book a, Book b) {
-        return b.roll().keySet().containsAll(a.roll().keySet()) && b.voters().number() >= a.voters().number()
+    private static boolean follows(PolicyRegister a, PolicyRegister b) {
+        return b.registrations().keySet().containsAll(a.registrations().keySet()) && b.voters().number() >= a.voters().number()
             && b.plan().number() >= a.plan().number();
     }
 
@@ -330,9 +330,9 @@
         long[] each = new long[s.voters.length];
         for (int i = 0; i < each.length; i++) {
             String name = "v" + i;
-            StringBuilder b = new StringBuilder(128).append(s.voters[i].promised()).append(s.voters[i].acceptedAt())
-                .append(s.voters[i].accepted()).append(s.voters[i].mark().startsWith("m")).append(s.yes >> i & 1);
-            for (Writer w : s.writers) b.append(w.of(name).replace("mv" + i, "m")).append('|');
+            StringBuilder b = new StringBuilder(128).append(s.voters[i].promised()).append(s.voters[i].acceptedNumber())
+                .append(s.voters[i].accepted()).append(s.voters[i].storeId().startsWith("m")).append(s.yes >> i & 1);
+            for (Proposer w : s.writers) b.append(w.voterFingerprint(name).replace("mv" + i, "m")).append('|');
             if (scene == Scene.VOTERS) b.append(i < 2 ? 0 : i == 2 ? 1 : 2);
             long letters = 0;
             for (Letter l : s.said) if (l.to.equals(name)) letters += l.bare * 0x9e3779b97f4a7c15L;
@@ -340,8 +340,8 @@
         }
         Arrays.sort(each);
         StringBuilder b = new StringBuilder(256);
-        for (Writer w : s.writers) b.append(w.shown()).append('|');
-        for (Book k : s.known) b.append(k);
+        for (Proposer w : s.writers) b.append(w.fingerprint()).append('|');
+        for (PolicyRegister k : s.known) b.append(k);
         return hashOf(b.append(Arrays.toString(each)).append(Arrays.toString(s.attempts)).append(s.crashes[0])
             .append(s.disks).append(s.asked).append(s.askedAfter).append(s.decided).append(s.broken));
     }
--- a/src/main/java/mothcross/simhost/SimHost.java
+++ b/src/main/java/mothcross/simhost/SimHost.java
@@ -22,7 +22,7 @@
     private final PrintStream out;
     private final PrintStream err;
     private final StringBuilder reply = new StringBuilder();
-    private final Map<Integer, Door> instances = new HashMap<>();
+    private final Map<Integer, SimulatorAdapter> instances = new HashMap<>();
     /** The lines of the current batch for the target instance. */
     private final List<WireLine> lines = new ArrayList<>();
     /** The instance that lines are for, -1 before the batch names one. */
@@ -80,7 +80,7 @@
                 processLines();
                 int instance = requireTarget(line);
                 DirectorSettings settings = new DirectorSettings(line, line.longValue("RandomSeed"));
-                instances.put(instance, new Door(instance, settings, reply));
+                instances.put(instance, new SimulatorAdapter(instance, settings, reply));
             }
             case "HALT" -> {
                 processLines();
@@ -103,7 +103,7 @@
 
     private void processLines() {
         if (lines.isEmpty()) return;
-        Door instance = instances.get(target);
+        SimulatorAdapter instance = instances.get(target);
         if (instance != null) instance.process(now, lines);
         lines.clear();
     }
--- a/src/main/java/mothcross/simhost/Door.java
+++ b/src/main/java/mothcross/simhost/SimulatorAdapter.java
@@ -15,7 +15,7 @@
  * Connects one director to the simulator's protocol: delivers its lines as events, writes decisions as lines, and
  * maps the simulator's ids to the director's indices.
  */
-final class Door implements EventBatch, DecisionWriter {
+final class SimulatorAdapter implements EventBatch, DecisionWriter {
     private final int instance;
     private final DirectorSettings settings;
     private final StringBuilder reply;
@@ -30,7 +30,7 @@
     /** The reply names this instance before its first line of a round. */
     private boolean instanceWritten;
 
-    Door(int instance, DirectorSettings settings, StringBuilder reply) {
+    SimulatorAdapter(int instance, DirectorSettings settings, StringBuilder reply) {
         this.instance = instance;
         this.settings = settings;
         this.reply = reply;
--- a/src/test/java/mothcross/BelievedRulesTest.java
+++ b/src/test/java/mothcross/BelievedRulesTest.java
@@ -3,12 +3,12 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.*;
-import mothcross.membership.Ages;
-import mothcross.membership.ListFile;
+import mothcross.membership.AgeLimits;
+import mothcross.membership.ListedNode;
 import mothcross.membership.Membership;
+import mothcross.membership.NodeState;
 import mothcross.membership.Purge;
-import mothcross.membership.Standing;
-import mothcross.membership.Told;
+import mothcross.membership.SnapshotFormat;
 import org.testng.annotations.Test;
 
 /**
@@ -31,7 +31,7 @@
     private static final int CACHES = 4;
     private static final int IDEMPOTENT = 0;
     private static final int NON_IDEMPOTENT = 1;
-    private static final Ages AGES = new Ages(10_000, 100_000, 5000, 3, 1000, 8000, 0.5, 3000, 1000);
+    private static final AgeLimits AGES = new AgeLimits(10_000, 100_000, 5000, 3, 1000, 8000, 0.5, 3000, 1000);
     private static final List<String> IDS = List.of("c0", "c1", "c2", "c3", "p", "o");
 
     /** The true state of a node. */
@@ -98,7 +98,7 @@
         final List<Boolean> hopEnded = new ArrayList<>();
     }
 
-    private record ListChange(Standing standing, double startedAt) { }
+    private record ListChange(NodeState standing, double startedAt) { }
 
     /** One run of a director, from its start to its kill, with the checks of what it decides. */
     private static final class DirectorRun implements DecisionWriter, Membership.Changes {
@@ -133,7 +133,7 @@
                 to.listStarted(Director.LIST_RESTORED);
                 to.listFinished();
                 if (disk != null) {
-                    membership.restore(ListFile.read(disk, "f", name, world.now, 1000).kept(), world.now);
+                    membership.restore(SnapshotFormat.decode(disk, "f", name, world.now, 1000).snapshot(), world.now);
                 }
                 for (Purge p : membership.purges()) {
                     to.purged(p.object(), p.group(), Math.max(0, world.now - p.at()));
@@ -158,7 +158,7 @@
                 for (Map.Entry<String, ListChange> change : pending.entrySet()) {
                     String id = change.getKey();
                     int kind = id.equals("p") ? 1 : id.equals("o") ? 2 : 0;
-                    to.nodeListed(IDS.indexOf(id), id, 0, kind, 0, change.getValue().standing().use, UNITS,
+                    to.nodeListed(IDS.indexOf(id), id, 0, kind, 0, change.getValue().standing().directorStatus, UNITS,
                         change.getValue().startedAt());
                 }
                 pending.clear();
@@ -170,7 +170,7 @@
         private void tickLater() {
             world.at(world.now + 500, () -> {
                 if (killed) return;
-                process(to -> membership.ticks(world.now));
+                process(to -> membership.tick(world.now));
                 tickLater();
             });
         }
@@ -184,7 +184,7 @@
                     else hearStatus(event);
                 });
             }
-            process(to -> membership.standsBehind(world.log.size(), world.now));
+            process(to -> membership.confirmUpTo(world.log.size(), world.now));
         }
 
         private void hearPurge(Event event, Director to) {
@@ -195,13 +195,13 @@
 
         private void hearStatus(Event event) {
             boolean first = event.number() == 1;
-            membership.begins(event.number(), first, world.now);
+            membership.listStarted(event.number(), first, world.now);
             for (String id : first ? IDS : List.of(event.id())) {
                 double since = world.nodes.get(id).startedAt;
                 int status = first ? Director.IN_SERVICE : event.status();
-                membership.told(id, id, 1, "here", "k", 0, status, UNITS, since, world.now);
+                membership.nodeListed(id, id, 1, "here", "k", 0, status, UNITS, since, world.now);
             }
-            membership.ends(world.now);
+            membership.listFinished(world.now);
             if (event.status() == Director.IN_SERVICE) outOfService.remove(event.id());
             else outOfService.add(event.id());
         }
@@ -219,7 +219,7 @@
                 world.seed + " rule 1: " + lookup.answers + " answers"));
         }
 
-        @Override public void changed(Told entry, Standing was, Standing is, double coldSince, String why) {
+        @Override public void changed(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
             pending.put(entry.id(), new ListChange(is, coldSince));
         }
 
@@ -237,7 +237,7 @@
                 where + " rule 3: known to be draining or removed");
             Node target = world.nodes.get(id);
             checkSlowStart(target, node, where);
-            if (membership.standing(id) == Standing.OLD) world.sentToOld++;
+            if (membership.stateOf(id) == NodeState.OLD) world.sentToOld++;
             world.sent++;
             int hop = lookup.hopEnded.size();
             lookup.hopEnded.add(false);
@@ -366,7 +366,7 @@
             for (int i = 0; i < DIRECTORS; i++) {
                 DirectorRun run = runs.get(i);
                 run.killed = true;
-                disks[i] = ListFile.bytes(run.membership.kept("f", "d" + i, world.now));
+                disks[i] = SnapshotFormat.encode(run.membership.snapshot("f", "d" + i, world.now));
                 outOfService.get(i).clear();
                 outOfService.get(i).addAll(run.outOfService);
                 purgedAt.get(i).clear();
--- a/src/test/java/mothcross/Stage.java
+++ b/src/test/java/mothcross/ScenarioHarness.java
@@ -3,7 +3,7 @@
 import java.util.*;
 
 /** Plays the events of a scenario into one director and records its decisions as text. */
-final class Stage implements DecisionWriter {
+final class ScenarioHarness implements DecisionWriter {
     private static final int MAX_LOOKUPS = 4096;
 
     /** The decisions since this list was last cleared; timers are kept apart and fire by themselves. */
@@ -24,7 +24,7 @@
     private final Director director;
 
     /** Each line of {@code start} has settings of the form KEY=VALUE, separated by spaces. */
-    Stage(List<String> start) {
+    ScenarioHarness(List<String> start) {
         for (String line : start) {
             for (String setting : line.split(" ")) settings.put(setting.split("=")[0], setting.split("=")[1]);
         }
--- a/src/test/java/mothcross/ScenarioTest.java
+++ b/src/test/java/mothcross/ScenarioTest.java
@@ -46,7 +46,7 @@
 
     @Test(dataProvider = "scenarios")
     public void plays(String name, Path file) throws Exception {
-        Stage stage = null;
+        ScenarioHarness stage = null;
         List<String> start = new ArrayList<>();
         int number = 0;
         for (String raw : Files.readAllLines(file)) {
@@ -58,7 +58,7 @@
                 start.add(line.substring(6));
                 continue;
             }
-            if (stage == null) stage = new Stage(start);
+            if (stage == null) stage = new ScenarioHarness(start);
             if (line.startsWith("= ")) {
                 check(where, line.substring(2).strip(), stage);
             } else if (line.startsWith("repeat ")) {
@@ -71,7 +71,7 @@
         assertTrue(stage != null && stage.checks > 0, name + " checks nothing");
     }
 
-    private static void repeat(String line, Stage stage) {
+    private static void repeat(String line, ScenarioHarness stage) {
         String[] words = line.split(" ", 5);
         int times = Integer.parseInt(words[1]);
         double stepMs = Double.parseDouble(words[2]);
@@ -81,7 +81,7 @@
         }
     }
 
-    private static void check(String where, String expected, Stage stage) {
+    private static void check(String where, String expected, ScenarioHarness stage) {
         stage.checks++;
         List<String> written = new ArrayList<>(stage.written);
         if (expected.startsWith("any ")) {
--- a/src/test/java/mothcross/net/Fleet.java
+++ b/src/test/java/mothcross/net/Fleet.java
@@ -8,62 +8,62 @@
 import java.util.function.BooleanSupplier;
 import java.util.regex.Pattern;
 import mothcross.Director;
-import mothcross.membership.Ages;
-import mothcross.membership.Kept;
-import mothcross.membership.ListFile;
+import mothcross.membership.AgeLimits;
+import mothcross.membership.ListedNode;
+import mothcross.membership.MembershipSnapshot;
 import mothcross.membership.Purge;
-import mothcross.membership.Told;
-import mothcross.operators.Remembering;
-import mothcross.route.Rules;
-import mothcross.standin.Box;
-import mothcross.standin.Discovery;
+import mothcross.membership.SnapshotFormat;
+import mothcross.operators.MembershipSettings;
+import mothcross.route.RouteRules;
+import mothcross.standin.FakeDiscovery;
+import mothcross.standin.FakeNode;
 import org.pcollections.HashTreePMap;
 
 /** A small fleet on loopback for tests: stand-in boxes and discovery, and directors that start on kept lists. */
 final class Fleet implements AutoCloseable {
-    final Discovery discovery = new Discovery();
-    final List<Box> caches = new ArrayList<>();
-    final Box parent = new Box(900, Box.PARENT), origin = new Box(901, Box.ORIGIN);
+    final FakeDiscovery discovery = new FakeDiscovery();
+    final List<FakeNode> caches = new ArrayList<>();
+    final FakeNode parent = new FakeNode(900, FakeNode.PARENT), origin = new FakeNode(901, FakeNode.ORIGIN);
     final Path dir = Files.createTempDirectory("mothcross");
     final Map<String, String> start = new TreeMap<>(Map.of("straight", "false"));
-    final List<Life> lives = new ArrayList<>();
-    private final List<Box> others = new ArrayList<>();
+    final List<DirectorServer> lives = new ArrayList<>();
+    private final List<FakeNode> others = new ArrayList<>();
     static final double MINUTE = 60_000, DAY = 86_400_000;
     /** Recent is ten minutes, old a day; what waits in tests waits briefly. */
-    static final Ages AGES = new Ages(10 * MINUTE, DAY, 30_000, 3, 200, 1000, 0.5, 30_000, 5000);
+    static final AgeLimits AGES = new AgeLimits(10 * MINUTE, DAY, 30_000, 3, 200, 1000, 0.5, 30_000, 5000);
 
     Fleet(int caches) throws Exception {
-        for (int i = 0; i < caches; i++) this.caches.add(new Box(i + 1, Box.CACHE));
+        for (int i = 0; i < caches; i++) this.caches.add(new FakeNode(i + 1, FakeNode.CACHE));
     }
 
-    Box[] all() {
-        List<Box> all = new ArrayList<>(caches);
+    FakeNode[] all() {
+        List<FakeNode> all = new ArrayList<>(caches);
         all.add(parent);
         all.add(origin);
-        return all.toArray(Box[]::new);
+        return all.toArray(FakeNode[]::new);
     }
 
     /** One more box that is closed with the fleet. */
-    Box also(Box b) {
+    FakeNode also(FakeNode b) {
         others.add(b);
         return b;
     }
 
     /** What {@code name} kept, as told so long ago; boxes in {@code old} longer. */
-    Path keeps(String name, double ageMs, double oldMs, List<Box> old, Box... boxes) throws Exception {
+    Path keeps(String name, double ageMs, double oldMs, List<FakeNode> old, FakeNode... boxes) throws Exception {
         double now = System.currentTimeMillis();
-        Map<String, Told> told = new HashMap<>();
-        for (Box b : boxes) {
+        Map<String, ListedNode> told = new HashMap<>();
+        for (FakeNode b : boxes) {
             double at = now - (old.contains(b) ? oldMs : ageMs);
-            told.put(b.id(), new Told(b.id(), "127.0.0.1", b.port(), "here", List.of("cache", "parent", "origin")
+            told.put(b.id(), new ListedNode(b.id(), "127.0.0.1", b.port(), "here", List.of("cache", "parent", "origin")
                 .get(b.kind()), 0, Director.IN_SERVICE, b.units(), 0, at, 0, false));
         }
-        return keeps(name, new Kept("fleet", name, now - ageMs, 10, now - ageMs, HashTreePMap.from(told),
+        return keeps(name, new MembershipSnapshot("fleet", name, now - ageMs, 10, now - ageMs, HashTreePMap.from(told),
             List.<Purge>of()));
     }
 
-    Path keeps(String name, Kept kept) throws Exception {
-        return Files.write(file(name), ListFile.bytes(kept));
+    Path keeps(String name, MembershipSnapshot kept) throws Exception {
+        return Files.write(file(name), SnapshotFormat.encode(kept));
     }
 
     Path file(String name) {
@@ -85,30 +85,30 @@
         return o.toString();
     }
 
-    Start told(String name) throws Exception {
-        return Start.of(JsonParser.parseString(toldText(name)).getAsJsonObject(), null, false, 0);
+    StartupConfig told(String name) throws Exception {
+        return StartupConfig.of(JsonParser.parseString(toldText(name)).getAsJsonObject(), null, false, 0);
     }
 
-    Remembering remembering(String name, Ages ages) {
-        return new Remembering(file(name), "fleet", ages, 100, 1000);
+    MembershipSettings remembering(String name, AgeLimits ages) {
+        return new MembershipSettings(file(name), "fleet", ages, 100, 1000);
     }
 
-    Life director(String name) throws Exception {
+    DirectorServer director(String name) throws Exception {
         return director(name, remembering(name, AGES));
     }
 
-    Life director(String name, Remembering r) throws Exception {
-        Life l = new Life(told(name), r);
+    DirectorServer director(String name, MembershipSettings r) throws Exception {
+        DirectorServer l = new DirectorServer(told(name), r);
         lives.add(l);
-        l.begin();
+        l.start();
         return l;
     }
 
     /** One that is told the list by discovery, with these rules. */
-    Life routed(String name, Rules rules) throws Exception {
-        Life l = new Life(told(name), remembering(name, AGES), rules);
+    DirectorServer routed(String name, RouteRules rules) throws Exception {
+        DirectorServer l = new DirectorServer(told(name), remembering(name, AGES), rules);
         lives.add(l);
-        l.begin();
+        l.start();
         long event = discovery.whole(all());
         discovery.open();
         until("told", () -> event(l) == event);
@@ -124,7 +124,7 @@
         }
     }
 
-    static long event(Life l) {
+    static long event(DirectorServer l) {
         l.desk().enter();
         try {
             return l.remembered().last();
@@ -133,19 +133,19 @@
         }
     }
 
-    static String standing(Life l, Box b) {
+    static String standing(DirectorServer l, FakeNode b) {
         l.desk().enter();
         try {
-            return String.valueOf(l.remembered().membership().standing(b.id()));
+            return String.valueOf(l.remembered().membership().stateOf(b.id()));
         } finally {
             l.desk().leave();
         }
     }
 
     @Override public void close() throws java.io.IOException {
-        for (Life l : lives) l.release();
+        for (DirectorServer l : lives) l.release();
         discovery.close();
-        for (Box b : all()) b.close();
-        for (Box b : others) b.close();
+        for (FakeNode b : all()) b.close();
+        for (FakeNode b : others) b.close();
     }
 }
--- a/src/test/java/mothcross/net/KilledTest.java
+++ b/src/test/java/mothcross/net/KilledTest.java
@@ -10,12 +10,12 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import mothcross.Director;
-import mothcross.membership.Kept;
-import mothcross.membership.ListFile;
-import mothcross.membership.Told;
-import mothcross.operators.Remembering;
-import mothcross.standin.Box;
-import mothcross.standin.Discovery;
+import mothcross.membership.ListedNode;
+import mothcross.membership.MembershipSnapshot;
+import mothcross.membership.SnapshotFormat;
+import mothcross.operators.MembershipSettings;
+import mothcross.standin.FakeDiscovery;
+import mothcross.standin.FakeNode;
 import org.testng.annotations.Test;
 
 /**
@@ -32,8 +32,8 @@
         private Victim() { }
 
         public static void main(String[] args) throws Exception {
-            Start start = Start.read(Path.of(args[0]), null, false);
-            new Life(start, new Remembering(Path.of(args[1]), "fleet", Fleet.AGES, STATED_MS, 1000)).begin();
+            StartupConfig start = StartupConfig.read(Path.of(args[0]), null, false);
+            new DirectorServer(start, new MembershipSettings(Path.of(args[1]), "fleet", Fleet.AGES, STATED_MS, 1000)).start();
             Thread.currentThread().join();
         }
     }
@@ -63,7 +63,7 @@
             List<Map<String, Integer>> after = new ArrayList<>(List.of(new TreeMap<>()));   // by event: the list
             f.discovery.whole(f.all());
             Map<String, Integer> list = new TreeMap<>();
-            for (Box b : f.all()) list.put(b.id(), Director.IN_SERVICE);
+            for (FakeNode b : f.all()) list.put(b.id(), Director.IN_SERVICE);
             after.add(new TreeMap<>(list));
             f.discovery.open();
             String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
@@ -75,11 +75,11 @@
                 for (String l; !(l = err.readLine()).contains(" serves on ");) assertTrue(l != null);
                 long until = System.nanoTime() + (long) ((STATED_MS + 100 + chance.nextInt(600)) * 1e6);
                 while (System.nanoTime() < until) {
-                    Box b = f.caches.get(chance.nextInt(5));
+                    FakeNode b = f.caches.get(chance.nextInt(5));
                     int standing = chance.nextInt(3);
-                    if (standing == Discovery.GONE && !list.containsKey(b.id())) continue;
+                    if (standing == FakeDiscovery.GONE && !list.containsKey(b.id())) continue;
                     f.discovery.changes(standing, b);
-                    if (standing == Discovery.GONE) list.remove(b.id());
+                    if (standing == FakeDiscovery.GONE) list.remove(b.id());
                     else list.put(b.id(), standing);
                     after.add(new TreeMap<>(list));
                     long next = System.nanoTime() + chance.nextInt(30) * 1_000_000L;
@@ -89,19 +89,19 @@
             } finally {
                 p.destroyForcibly().waitFor();
             }
-            ListFile.Result r = new ListOnDisk(f.file("d1"), "fleet", "d1").read(System.currentTimeMillis(), 5000);
-            assertTrue(r != null && r.kept() != null, "seed " + seed + ": " + r);
-            Kept k = r.kept();
+            SnapshotFormat.Result r = new SnapshotFileStore(f.file("d1"), "fleet", "d1").read(System.currentTimeMillis(), 5000);
+            assertTrue(r != null && r.snapshot() != null, "seed " + seed + ": " + r);
+            MembershipSnapshot k = r.snapshot();
             int due = 0;
             for (Map.Entry<Long, Long> e : f.discovery.writtenAt.entrySet()) {
                 if (killed - e.getValue() <= STATED_MS * 1e6) continue;
                 due++;
-                assertTrue(k.number() >= e.getKey(), "seed " + seed + ": event " + e.getKey() + ", told "
-                    + (killed - e.getValue()) / 1e6 + " ms before the kill, is not on disk; the last is " + k.number());
+                assertTrue(k.lastEvent() >= e.getKey(), "seed " + seed + ": event " + e.getKey() + ", told "
+                    + (killed - e.getValue()) / 1e6 + " ms before the kill, is not on disk; the last is " + k.lastEvent());
             }
             Map<String, Integer> onDisk = new TreeMap<>();
-            for (Told t : k.entries().values()) if (t.told() != Director.REMOVED) onDisk.put(t.id(), t.told());
-            assertEquals(onDisk, after.get((int) k.number()), "seed " + seed + ": the list after event " + k.number());
+            for (ListedNode t : k.entries().values()) if (t.status() != Director.REMOVED) onDisk.put(t.id(), t.status());
+            assertEquals(onDisk, after.get((int) k.lastEvent()), "seed " + seed + ": the list after event " + k.lastEvent());
             return due;
         }
     }
--- a/src/test/java/mothcross/net/MeasureMembership.java
+++ b/src/test/java/mothcross/net/MeasureMembership.java
@@ -7,14 +7,14 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import mothcross.Director;
-import mothcross.membership.Ages;
-import mothcross.membership.Kept;
-import mothcross.membership.ListFile;
+import mothcross.membership.AgeLimits;
+import mothcross.membership.ListedNode;
 import mothcross.membership.Membership;
-import mothcross.membership.Told;
-import mothcross.standin.Box;
-import mothcross.standin.Clients;
-import mothcross.standin.Discovery;
+import mothcross.membership.MembershipSnapshot;
+import mothcross.membership.SnapshotFormat;
+import mothcross.standin.FakeClients;
+import mothcross.standin.FakeDiscovery;
+import mothcross.standin.FakeNode;
 import org.pcollections.HashTreePMap;
 
 /**
@@ -23,7 +23,7 @@
  */
 public final class MeasureMembership {
     private static final double HOUR = 3_600_000;
-    private static final Ages BELIEVES_ALL = new Ages(3650 * Fleet.DAY, 3650 * Fleet.DAY, 30_000, 1_000_000, 200, 1000,
+    private static final AgeLimits BELIEVES_ALL = new AgeLimits(3650 * Fleet.DAY, 3650 * Fleet.DAY, 30_000, 1_000_000, 200, 1000,
         0.5, 30_000, 5000);
 
     private MeasureMembership() { }
@@ -65,32 +65,32 @@
         some.shutdown();
     }
 
-    private static double[] run(String mix, int withheld, Ages ages, boolean list) throws Exception {
+    private static double[] run(String mix, int withheld, AgeLimits ages, boolean list) throws Exception {
         try (Fleet f = new Fleet(8)) {
             f.start.put("directors", "2");
             boolean mixed = mix.startsWith("mixed");
-            List<Box> old = mixed ? f.caches.subList(0, 4) : List.of();
+            List<FakeNode> old = mixed ? f.caches.subList(0, 4) : List.of();
             double age = mix.startsWith("old") ? HOUR : 60_000;
             List<String> names = List.of("d1", "d2");
             if (list) for (String n : names) f.keeps(n, age, HOUR, old, f.all());
-            List<Box> there = new ArrayList<>(List.of(f.all()));
+            List<FakeNode> there = new ArrayList<>(List.of(f.all()));
             if (mixed) {
                 there.remove(f.caches.get(0).gone());
                 there.remove(f.caches.get(4).vanished());
             }
-            List<Box> cold = new ArrayList<>();
+            List<FakeNode> cold = new ArrayList<>();
             if (mix.endsWith("cold")) {
-                for (Box b : f.caches) {
+                for (FakeNode b : f.caches) {
                     double now = System.currentTimeMillis();
                     cold.add(f.also(b.replacedBy(b.number(), now, (long) now).lookupsOf(250)));
                     there.set(there.indexOf(b), cold.get(cold.size() - 1));
                 }
             }
             f.discovery.numbersFrom(11);
-            f.discovery.whole(there.toArray(Box[]::new));
+            f.discovery.whole(there.toArray(FakeNode[]::new));
             if (withheld == 0) f.discovery.open();
-            List<Clients> load = new ArrayList<>();
-            for (String n : names) load.add(new Clients(f.director(n, f.remembering(n, ages)).port(), 6, 10, 250,
+            List<FakeClients> load = new ArrayList<>();
+            for (String n : names) load.add(new FakeClients(f.director(n, f.remembering(n, ages)).port(), 6, 10, 250,
                 5000 * load.size()));
             long begun = System.nanoTime();
             boolean open = withheld == 0;
@@ -100,12 +100,12 @@
                 open = true;
             }
             double handled = 0, asked = 0;
-            for (Clients c : load) {
+            for (FakeClients c : load) {
                 handled += c.handled.get();
                 asked += c.handled.get() + c.refused.get() + c.failed.get();
                 c.close();
             }
-            return new double[] {handled / asked, cold.stream().filter(Box::fell).count()};
+            return new double[] {handled / asked, cold.stream().filter(FakeNode::fell).count()};
         }
     }
 
@@ -114,22 +114,22 @@
         try (Fleet f = new Fleet(4)) {
             f.discovery.whole(f.all());
             f.discovery.open();
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             double[] last = new double[n];
             int sentAfter = 0;
-            try (Clients load = new Clients(d.port(), 8, 0, 10, 0)) {
+            try (FakeClients load = new FakeClients(d.port(), 8, 0, 10, 0)) {
                 load.awaitHandled(2000);
                 for (int i = 0; i < n; i++) {
-                    Box b = f.caches.get(i % 4);
-                    long event = f.discovery.changes(Discovery.DRAINING, b);
+                    FakeNode b = f.caches.get(i % 4);
+                    long event = f.discovery.changes(FakeDiscovery.DRAINING, b);
                     long told = f.discovery.writtenAt.get(event);
                     Fleet.until("event", () -> Fleet.event(d) == event);
                     Thread.sleep(30);
-                    List<Box.Arrival> all = b.arrivals();
+                    List<FakeNode.Arrival> all = b.arrivals();
                     double late = all.isEmpty() ? 0 : (all.get(all.size() - 1).nano() - told) / 1e6;
                     last[i] = Math.max(0, late);
                     if (late > 0) sentAfter++;
-                    f.discovery.changes(Discovery.READY, b);
+                    f.discovery.changes(FakeDiscovery.READY, b);
                 }
                 Arrays.sort(last);
                 System.out.printf(Locale.ROOT, "%d drains under %d lookups: p50 %.2f ms, p99 %.2f ms, most %.2f ms; "
@@ -151,32 +151,32 @@
             Arrays.fill(best, 1e9);
             long bytes = 0;
             for (int round = 0; round < 15; round++) {
-                Map<String, Told> told = new HashMap<>();
+                Map<String, ListedNode> told = new HashMap<>();
                 for (int i = 0; i < n; i++) {
-                    told.put("s-" + i, new Told("s-" + i, "10.0." + i / 250 + "." + i % 250, 80, "here", "cache", 0,
+                    told.put("s-" + i, new ListedNode("s-" + i, "10.0." + i / 250 + "." + i % 250, 80, "here", "cache", 0,
                         Director.IN_SERVICE, 4, 0, 1000, 0, true));
                 }
-                Kept k = new Kept("fleet", "d1", 1000, 10, 1000, HashTreePMap.from(told), List.of());
+                MembershipSnapshot k = new MembershipSnapshot("fleet", "d1", 1000, 10, 1000, HashTreePMap.from(told), List.of());
                 double[] t = new double[7];
                 t[0] = System.nanoTime();
-                byte[] b = ListFile.bytes(k);
+                byte[] b = SnapshotFormat.encode(k);
                 t[1] = System.nanoTime();
-                ListOnDisk disk = new ListOnDisk(file, "fleet", "d1");
+                SnapshotFileStore disk = new SnapshotFileStore(file, "fleet", "d1");
                 disk.write(k);
                 t[2] = System.nanoTime();
-                Membership m = new Membership(Ages.USUAL, 1000, new SplittableRandom(1), (e, was, is, cold, why) ->
+                Membership m = new Membership(AgeLimits.DEFAULTS, 1000, new SplittableRandom(1), (e, was, is, cold, why) ->
                     { });
-                m.restore(disk.read(2000, 0).kept(), 2000);
+                m.restore(disk.read(2000, 0).snapshot(), 2000);
                 t[3] = System.nanoTime();
-                m.begins(11, true, 3000);
-                for (Told x : told.values()) {
-                    m.told(x.id(), x.host(), x.port(), x.place(), x.kind(), 0, Director.IN_SERVICE, 4, 0, 3000);
+                m.listStarted(11, true, 3000);
+                for (ListedNode x : told.values()) {
+                    m.nodeListed(x.id(), x.host(), x.port(), x.zone(), x.kind(), 0, Director.IN_SERVICE, 4, 0, 3000);
                 }
-                m.ends(3000);
+                m.listFinished(3000);
                 t[4] = System.nanoTime();
-                m.ticks(3500);
+                m.tick(3500);
                 t[5] = System.nanoTime();
-                m.kept("fleet", "d1", 3500);
+                m.snapshot("fleet", "d1", 3500);
                 t[6] = System.nanoTime();
                 for (int i = 0; i < 6; i++) best[i] = Math.min(best[i], (t[i + 1] - t[i]) / 1e6);
                 bytes = b.length;
--- a/src/test/java/mothcross/net/MeasureRoutes.java
+++ b/src/test/java/mothcross/net/MeasureRoutes.java
@@ -6,9 +6,9 @@
 import mothcross.expr.Inputs;
 import mothcross.expr.Program;
 import mothcross.expr.Type;
-import mothcross.route.Rules;
-import mothcross.standin.Box;
-import mothcross.standin.Clients;
+import mothcross.route.RouteRules;
+import mothcross.standin.FakeClients;
+import mothcross.standin.FakeNode;
 
 /**
  * The measurements of routes on loopback: {@code director} (lookups a second and the time to the first hop with no
@@ -34,16 +34,16 @@
         System.exit(0);
     }
 
-    private static Rules rules(List<Rules.Rule> all) {
-        return new Rules(5000, 1_000_000, Map.of("header:X-Office", new Rules.Reads(32, false, true)), Map.of(), all);
+    private static RouteRules rules(List<RouteRules.Rule> all) {
+        return new RouteRules(5000, 1_000_000, Map.of("header:X-Office", new RouteRules.InputDeclaration(32, false, true)), Map.of(), all);
     }
 
-    private static Rules table(int n) {
-        List<Rules.Rule> all = new ArrayList<>();
+    private static RouteRules table(int n) {
+        List<RouteRules.Rule> all = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             String match = i % 2 == 0 ? "(hex(object) ?? -1) in " + (1_000_000_000L + i) + ".." + (1_000_000_000L + i)
                 : "(header('X-Office') ?? '') == 'office-" + i + "'";
-            all.add(new Rules.Rule("r" + i, match, null, null, 1, -1, 403, null));
+            all.add(new RouteRules.Rule("r" + i, match, null, null, 1, -1, 403, null));
         }
         return rules(all);
     }
@@ -54,9 +54,9 @@
         for (int round = 0; round < 2; round++) {
             for (int n : new int[] {0, 10, 1000}) {
                 try (Fleet f = new Fleet(4)) {
-                    Life d = n == 0 ? f.routed("d1", (Rules) null) : f.routed("d1", table(n));
+                    DirectorServer d = n == 0 ? f.routed("d1", (RouteRules) null) : f.routed("d1", table(n));
                     double rate;
-                    try (Clients load = new Clients(d.port(), 16, 0, 1, 0)) {
+                    try (FakeClients load = new FakeClients(d.port(), 16, 0, 1, 0)) {
                         load.awaitHandled(20_000);
                         int before = load.handled.get();
                         long begun = System.nanoTime();
@@ -64,7 +64,7 @@
                         rate = (load.handled.get() - before) / ((System.nanoTime() - begun) / 1e9);
                     }
                     double[] hop = new double[2000];
-                    try (Clients.One c = new Clients.One(d.port())) {
+                    try (FakeClients.One c = new FakeClients.One(d.port())) {
                         for (int i = 0; i < hop.length; i++) {
                             int seen = total(f);
                             long t = System.nanoTime();
@@ -85,7 +85,7 @@
 
     private static int total(Fleet f) {
         int n = 0;
-        for (Box b : f.caches) n += b.count();
+        for (FakeNode b : f.caches) n += b.count();
         return n;
     }
 
@@ -96,13 +96,13 @@
             + "share | its own |");
         System.out.println("| --- | --- | --- | --- |");
         for (boolean limited : new boolean[] {false, true}) {
-            Rules.Held held = new Rules.Held("header('X-Office') ?? ''", 30, 30, 256);
-            Rules rules = rules(List.of(new Rules.Rule("office", "has(header('X-Office'))", null, null, 1, -1, 0,
+            RouteRules.RateLimit held = new RouteRules.RateLimit("header('X-Office') ?? ''", 30, 30, 256);
+            RouteRules rules = rules(List.of(new RouteRules.Rule("office", "has(header('X-Office'))", null, null, 1, -1, 0,
                 limited ? held : null)));
             try (Fleet f = new Fleet(2)) {
                 f.start.put("directors", "3");
-                for (Box b : f.caches) b.paced(110);
-                List<Life> three = List.of(f.routed("d1", rules), f.routed("d2", rules), f.routed("d3", rules));
+                for (FakeNode b : f.caches) b.paced(110);
+                List<DirectorServer> three = List.of(f.routed("d1", rules), f.routed("d2", rules), f.routed("d3", rules));
                 List<Office> others = new ArrayList<>();
                 for (int i = 0; i < 9; i++) others.add(new Office("office-" + i, three, 20));
                 Thread.sleep(2000);
@@ -132,7 +132,7 @@
         volatile int asked, handled;
         volatile boolean over;
 
-        Office(String name, List<Life> at, int perS) {
+        Office(String name, List<DirectorServer> at, int perS) {
             int threads = Math.max(3, perS / 5);
             for (int i = 0; i < threads; i++) {
                 int me = i;
@@ -143,7 +143,7 @@
         }
 
         private void run(String name, int port, double everyNs, int me) {
-            try (Clients.One c = new Clients.One(port)) {
+            try (FakeClients.One c = new FakeClients.One(port)) {
                 c.header = "X-Office: " + name + "\r\n";
                 double due = System.nanoTime() + everyNs * new SplittableRandom(me).nextDouble();
                 for (int i = 0; !over; i++, due += everyNs) {
@@ -174,8 +174,8 @@
             + "| ns a foreseen step |");
         System.out.println("| --- | --- | --- | --- | --- | --- |");
         for (String text : functions) {
-            Inputs in = new Inputs().add("target", Type.bytes(256), 0, Inputs.Past.CUT, true)
-                .add("client", Type.ADDRESS, 1, Inputs.Past.CUT, true);
+            Inputs in = new Inputs().add("target", Type.bytes(256), 0, Inputs.Overflow.TRUNCATE, true)
+                .add("client", Type.ADDRESS, 1, Inputs.Overflow.TRUNCATE, true);
             Program p = new Program(in);
             Program.Expression e = p.compile(text, 1_000_000);
             Frame f = new Frame(p);
@@ -190,7 +190,7 @@
                 byte[] b = now;
                 f.begin((number, into, slot) -> into.put(slot, number == 0 ? b : client, 0, number == 0 ? b.length
                     : 16), 0);
-                e.truth(f);
+                e.evaluateBoolean(f);
                 if (f.steps() >= most) {
                     most = f.steps();
                     best = now;
@@ -206,7 +206,7 @@
                 for (int k = 0; k < 2000; k++) {
                     f.begin((number, into, slot) -> into.put(slot, number == 0 ? hard : client, 0, number == 0
                         ? hard.length : 16), 0);
-                    e.truth(f);
+                    e.evaluateBoolean(f);
                 }
                 double ns = (System.nanoTime() - t) / 2000.0;
                 slowest = i < 10 ? 0 : Math.max(slowest, ns);
