--- a/src/test/java/mothcross/net/RememberedTest.java
+++ b/src/test/java/mothcross/net/RememberedTest.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import mothcross.Director;
-import mothcross.membership.Ages;
-import mothcross.membership.Kept;
-import mothcross.membership.ListFile;
-import mothcross.operators.Remembering;
-import mothcross.standin.Box;
-import mothcross.standin.Clients;
-import mothcross.standin.Discovery;
+import mothcross.membership.AgeLimits;
+import mothcross.membership.MembershipSnapshot;
+import mothcross.membership.SnapshotFormat;
+import mothcross.operators.MembershipSettings;
+import mothcross.standin.FakeClients;
+import mothcross.standin.FakeDiscovery;
+import mothcross.standin.FakeNode;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -38,10 +38,10 @@
         String after) throws Exception {
         try (Fleet f = new Fleet(1)) {
             f.keeps("d1", age, 0, List.of(), f.all());
-            Life d = f.director("d1");
-            Box b = f.caches.get(0);
+            DirectorServer d = f.director("d1");
+            FakeNode b = f.caches.get(0);
             assertEquals(Fleet.standing(d, b), before);
-            try (Clients.One c = new Clients.One(d.port())) {
+            try (FakeClients.One c = new FakeClients.One(d.port())) {
                 assertEquals(c.status(1, 10, 3), handles ? 200 : 503);
                 assertEquals(b.count(), handles ? 1 : 0);
                 Fleet.until(after, () -> Fleet.standing(d, b).equals(after));
@@ -57,32 +57,32 @@
     /** No list at all: every lookup is turned away at once until discovery tells; then the list is kept. */
     @Test public void startsWithNothing() throws Exception {
         try (Fleet f = new Fleet(1)) {
-            Life d = f.director("d1");
-            try (Clients.One c = new Clients.One(d.port())) {
+            DirectorServer d = f.director("d1");
+            try (FakeClients.One c = new FakeClients.One(d.port())) {
                 assertEquals(c.status(1, 10, 3), 503);
                 f.discovery.whole(f.all());
                 f.discovery.open();
                 Fleet.until("event 1", () -> Fleet.event(d) == 1);
                 assertEquals(c.status(2, 10, 3), 200);
-                Fleet.until("kept", () -> kept(f, "d1") != null && kept(f, "d1").number() == 1);
+                Fleet.until("kept", () -> kept(f, "d1") != null && kept(f, "d1").lastEvent() == 1);
                 assertEquals(kept(f, "d1").entries().size(), 3);
             }
         }
     }
 
-    private static Kept kept(Fleet f, String name) {
-        ListFile.Result r = new ListOnDisk(f.file(name), "fleet", name).read(System.currentTimeMillis(), 5000);
-        return r == null ? null : r.kept();
+    private static MembershipSnapshot kept(Fleet f, String name) {
+        SnapshotFormat.Result r = new SnapshotFileStore(f.file(name), "fleet", name).read(System.currentTimeMillis(), 5000);
+        return r == null ? null : r.snapshot();
     }
 
     /** Comes and goes every few hundred ms, mostly with nothing new: no event is lost, nothing is believed twice. */
     @Test public void discoveryFlaps() throws Exception {
         try (Fleet f = new Fleet(2)) {
             f.keeps("d1", 60_000, 0, List.of(), f.all());
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             f.discovery.numbersFrom(11);
             f.discovery.whole(f.all());
-            try (Clients load = new Clients(d.port(), 2, 5, 10, 100)) {
+            try (FakeClients load = new FakeClients(d.port(), 2, 5, 10, 100)) {
                 for (int i = 0; i < 8; i++) {
                     int drains = i % 2;
                     f.discovery.open();
@@ -102,13 +102,13 @@
         try (Fleet f = new Fleet(3)) {
             f.start.put("connect", "8");
             f.keeps("d1", 60_000, 0, List.of(), f.all());
-            Box mute = f.caches.get(0), away = f.caches.get(1), well = f.caches.get(2);
+            FakeNode mute = f.caches.get(0), away = f.caches.get(1), well = f.caches.get(2);
             mute.mute(true);
             away.vanished();
-            Life d = f.director("d1");
-            List<Clients.One> open = new ArrayList<>();
+            DirectorServer d = f.director("d1");
+            List<FakeClients.One> open = new ArrayList<>();
             for (int i = 0; i < 24; i++) {
-                open.add(new Clients.One(d.port()));
+                open.add(new FakeClients.One(d.port()));
                 open.get(i).write(i, 10, 17);
             }
             Fleet.until("hops out and waiting", () -> mute.count() > 0 && well.count() > 0
@@ -116,7 +116,7 @@
             f.discovery.numbersFrom(11);
             f.discovery.whole(f.all());
             long at = System.currentTimeMillis();
-            f.discovery.changes(Discovery.DRAINING, mute, away);
+            f.discovery.changes(FakeDiscovery.DRAINING, mute, away);
             long event = f.discovery.purge(17, at);
             f.discovery.open();
             Fleet.until("event " + event, () -> Fleet.event(d) == event);
@@ -124,14 +124,14 @@
             // What waited for a connection that never came up was taken back and went elsewhere.
             Fleet.until("taken back", () -> counted(d, c -> c.ends[Director.NOT_SENT]) >= 1);
             mute.mute(false);
-            try (Clients.One c = new Clients.One(d.port())) {
+            try (FakeClients.One c = new FakeClients.One(d.port())) {
                 for (int i = 0; i < 40; i++) assertEquals(c.status(100 + i, 10, 17), 200);
             }
-            for (Box.Arrival a : mute.arrivals()) assertTrue(a.nano() < told, "sent after the drain: " + a.line());
-            List<Box.Arrival> after = well.arrivals().stream().filter(a -> a.nano() > told).toList();
+            for (FakeNode.Arrival a : mute.arrivals()) assertTrue(a.nano() < told, "sent after the drain: " + a.line());
+            List<FakeNode.Arrival> after = well.arrivals().stream().filter(a -> a.nano() > told).toList();
             assertTrue(after.size() >= 40);
-            for (Box.Arrival a : after) assertTrue(a.line().contains(",fresh="), "a purge bounds ages: " + a.line());
-            for (Clients.One c : open) c.close();
+            for (FakeNode.Arrival a : after) assertTrue(a.line().contains(",fresh="), "a purge bounds ages: " + a.line());
+            for (FakeClients.One c : open) c.close();
         }
     }
 
@@ -139,7 +139,7 @@
         long of(Counters c);
     }
 
-    private static int counted(Life d, Counted what) {
+    private static int counted(DirectorServer d, Counted what) {
         d.desk().enter();
         try {
             return (int) what.of(d.desk().count);
@@ -152,10 +152,10 @@
     @Test public void aListedBoxIsGoneAnotherReplaced() throws Exception {
         try (Fleet f = new Fleet(3)) {
             f.keeps("d1", HOUR, 0, List.of(), f.all());
-            Box gone = f.caches.get(0).gone(), was = f.caches.get(1);
-            Box other = f.also(was.replacedBy(77, System.currentTimeMillis(), System.currentTimeMillis()));
-            Life d = f.director("d1");
-            try (Clients load = new Clients(d.port(), 3, 1, 10, 0)) {
+            FakeNode gone = f.caches.get(0).gone(), was = f.caches.get(1);
+            FakeNode other = f.also(was.replacedBy(77, System.currentTimeMillis(), System.currentTimeMillis()));
+            DirectorServer d = f.director("d1");
+            try (FakeClients load = new FakeClients(d.port(), 3, 1, 10, 0)) {
                 Fleet.until("refused", () -> Fleet.standing(d, gone).equals("REFUSED"));
                 Fleet.until("answers", () -> Fleet.standing(d, was).equals("PROVEN"));
                 Fleet.until("tried again", () -> Fleet.standing(d, gone).equals("OLD"));
@@ -179,26 +179,26 @@
      * That the stand-in does fall is shown by directors that believe every entry.
      */
     @Test public void threeDirectorsSpareAColdBox() throws Exception {
-        assertTrue(pushed(new Ages(3650 * Fleet.DAY, 3650 * Fleet.DAY, 30_000, 1000, 200, 1000, 0.5, 30_000, 5000)) > 1,
+        assertTrue(pushed(new AgeLimits(3650 * Fleet.DAY, 3650 * Fleet.DAY, 30_000, 1000, 200, 1000, 0.5, 30_000, 5000)) > 1,
             "believing all pushes it over");
         double most = pushed(Fleet.AGES);
         assertTrue(most > 0 && most <= 1, "of what it bears: " + most);
     }
 
-    private static double pushed(Ages ages) throws Exception {
+    private static double pushed(AgeLimits ages) throws Exception {
         try (Fleet f = new Fleet(2)) {
             f.start.put("directors", "3");
             for (String name : List.of("d1", "d2", "d3")) f.keeps(name, HOUR, 0, List.of(), f.all());
-            Box cold = f.also(f.caches.get(0).replacedBy(1, System.currentTimeMillis(), 0));
-            List<Clients> load = new ArrayList<>();
+            FakeNode cold = f.also(f.caches.get(0).replacedBy(1, System.currentTimeMillis(), 0));
+            List<FakeClients> load = new ArrayList<>();
             for (String name : List.of("d1", "d2", "d3")) {
-                load.add(new Clients(f.director(name, f.remembering(name, ages)).port(), 4, 2, 1000,
+                load.add(new FakeClients(f.director(name, f.remembering(name, ages)).port(), 4, 2, 1000,
                     1000 * load.size()));
             }
-            for (Clients c : load) c.awaitHandled(20);
+            for (FakeClients c : load) c.awaitHandled(20);
             long until = System.nanoTime() + 3_000_000_000L;        // two spans of the rule
             while (System.nanoTime() < until && !cold.fell()) Thread.onSpinWait();
-            for (Clients c : load) c.close();
+            for (FakeClients c : load) c.close();
             return cold.most();
         }
     }
@@ -208,12 +208,12 @@
         try (Fleet f = new Fleet(1)) {
             f.discovery.whole(f.all());
             f.discovery.open();
-            Life first = f.director("d1");
+            DirectorServer first = f.director("d1");
             Fleet.until("kept", () -> kept(f, "d1") != null);
-            Life second = f.director("d1");
+            DirectorServer second = f.director("d1");
             Fleet.until("told", () -> Fleet.event(second) == 1 && Fleet.event(first) == 1);
-            long event = f.discovery.changes(Discovery.DRAINING, f.caches.get(0));
-            Fleet.until("both", () -> Fleet.event(second) == event && kept(f, "d1").number() == event);
+            long event = f.discovery.changes(FakeDiscovery.DRAINING, f.caches.get(0));
+            Fleet.until("both", () -> Fleet.event(second) == event && kept(f, "d1").lastEvent() == event);
             assertEquals(second.remembered().writesDone, 0);
             assertTrue(first.remembered().writesDone > 0);
         }
@@ -231,20 +231,20 @@
             for (int i = 0; i < cases.length; i++) {
                 String name = "d" + (10 + i);
                 Files.write(f.file(name), (byte[]) cases[i][1]);
-                Life d = f.director(name);
+                DirectorServer d = f.director(name);
                 assertTrue(d.remembered().line().contains(", refused " + cases[i][0] + " 1"), d.remembered().line());
                 Fleet.until("told", () -> Fleet.event(d) == 1);
                 Fleet.until("written anew", () -> kept(f, name) != null);
             }
             Files.createDirectory(f.file("d2"));
-            Life folder = f.director("d2");
+            DirectorServer folder = f.director("d2");
             assertTrue(folder.remembered().line().contains(", refused unreadable 1"), folder.remembered().line());
-            Life nowhere = f.director("d3", new Remembering(f.dir.resolve("none").resolve("list"), "fleet",
+            DirectorServer nowhere = f.director("d3", new MembershipSettings(f.dir.resolve("none").resolve("list"), "fleet",
                 Fleet.AGES, 100, 1000));
-            for (Life d : List.of(folder, nowhere)) {
+            for (DirectorServer d : List.of(folder, nowhere)) {
                 Fleet.until("told", () -> Fleet.event(d) == 1);
                 Fleet.until("says so", () -> d.remembered().writesFailed > 0);
-                try (Clients.One c = new Clients.One(d.port())) {
+                try (FakeClients.One c = new FakeClients.One(d.port())) {
                     assertEquals(c.status(1, 10, 3), 200);
                 }
             }
@@ -257,9 +257,9 @@
             f.discovery.whole(f.all());
             f.discovery.open();
             AtomicInteger tries = new AtomicInteger();
-            ListOnDisk disk = new ListOnDisk(f.file("d1"), "fleet", "d1");
-            ListKeeper full = new ListKeeper() {
-                @Override public ListFile.Result read(double now, double skew) {
+            SnapshotFileStore disk = new SnapshotFileStore(f.file("d1"), "fleet", "d1");
+            SnapshotStore full = new SnapshotStore() {
+                @Override public SnapshotFormat.Result read(double now, double skew) {
                     return disk.read(now, skew);
                 }
 
@@ -267,7 +267,7 @@
                     return disk.mayWrite();
                 }
 
-                @Override public void write(Kept list) throws IOException {
+                @Override public void write(MembershipSnapshot list) throws IOException {
                     if (tries.incrementAndGet() <= 2) throw new IOException("No space left on device");
                     disk.write(list);
                 }
@@ -276,9 +276,9 @@
                     disk.close();
                 }
             };
-            Life d = new Life(f.told("d1"), f.remembering("d1", Fleet.AGES), full);
+            DirectorServer d = new DirectorServer(f.told("d1"), f.remembering("d1", Fleet.AGES), full);
             f.lives.add(d);
-            d.begin();
+            d.start();
             Fleet.until("written at last", () -> kept(f, "d1") != null && d.remembered().writesDone > 0);
             assertEquals(d.remembered().writesFailed, 2);
             assertEquals(tries.get(), 2 + (int) d.remembered().writesDone);
@@ -290,24 +290,24 @@
         try (Fleet f = new Fleet(2)) {
             f.discovery.whole(f.all());
             f.discovery.open();
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             Fleet.until("told", () -> Fleet.event(d) == 1);
             long now = System.currentTimeMillis();
-            f.discovery.changes(Discovery.DRAINING, f.caches.get(0));
+            f.discovery.changes(FakeDiscovery.DRAINING, f.caches.get(0));
             long event = f.discovery.purge(17, now);
             long told = System.nanoTime();
-            Fleet.until("on disk", () -> kept(f, "d1") != null && kept(f, "d1").number() == event);
+            Fleet.until("on disk", () -> kept(f, "d1") != null && kept(f, "d1").lastEvent() == event);
             double took = (System.nanoTime() - told) / 1e6;
             f.discovery.withhold();
             f.lives.remove(d);
             d.release();
-            Life again = f.director("d1");
+            DirectorServer again = f.director("d1");
             assertEquals(Fleet.standing(again, f.caches.get(0)), "DRAINING");
-            try (Clients.One c = new Clients.One(again.port())) {
+            try (FakeClients.One c = new FakeClients.One(again.port())) {
                 for (int i = 0; i < 20; i++) assertEquals(c.status(i, 10, 17), 200);
             }
             assertEquals(f.caches.get(0).count(), 0);
-            for (Box.Arrival a : f.caches.get(1).arrivals()) assertTrue(a.line().contains(",fresh="), a.line());
+            for (FakeNode.Arrival a : f.caches.get(1).arrivals()) assertTrue(a.line().contains(",fresh="), a.line());
             assertTrue(took < 1000, "on disk after " + took);
         }
     }
@@ -316,29 +316,29 @@
     @Test public void anUnsureBoxGetsOneHopAtATime() throws Exception {
         try (Fleet f = new Fleet(1)) {
             f.keeps("d1", HOUR, 0, List.of(), f.all());
-            Box b = f.caches.get(0);
+            FakeNode b = f.caches.get(0);
             b.mute(true);
-            Life d = f.director("d1");
-            List<Clients.One> open = new ArrayList<>();
+            DirectorServer d = f.director("d1");
+            List<FakeClients.One> open = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                open.add(new Clients.One(d.port()));
+                open.add(new FakeClients.One(d.port()));
                 open.get(i).write(i, 10, 3);
             }
             for (int i = 1; i < 10; i++) assertEquals(open.get(i).status(), 503, "turned away at once");
             Fleet.until("the one", () -> b.count() > 0);
             assertEquals(b.count(), 1);
-            for (Clients.One c : open) c.close();
+            for (FakeClients.One c : open) c.close();
         }
     }
 
     /** With recent ones there, an old one is not asked at all. */
     @Test public void oldOnesStandBehindRecentOnes() throws Exception {
         try (Fleet f = new Fleet(2)) {
-            Box old = f.caches.get(0);
+            FakeNode old = f.caches.get(0);
             f.keeps("d1", 60_000, HOUR, List.of(old), f.all());
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             assertEquals(Fleet.standing(d, old), "OLD");
-            try (Clients.One c = new Clients.One(d.port())) {
+            try (FakeClients.One c = new FakeClients.One(d.port())) {
                 for (int i = 0; i < 40; i++) assertEquals(c.status(i, 10, 3), 200);
             }
             assertEquals(old.count(), 0);
@@ -366,7 +366,7 @@
                 ServeTest.hangUp(p, err, "reload: the file is read anew");
                 f.discovery.silent(true);
                 ServeTest.awaitLine(err, ".*list: TOLD to OLD.*");
-                Fleet.until("kept", () -> kept(f, "d1") != null && kept(f, "d1").number() == 1);
+                Fleet.until("kept", () -> kept(f, "d1") != null && kept(f, "d1").lastEvent() == 1);
                 p.destroy();
                 assertEquals(p.waitFor(), 0);
             } finally {
@@ -394,24 +394,24 @@
         try (Fleet f = new Fleet(3)) {
             f.discovery.whole(f.all());
             f.discovery.open();
-            Life d = f.director("d1");
-            f.discovery.changes(Discovery.DRAINING, f.caches.get(0));
-            f.discovery.changes(Discovery.READY, f.caches.get(2));
+            DirectorServer d = f.director("d1");
+            f.discovery.changes(FakeDiscovery.DRAINING, f.caches.get(0));
+            f.discovery.changes(FakeDiscovery.READY, f.caches.get(2));
             Fleet.until("event 3", () -> Fleet.event(d) == 3);
             f.discovery.fallBackTo(1);
             f.discovery.cut();
             Fleet.until("is behind", () -> behind(d));
-            f.discovery.changes(Discovery.READY, f.caches.get(0));          // event 2, which was another one here
-            f.discovery.changes(Discovery.DRAINING, f.caches.get(1));       // event 3
+            f.discovery.changes(FakeDiscovery.READY, f.caches.get(0));          // event 2, which was another one here
+            f.discovery.changes(FakeDiscovery.DRAINING, f.caches.get(1));       // event 3
             Fleet.until("drained", () -> Fleet.standing(d, f.caches.get(1)).equals("DRAINING"));
             assertEquals(Fleet.standing(d, f.caches.get(0)), "DRAINING");
-            long event = f.discovery.changes(Discovery.READY, f.caches.get(0));
+            long event = f.discovery.changes(FakeDiscovery.READY, f.caches.get(0));
             Fleet.until("event 4", () -> Fleet.event(d) == event);
             assertEquals(Fleet.standing(d, f.caches.get(0)), "TOLD");
         }
     }
 
-    private static boolean behind(Life d) {
+    private static boolean behind(DirectorServer d) {
         d.desk().enter();
         try {
             return d.remembered().membership().behind();
@@ -425,12 +425,12 @@
         try (Fleet f = new Fleet(2)) {
             f.discovery.whole(f.all());
             f.discovery.open();
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             Fleet.until("event 1", () -> Fleet.event(d) == 1);
             f.discovery.whole();
             Fleet.until("event 2", () -> Fleet.event(d) == 2);
             assertTrue(d.remembered().line().contains(", empty 1"), d.remembered().line());
-            try (Clients.One c = new Clients.One(d.port())) {
+            try (FakeClients.One c = new FakeClients.One(d.port())) {
                 for (int i = 0; i < 10; i++) assertEquals(c.status(i, 10, 3), 200);
             }
         }
--- a/src/test/java/mothcross/net/RoutesTest.java
+++ b/src/test/java/mothcross/net/RoutesTest.java
@@ -5,21 +5,21 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.*;
-import mothcross.route.Rules;
-import mothcross.standin.Box;
-import mothcross.standin.Clients;
+import mothcross.route.RouteRules;
+import mothcross.standin.FakeClients;
+import mothcross.standin.FakeNode;
 import org.testng.annotations.Test;
 
 /** Routes in a real director on sockets: what clients get, where lookups go, and tables exchanged under load. */
 @Test(timeOut = 60_000)
 public class RoutesTest {
-    private static Rules rules(Rules.Rule... all) {
-        return new Rules(2000, 100_000, Map.of("header:X-Office", new Rules.Reads(16, true, true)), Map.of(),
+    private static RouteRules rules(RouteRules.Rule... all) {
+        return new RouteRules(2000, 100_000, Map.of("header:X-Office", new RouteRules.InputDeclaration(16, true, true)), Map.of(),
             List.of(all));
     }
 
-    private static Rules.Rule rule(String name, String match, String key, int hops, int status, Rules.Held limit) {
-        return new Rules.Rule(name, match, null, key, 1, hops, status, limit);
+    private static RouteRules.Rule rule(String name, String match, String key, int hops, int status, RouteRules.RateLimit limit) {
+        return new RouteRules.Rule(name, match, null, key, 1, hops, status, limit);
     }
 
     /** The answer's head to a request with these header lines. */
@@ -35,18 +35,18 @@
 
     public void clientsGetWhatTheRulesSay() throws Exception {
         try (Fleet f = new Fleet(3)) {
-            Life d = f.routed("d1", rules(rule("shut", "starts(object, 'ff')", null, -1, 403, null),
+            DirectorServer d = f.routed("d1", rules(rule("shut", "starts(object, 'ff')", null, -1, 403, null),
                 rule("one", "starts(object, 'aa')", "first(object, 2)", -1, 0, null),
                 rule("held", "(header('X-Office') ?? '') != ''", null, -1, 0,
-                    new Rules.Held("header('X-Office') ?? ''", 0.5, 2, 64))));
+                    new RouteRules.RateLimit("header('X-Office') ?? ''", 0.5, 2, 64))));
             assertTrue(ask(d.port(), "/api/v2/books/ff01", "").startsWith("HTTP/1.1 403 "));
             for (int i = 0; i < 12; i++) assertTrue(ask(d.port(), "/api/v2/books/aa" + i,
                 "").startsWith("HTTP/1.1 200 "));
             Set<String> asked = new HashSet<>();
-            for (Box b : f.caches) for (Box.Arrival a : b.arrivals()) asked.add(b.id() + " "
+            for (FakeNode b : f.caches) for (FakeNode.Arrival a : b.arrivals()) asked.add(b.id() + " "
                 + a.line().replaceAll(".*via=|,tier.*", ""));
             assertEquals(asked.size(), 1, "twelve objects of one key, one cache and one parent: " + asked);
-            for (Box b : f.caches) for (Box.Arrival a : b.arrivals()) assertTrue(a.line().contains("asset=aa"),
+            for (FakeNode b : f.caches) for (FakeNode.Arrival a : b.arrivals()) assertTrue(a.line().contains("asset=aa"),
                 "sent unchanged");
             for (int i = 0; i < 2; i++) assertTrue(ask(d.port(), "/api/v2/books/01",
                 "X-Office: muc\r\n").startsWith("HTTP/1.1 200 "));
@@ -65,9 +65,9 @@
     /** No further hop where a rule takes them all: the failure of the first is the end. */
     public void furtherHopsAreNarrowed() throws Exception {
         try (Fleet f = new Fleet(2)) {
-            Life d = f.routed("d1", rules(rule("none", "true", "'x'", 0, 0, null)));
+            DirectorServer d = f.routed("d1", rules(rule("none", "true", "'x'", 0, 0, null)));
             assertTrue(ask(d.port(), "/api/v2/books/01", "").startsWith("HTTP/1.1 200 "));
-            Box first = f.caches.get(0).count() > 0 ? f.caches.get(0) : f.caches.get(1);
+            FakeNode first = f.caches.get(0).count() > 0 ? f.caches.get(0) : f.caches.get(1);
             first.gone();
             String answer = ask(d.port(), "/api/v2/books/01", "");
             assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
@@ -82,23 +82,23 @@
      */
     public void tablesAreExchangedUnderLoad() throws Exception {
         try (Fleet f = new Fleet(2)) {
-            Rules a = rules(rule("even", "starts(object, '0000')", null, -1, 403, null), rule("odd", "true", "'k'", 1,
+            RouteRules a = rules(rule("even", "starts(object, '0000')", null, -1, 403, null), rule("odd", "true", "'k'", 1,
                 0, null));
-            Rules b = rules(rule("even", "starts(object, '0000')", null, -1, 0, null), rule("odd", "true", null, -1,
+            RouteRules b = rules(rule("even", "starts(object, '0000')", null, -1, 0, null), rule("odd", "true", null, -1,
                 404, null));
-            Rules bad = rules(rule("even", "starts(object, 7)", null, -1, 0, null), rule("odd",
+            RouteRules bad = rules(rule("even", "starts(object, 7)", null, -1, 0, null), rule("odd",
                 "contains(target, 'x')", null, -1, 0, null));
-            Life d = f.routed("d1", a);
-            Start told = f.told("d1");
-            try (Clients load = new Clients(d.port(), 6, 0, 10, 0)) {
+            DirectorServer d = f.routed("d1", a);
+            StartupConfig told = f.told("d1");
+            try (FakeClients load = new FakeClients(d.port(), 6, 0, 10, 0)) {
                 load.awaitHandled(0);
                 Fleet.until("asked", () -> load.asked.get() > 100);
                 for (int i = 0; i < 100; i++) {
-                    Rules next = i % 3 == 2 ? bad : i % 3 == 1 ? b : a;
+                    RouteRules next = i % 3 == 2 ? bad : i % 3 == 1 ? b : a;
                     String fault = "";
                     try {
                         d.reload(told, f.remembering("d1", Fleet.AGES), next);
-                    } catch (Start.Unusable e) {
+                    } catch (StartupConfig.InvalidConfigException e) {
                         fault = e.getMessage();
                     }
                     assertEquals(fault.contains("rules[0].match") && fault.contains("rules[1].match"), next == bad,
