--- a/src/main/java/mothcross/policy/Change.java
+++ b/src/main/java/mothcross/policy/Change.java
@@ -24,7 +24,7 @@
      */
     public enum Stage { BINDING, SETTLING, TRIAL }
 
-    Change at(Stage s, long revision, Plan to) {
+    Change withStage(Stage s, long revision, Plan to) {
         return new Change(id, digest, size, by, note, mode, deadlineMs, canary, s, revision, to);
     }
 
--- a/src/main/java/mothcross/policy/ChangeCoordinator.java
+++ b/src/main/java/mothcross/policy/ChangeCoordinator.java
@@ -64,7 +64,7 @@
     private static Set<String> excluded(PolicyRegister b) {
         Set<String> all = new HashSet<>();
         b.registrations().forEach((n, s) -> {
-            if (s.excluded()) all.add(Transition.Commit.who(n, s.incarnation()));
+            if (s.excluded()) all.add(Transition.Commit.directorKey(n, s.incarnation()));
         });
         return all;
     }
@@ -84,14 +84,14 @@
     }
 
     /** What it has heard of all of them, for another that drives. */
-    public Map<String, PolicyMessage.ProgressReport> words(long plan) {
+    public Map<String, PolicyMessage.ProgressReport> reports(long plan) {
         Map<String, PolicyMessage.ProgressReport> all = new TreeMap<>();
         words.forEach((n, w) -> all.put(n, new PolicyMessage.ProgressReport(w.life(), since, plan, w.far(), w.why())));
         return all;
     }
 
     /** Who has to be asked again: on the roll, and not yet where this stage wants it. */
-    public List<String> waitsFor(PolicyRegister b) {
+    public List<String> awaitedDirectors(PolicyRegister b) {
         List<String> all = new ArrayList<>();
         if (b.change() == null || b.change().stage() == Stage.TRIAL) return all;
         PolicyMessage.Progress wanted = b.change().stage() == Stage.BINDING ? PolicyMessage.Progress.READY
@@ -104,7 +104,7 @@
         return all;
     }
 
-    public PolicyMessage.Progress far(String name) {
+    public PolicyMessage.Progress progress(String name) {
         Word w = words.get(name);
         return w == null ? null : w.far();
     }
@@ -112,7 +112,7 @@
     /** For operators: who holds it up, and how. */
     public Map<String, String> blockers(PolicyRegister b, double now) {
         Map<String, String> all = new LinkedHashMap<>();
-        for (String n : waitsFor(b)) {
+        for (String n : awaitedDirectors(b)) {
             Word w = words.get(n);
             all.put(n, w == null ? "has not answered for " + Math.round(now - began) + " ms"
                 : w.far() + (w.why().isEmpty() ? "" : ": " + w.why()));
@@ -157,7 +157,7 @@
         b.registrations().forEach((n, s) -> {
             Word w = words.get(n);
             if (w == null || w.life() != s.incarnation()) return;
-            if (w.far() == PolicyMessage.Progress.READY) ready.add(Transition.Commit.who(n, s.incarnation()));
+            if (w.far() == PolicyMessage.Progress.READY) ready.add(Transition.Commit.directorKey(n, s.incarnation()));
             if (w.far() == PolicyMessage.Progress.NO && no.length() < 500) {
                 no.append(no.isEmpty() ? "" : "; ").append(n).append(": ").append(w.why());
             }
@@ -180,7 +180,7 @@
 
     /** Whoever has not said that it decides by the new plan decides by none, once its last lease is over. */
     private Transition settling(PolicyRegister b, double now) {
-        boolean all = waitsFor(b).isEmpty() && over(b, now).containsAll(excluded(b));
+        boolean all = awaitedDirectors(b).isEmpty() && over(b, now).containsAll(excluded(b));
         return all || now - began >= leaseOver(b) ? new Transition.Settle(b.plan().number()) : null;
     }
 
--- a/src/main/java/mothcross/policy/Plan.java
+++ b/src/main/java/mothcross/policy/Plan.java
@@ -24,7 +24,7 @@
     }
 
     /** The text that decides a lookup of this object at this director; the same at all for a share. */
-    public String decides(String director, long objectHash) {
+    public String textFor(String director, long objectHash) {
         return isOnTrial(director, objectHash) ? trial : main;
     }
 
--- a/src/main/java/mothcross/policy/PolicyMessage.java
+++ b/src/main/java/mothcross/policy/PolicyMessage.java
@@ -26,7 +26,8 @@
     // ---- the register ----
 
     /** A writer asks to be heard first; {@code founders}: whom its own file names, where nothing is decided yet. */
-    record Prepare(@SerializedName("turn") ProposalNumber number, Set<String> founders) implements PolicyMessage { }
+    record Prepare(@SerializedName("turn") ProposalNumber number, @SerializedName("founders") Set<String> initialVoters)
+        implements PolicyMessage { }
 
     record Promised(@SerializedName("turn") ProposalNumber number, @SerializedName("mark") String storeId,
                     @SerializedName("at") ProposalNumber acceptedNumber, PolicyRegister accepted)
@@ -54,7 +55,7 @@
     record Decided(@SerializedName("book") PolicyRegister register) implements PolicyMessage { }
 
     /** Asks for what is decided after this revision; the whole book, or the part that concerns the asker. */
-    record Learn(long revision, boolean whole) implements PolicyMessage { }
+    record Learn(long revision, @SerializedName("whole") boolean complete) implements PolicyMessage { }
 
     /** From one that knows of later voters and can't tell what they decided: whom to ask. No word on who votes. */
     record VotersRedirect(@SerializedName("voters") long voterSetNumber, Set<String> names) implements PolicyMessage { }
--- a/src/main/java/mothcross/policy/PolicyParticipant.java
+++ b/src/main/java/mothcross/policy/PolicyParticipant.java
@@ -56,9 +56,9 @@
     private final Supplier<Collection<String>> contacts;
     private final SplittableRandom chance;
     private final Voter voter;
-    private final PolicyReplica holder;
+    private final PolicyReplica replica;
     private final Proposer writer;
-    private final ChangeCoordinator driver = new ChangeCoordinator();
+    private final ChangeCoordinator coordinator = new ChangeCoordinator();
     private final PolicyTexts texts = new PolicyTexts();
     private final List<Send> out = new ArrayList<>();
     private final List<Action> works = new ArrayList<>();
@@ -85,7 +85,7 @@
     private final Map<String, Transition> asked = new LinkedHashMap<>();
     private final Map<String, String> outcomes = new LinkedHashMap<>();
     private final Map<String, String> observedStoreIds = new TreeMap<>();
-    public final long[] count = new long[Counter.values().length];
+    public final long[] counts = new long[Counter.values().length];
 
     /**
      * {@code kept} is what was on disk: of the voter, null where this is none or its disk is new; the last book, null
@@ -102,27 +102,27 @@
         this.contacts = contacts;
         this.chance = chance;
         voter = new Voter(name, this.founders, kept != null ? kept : Voter.State.blank(mark));
-        holder = new PolicyReplica(name, life, book != null ? book
-            : PolicyRegister.first(VoterSet.named(founders), leaseMs));
+        replica = new PolicyReplica(name, life, book != null ? book
+            : PolicyRegister.initial(VoterSet.initial(founders), leaseMs));
         writer = new Proposer(name, life, this.founders);
-        whole = holder.register().complete() ? holder.register() : null;
+        whole = replica.register().complete() ? replica.register() : null;
         held.forEach((d, b) -> {
-            texts.kept(d, b);
-            holder.setTextAvailable(d, true);
+            texts.add(d, b);
+            replica.setTextAvailable(d, true);
         });
-        driver.learn(holder.register(), Double.NEGATIVE_INFINITY);
+        coordinator.learn(replica.register(), Double.NEGATIVE_INFINITY);
     }
 
-    public PolicyReplica holder() {
-        return holder;
+    public PolicyReplica replica() {
+        return replica;
     }
 
     public Voter voter() {
         return voter;
     }
 
-    public ChangeCoordinator driver() {
-        return driver;
+    public ChangeCoordinator coordinator() {
+        return coordinator;
     }
 
     public PolicyTexts texts() {
@@ -130,7 +130,7 @@
     }
 
     public PolicyRegister register() {
-        return holder.register();
+        return replica.register();
     }
 
     /** By name the mark that each voter last answered under. */
@@ -147,7 +147,7 @@
     }
 
     private void count(Counter c) {
-        count[c.ordinal()]++;
+        counts[c.ordinal()]++;
     }
 
     private void tell(String what, Object... with) {
@@ -184,19 +184,19 @@
         PolicyRegister b = register();
         // Whoever is not seated asks what is decided, then for its seat; whoever is asks now and then.
         if (now >= learnAt) {
-            boolean urgent = !holder.isRegistered() || holder.stopReason(now) != PolicyReplica.StopReason.NO;
+            boolean urgent = !replica.isRegistered() || replica.stopReason(now) != PolicyReplica.StopReason.NO;
             boolean needsWhole = drives && !isWholeNow();
             learnAt = now + (urgent || needsWhole ? LEARN : IDLE_LEARN * (0.8 + 0.4 * chance.nextDouble()));
             // The voters that it knows may all be gone: now and then anybody is asked who is one now.
             String v = urgent && chance.nextInt(4) == 0 ? anybody() : someVoter();
             if (v != null) say(v, new PolicyMessage.Learn(b.revision(), needsWhole || isVoter()));
         }
-        if (!holder.isRegistered() && !leaving && now >= enrolAt) {
+        if (!replica.isRegistered() && !leaving && now >= enrolAt) {
             enrolAt = now + ENROL * (0.7 + 0.6 * chance.nextDouble());
             PolicyRegister.Registration former = b.registrations().get(name);
             boolean here = former != null && former.host().equals(host) && former.port() == port;
-            if (here && former.incarnation() > holder.incarnation()) holder.relives(former.incarnation());
-            PolicyMessage.JoinRequest e = new PolicyMessage.JoinRequest(holder.incarnation(), host, port);
+            if (here && former.incarnation() > replica.incarnation()) replica.restartAbove(former.incarnation());
+            PolicyMessage.JoinRequest e = new PolicyMessage.JoinRequest(replica.incarnation(), host, port);
             String v = someVoter();
             if (v == null) onMessage(now, name, e);
             else say(v, e);
@@ -204,9 +204,9 @@
         if (leaving && now >= leaveAt) {
             leaveAt = now + AGAIN;
             String v = someVoter();
-            if (v != null) say(v, new PolicyMessage.LeaveRequest(holder.incarnation()));
+            if (v != null) say(v, new PolicyMessage.LeaveRequest(replica.incarnation()));
         }
-        PolicyMessage.LeaseRequest m = holder.nextLeaseRequest(now);
+        PolicyMessage.LeaseRequest m = replica.nextLeaseRequest(now);
         if (m != null) {
             count(Counter.LEASES);
             for (String v : b.voters().names()) tell(v, m, now);
@@ -262,10 +262,10 @@
         if (now < fetchAt) return;
         fetchAt = now + FETCH_AGAIN;
         for (String d : wanted()) {
-            texts.wants(d);
-            if (!texts.isWanted(d)) continue;
+            texts.request(d);
+            if (!texts.isRequested(d)) continue;
             String from = source(d);
-            if (from != null) say(from, new PolicyMessage.TextRequest(d, texts.from(d)));
+            if (from != null) say(from, new PolicyMessage.TextRequest(d, texts.receivedBytes(d)));
         }
     }
 
@@ -287,14 +287,14 @@
     /** The edge's word on a text: {@code why} null, and it is on disk; "" where its bytes do not have the digest. */
     public void textValidated(double now, String digest, byte[] bytes, String why) {
         if (why == null) {
-            texts.kept(digest, bytes);
-            holder.setTextAvailable(digest, true);
+            texts.add(digest, bytes);
+            replica.setTextAvailable(digest, true);
             tell("policy: text kept", "digest", digest, "bytes", bytes.length);
             takes();
         } else if (why.isEmpty()) {
-            texts.spoilt(digest);
+            texts.restartFetch(digest);
         } else {
-            texts.atFault(digest, why);
+            texts.reject(digest, why);
             tell("policy: text refused", "digest", digest, "why", why);
         }
         stand(now, true);
@@ -302,7 +302,7 @@
 
     /** A text that an operator brings; it is checked here first. */
     public void submitText(String digest, byte[] bytes) {
-        texts.checks(digest);
+        texts.beginValidation(digest);
         works.add(new ValidateText(digest, bytes));
     }
 
@@ -310,10 +310,10 @@
         PolicyRegister b = register();
         Set<String> wanted = wanted();
         // Without a change under way, the one before stays, to be taken back to at once.
-        if (b.change() == null && texts.all().size() <= 2) return;
+        if (b.change() == null && texts.digests().size() <= 2) return;
         if (b.change() == null && !b.recentChanges().isEmpty()) wanted.add(previousText(b));
-        for (String gone : texts.keepOnly(wanted)) {
-            holder.setTextAvailable(gone, false);
+        for (String gone : texts.retainOnly(wanted)) {
+            replica.setTextAvailable(gone, false);
             works.add(new DeleteText(gone));
         }
     }
@@ -334,11 +334,11 @@
 
     private void heard(PolicyRegister b, double now) {
         if (b.complete() && (whole == null || b.revision() > whole.revision())) whole = b;
-        boolean wasSeated = holder.isRegistered();
+        boolean wasSeated = replica.isRegistered();
         PolicyRegister before = register();
-        if (!holder.learn(b)) return;
+        if (!replica.learn(b)) return;
         count(Counter.DECIDED_HEARD);
-        driver.learn(register(), now);
+        coordinator.learn(register(), now);
         boolean planned = before.plan().number() != b.plan().number();
         Change c = b.change(), o = before.change();
         boolean staged = (c == null) != (o == null) || c != null && o != null && c.stageRevision() != o.stageRevision();
@@ -351,9 +351,9 @@
                 : c.id(), "stage", c == null ? "" : c.stage(), "outcome", b.recentChanges().isEmpty() ? ""
                 : b.recentChanges().get(b.recentChanges().size() - 1).outcome());
         }
-        if (wasSeated && !holder.isRegistered() && !leaving) tell("policy: has no seat any more", "revision",
+        if (wasSeated && !replica.isRegistered() && !leaving) tell("policy: has no seat any more", "revision",
             b.revision());
-        if (leaving && !holder.isRegistered()) left = true;
+        if (leaving && !replica.isRegistered()) left = true;
         if (staged || planned || b.voters().number() != before.voters().number()) works.add(new PersistRegister(b));
         enrols.entrySet().removeIf(e -> b.complete() && b.isRegistered(e.getKey(), e.getValue().incarnation()));
         leaves.entrySet().removeIf(e -> b.complete() && b.registration(e.getKey(), e.getValue()) == null);
@@ -365,8 +365,8 @@
     }
 
     private void takes() {
-        if (holder.plan() < 0 || holder.plan() == taken) return;
-        taken = holder.plan();
+        if (replica.plan() < 0 || replica.plan() == taken) return;
+        taken = replica.plan();
         works.add(new ActivatePlan(register().plan()));
         tell("policy: taken up", "plan", taken, "revision", register().revision());
     }
@@ -376,7 +376,7 @@
     /** Says how far it is where that is news, or was said long ago; to the voters and to whom began the change. */
     private void stand(double now, boolean atOnce) {
         Change c = register().change();
-        if (c == null || c.stage() == Stage.TRIAL || !holder.isRegistered()) {
+        if (c == null || c.stage() == Stage.TRIAL || !replica.isRegistered()) {
             saidLast = null;
             return;
         }
@@ -394,19 +394,19 @@
         PolicyMessage.Progress far = PolicyMessage.Progress.BEHIND;
         String why = "";
         if (c.stage() == Stage.SETTLING) {
-            if (holder.plan() == register().plan().number()) far = PolicyMessage.Progress.TAKEN;
-        } else if (holder.bind(c.stageRevision(), now)) {
+            if (replica.plan() == register().plan().number()) far = PolicyMessage.Progress.TAKEN;
+        } else if (replica.bind(c.stageRevision(), now)) {
             far = PolicyMessage.Progress.READY;
         } else {
             far = PolicyMessage.Progress.FETCHING;
             for (String d : List.of(c.target().main(), c.target().trial())) {
-                if (texts.isChecking(d)) far = PolicyMessage.Progress.CHECKING;
-                if (texts.fault(d) == null) continue;
+                if (texts.isValidating(d)) far = PolicyMessage.Progress.CHECKING;
+                if (texts.rejectionReason(d) == null) continue;
                 far = PolicyMessage.Progress.NO;
-                why = texts.fault(d);
+                why = texts.rejectionReason(d);
             }
         }
-        return new PolicyMessage.ProgressReport(holder.incarnation(), c.stageRevision(), register().plan().number(),
+        return new PolicyMessage.ProgressReport(replica.incarnation(), c.stageRevision(), register().plan().number(),
             far, why);
     }
 
@@ -433,7 +433,7 @@
         count(Counter.POLLS);
         PolicyMessage.ProgressRequest how = new PolicyMessage.ProgressRequest(register().revision(), c.stageRevision(),
             register().plan().number());
-        Set<String> to = new TreeSet<>(driver.waitsFor(whole));
+        Set<String> to = new TreeSet<>(coordinator.awaitedDirectors(whole));
         to.addAll(register().voters().names());
         to.remove(name);
         for (String n : to) say(n, how);
@@ -457,7 +457,7 @@
         Transition m = nextMove(now);
         if (m == null && !doubts(now)) return;
         count(m == null ? Counter.DOUBTS_ENDED : Counter.WRITES_BEGUN);
-        writer.begin(whole != null && isWholeNow() ? whole : register(), m);
+        writer.start(whole != null && isWholeNow() ? whole : register(), m);
         saysOfWriter(now);
     }
 
@@ -490,22 +490,22 @@
             Map.Entry<String, Long> e = leaves.entrySet().iterator().next();
             return new Transition.RemoveDirector(e.getKey(), e.getValue(), "it said so");
         }
-        return drives && isWholeNow() ? driver.nextTransition(whole, now) : null;
+        return drives && isWholeNow() ? coordinator.nextTransition(whole, now) : null;
     }
 
     private void afterWrite(double now) {
         Proposer.State s = writer.state();
         if (s == Proposer.State.DONE) {
             PolicyRegister b = writer.decided();
-            boolean own = writer.isOwn();
-            Transition m = writer.move();
+            boolean own = writer.isOwnTransition();
+            Transition m = writer.transition();
             if (own) count(Counter.WRITES_DONE);
             // Most voters know nothing later: what this one has accepted was never decided, and is left at that.
             if (m == null && (b == null || b.revision() <= register().revision())) {
                 undecided = voter.state().acceptedNumber();
             }
             if (own) settleAsked(m, "done, revision " + b.revision());
-            writer.stop();
+            writer.reset();
             if (b != null) {
                 announce(b, own ? m : null);
                 heard(b, now);
@@ -513,13 +513,13 @@
             write(now);
         } else if (s == Proposer.State.LOST) {
             count(Counter.WRITES_LOST);
-            Transition m = writer.move();
-            if (writer.refused() != null) {
-                settleAsked(m, "refused: " + writer.refused());
-                if (m instanceof Transition.RegisterDirectors e) enrols.keySet().removeAll(e.who().keySet());
+            Transition m = writer.transition();
+            if (writer.rejectionReason() != null) {
+                settleAsked(m, "refused: " + writer.rejectionReason());
+                if (m instanceof Transition.RegisterDirectors e) enrols.keySet().removeAll(e.registrations().keySet());
                 if (m instanceof Transition.RemoveDirector k) leaves.remove(k.name());
             }
-            writer.stop();
+            writer.reset();
             writerAgainAt = now + LOST_MIN + LOST_RANDOM * chance.nextDouble();
         }
     }
@@ -541,7 +541,7 @@
         boolean ofFew = m instanceof Transition.RegisterDirectors || m instanceof Transition.RemoveDirector
             || m == null;
         if (!ofFew) to.addAll(b.registrations().keySet());
-        if (m instanceof Transition.RegisterDirectors e) to.addAll(e.who().keySet());
+        if (m instanceof Transition.RegisterDirectors e) to.addAll(e.registrations().keySet());
         if (m instanceof Transition.RemoveDirector s) to.add(s.name());
         to.removeAll(b.voters().names());
         to.remove(name);
@@ -569,7 +569,7 @@
     /** It decides nothing any more, and says so until it is off the roll; {@link #hasLeft} then. */
     public void leave(double now) {
         leaving = true;
-        if (!holder.isRegistered()) left = true;
+        if (!replica.isRegistered()) left = true;
         tick(now);
     }
 
@@ -578,7 +578,7 @@
     }
 
     public void onConnectionRefused(String atHost, int atPort) {
-        if (whole != null) driver.onConnectionRefused(whole, atHost, atPort);
+        if (whole != null) coordinator.onConnectionRefused(whole, atHost, atPort);
     }
 
     // ---- messages ----
@@ -625,17 +625,17 @@
         } else if (s instanceof PolicyMessage.LeaseReply y) {
             observedStoreIds.put(from, y.storeId());
             if (!y.granted()) count(Counter.LEASE_REFUSALS);
-            if (holder.onLeaseReply(from, y)) say(from, new PolicyMessage.Learn(register().revision(), isVoter()));
+            if (replica.onLeaseReply(from, y)) say(from, new PolicyMessage.Learn(register().revision(), isVoter()));
         } else if (s instanceof PolicyMessage.ProgressRequest h) {
             howFar(now, from, h);
         } else if (s instanceof PolicyMessage.ProgressReport st) {
-            driver.onProgress(register(), from, st);
+            coordinator.onProgress(register(), from, st);
         } else if (s instanceof PolicyMessage.ProgressReports w) {
             if (register().change() != null && w.stageRevision() == register().change().stageRevision()) {
-                w.reports().forEach((n, st) -> driver.onProgress(register(), n, st));
+                w.reports().forEach((n, st) -> coordinator.onProgress(register(), n, st));
             }
         } else if (s instanceof PolicyMessage.TextRequest f) {
-            say(from, texts.piece(f));
+            say(from, texts.chunk(f));
         } else if (s instanceof PolicyMessage.TextChunk c) {
             piece(from, c);
         } else if (s instanceof PolicyMessage.TextNotFound) {
@@ -668,14 +668,14 @@
     /** The disk has refused: what would have rested on it is not said, to anybody. */
     public void voterStateNotSynced() {
         rest.remove(0);
-        voter.unsynced();
+        voter.syncFailed();
     }
 
     private void teach(String from, PolicyMessage.Learn l) {
         PolicyRegister b = isWholeNow() ? whole : null;
-        if (b != null && (b.revision() > l.revision() || l.whole() && b.revision() == l.revision())
+        if (b != null && (b.revision() > l.revision() || l.complete() && b.revision() == l.revision())
             && b.revision() > 0) {
-            say(from, new PolicyMessage.Decided(l.whole() ? b : b.brief(from)));
+            say(from, new PolicyMessage.Decided(l.complete() ? b : b.brief(from)));
         } else if (b == null && register().revision() > l.revision()) {
             say(from, new PolicyMessage.VotersRedirect(register().voters().number(), register().voters().names()));
         }
@@ -693,14 +693,14 @@
         Change c = register().change();
         if (c == null || c.stageRevision() != h.stageRevision()) return;
         if (isVoter()) say(from, new PolicyMessage.ProgressReports(c.stageRevision(),
-            driver.words(register().plan().number())));
-        if (holder.isRegistered() && c.stage() != Stage.TRIAL) say(from, standing(now));
+            coordinator.reports(register().plan().number())));
+        if (replica.isRegistered() && c.stage() != Stage.TRIAL) say(from, standing(now));
     }
 
     private void piece(String from, PolicyMessage.TextChunk c) {
-        byte[] all = texts.takes(c);
+        byte[] all = texts.addChunk(c);
         if (all != null) works.add(new ValidateText(c.digest(), all));
-        else if (texts.isWanted(c.digest())) say(from, new PolicyMessage.TextRequest(c.digest(),
-            texts.from(c.digest())));
+        else if (texts.isRequested(c.digest())) say(from, new PolicyMessage.TextRequest(c.digest(),
+            texts.receivedBytes(c.digest())));
     }
 }
--- a/src/main/java/mothcross/policy/PolicyRegister.java
+++ b/src/main/java/mothcross/policy/PolicyRegister.java
@@ -29,7 +29,7 @@
 
     public enum Outcome { COMMITTED, ABORTED, WITHDRAWN }
 
-    static final int LATELY = 16;
+    static final int MAX_RECENT_CHANGES = 16;
 
     public PolicyRegister {
         registrations = Collections.unmodifiableMap(new TreeMap<>(registrations));
@@ -37,7 +37,7 @@
     }
 
     /** Before anything was decided. */
-    public static PolicyRegister first(VoterSet v, double leaseMs) {
+    public static PolicyRegister initial(VoterSet v, double leaseMs) {
         return new PolicyRegister(0, leaseMs, v, Map.of(), Plan.FIRST, null, List.of(), true);
     }
 
@@ -71,14 +71,14 @@
         return new PolicyRegister(revision, leaseMs, voters, registrations, p, c, recentChanges, complete);
     }
 
-    PolicyRegister ended(Outcome o, String why) {
+    PolicyRegister withChangeEnded(Outcome o, String why) {
         List<CompletedChange> all = new ArrayList<>(recentChanges);
-        if (all.size() == LATELY) all.remove(0);
+        if (all.size() == MAX_RECENT_CHANGES) all.remove(0);
         all.add(new CompletedChange(change.id(), change.digest(), change.by(), o, why, plan.number(), revision));
         return new PolicyRegister(revision, leaseMs, voters, registrations, plan, null, all, complete);
     }
 
-    PolicyRegister next() {
+    PolicyRegister nextRevision() {
         return new PolicyRegister(revision + 1, leaseMs, voters, registrations, plan, change, recentChanges, complete);
     }
 
--- a/src/main/java/mothcross/policy/PolicyReplica.java
+++ b/src/main/java/mothcross/policy/PolicyReplica.java
@@ -69,7 +69,7 @@
     }
 
     /** Its clock went back and its disk is new: its seat is a former life's, which this one has outlived. */
-    void relives(long above) {
+    void restartAbove(long above) {
         if (!isRegistered()) incarnation = above + 1;
     }
 
@@ -77,7 +77,7 @@
     public void setTextAvailable(String digest, boolean here) {
         if (here) texts.add(digest);
         else if (!digest.isEmpty()) texts.remove(digest);
-        take();
+        activatePlan();
     }
 
     public boolean isRegistered() {
@@ -97,12 +97,12 @@
         Change c = b.change();
         if (boundStage >= 0 && (c == null || c.stageRevision() != boundStage)) boundStage = -1;
         if (no.size() > 0 || !yes.isEmpty()) forgetAnswers();
-        take();
+        activatePlan();
         return true;
     }
 
     /** The decided plan is taken up as soon as its texts are here, and no older one is decided by from then on. */
-    private void take() {
+    private void activatePlan() {
         Plan p = register.plan();
         if (p.number() == plan || register.revision() == 0) return;
         plan = texts.contains(p.main()) && texts.contains(p.trial()) ? p.number() : -1;
@@ -147,7 +147,7 @@
         if (y.number() == question && !Double.isNaN(askedAt)) {
             if (y.granted()) yes.put(from, y.storeId());
             else no.add(from);
-            if (y.granted() && register.voters().number() > 0 && register.voters().enough(yes)) {
+            if (y.granted() && register.voters().number() > 0 && register.voters().isQuorum(yes)) {
                 leaseExpiresAt = Math.max(leaseExpiresAt, askedAt + register.leaseMs());
             }
         }
--- a/src/main/java/mothcross/policy/PolicyTexts.java
+++ b/src/main/java/mothcross/policy/PolicyTexts.java
@@ -13,7 +13,7 @@
  * in force and one beside it, and while one is tried or taken back those two.
  */
 public final class PolicyTexts {
-    static final int PIECE = 32_768, LONGEST = 1 << 20;
+    static final int CHUNK_BYTES = 32_768, MAX_TEXT_BYTES = 1 << 20;
 
     private static final class Coming {
         int size = -1;
@@ -26,13 +26,13 @@
     private final Set<String> checking = new LinkedHashSet<>();
     private final Map<String, String> faults = new HashMap<>();
 
-    public void kept(String digest, byte[] bytes) {
+    public void add(String digest, byte[] bytes) {
         here.put(digest, bytes);
         coming.remove(digest);
         checking.remove(digest);
     }
 
-    public boolean has(String digest) {
+    public boolean contains(String digest) {
         return digest.isEmpty() || here.containsKey(digest);
     }
 
@@ -40,55 +40,55 @@
         return here.get(digest);
     }
 
-    public Set<String> all() {
+    public Set<String> digests() {
         return here.keySet();
     }
 
-    public boolean isChecking(String digest) {
+    public boolean isValidating(String digest) {
         return checking.contains(digest);
     }
 
-    public String fault(String digest) {
+    public String rejectionReason(String digest) {
         return faults.get(digest);
     }
 
-    void atFault(String digest, String why) {
+    void reject(String digest, String why) {
         checking.remove(digest);
         faults.put(digest, why);
     }
 
     /** From where on it is wanted. */
-    int from(String digest) {
+    int receivedBytes(String digest) {
         Coming c = coming.get(digest);
         return c == null ? 0 : c.got.size();
     }
 
-    void wants(String digest) {
-        if (!has(digest) && !checking.contains(digest)) coming.computeIfAbsent(digest, k -> new Coming());
+    void request(String digest) {
+        if (!contains(digest) && !checking.contains(digest)) coming.computeIfAbsent(digest, k -> new Coming());
     }
 
-    boolean isWanted(String digest) {
+    boolean isRequested(String digest) {
         return coming.containsKey(digest);
     }
 
     /** It is all here, and about to be checked. */
-    void checks(String digest) {
+    void beginValidation(String digest) {
         coming.remove(digest);
         if (!here.containsKey(digest)) checking.add(digest);
     }
 
-    PolicyMessage piece(PolicyMessage.TextRequest f) {
+    PolicyMessage chunk(PolicyMessage.TextRequest f) {
         byte[] all = here.get(f.digest());
         if (all == null || f.from() < 0 || f.from() > all.length) return new PolicyMessage.TextNotFound(f.digest());
-        int n = Math.min(PIECE, all.length - f.from());
+        int n = Math.min(CHUNK_BYTES, all.length - f.from());
         return new PolicyMessage.TextChunk(f.digest(), f.from(), all.length, java.util.Arrays.copyOfRange(all, f.from(),
             f.from() + n));
     }
 
     /** All of it, once the last piece is in; null before. What is not the next piece is dropped. */
-    byte[] takes(PolicyMessage.TextChunk c) {
+    byte[] addChunk(PolicyMessage.TextChunk c) {
         Coming x = coming.get(c.digest());
-        if (x == null || c.from() != x.got.size() || c.size() < 0 || c.size() > LONGEST) return null;
+        if (x == null || c.from() != x.got.size() || c.size() < 0 || c.size() > MAX_TEXT_BYTES) return null;
         if (x.size >= 0 && x.size != c.size() || c.from() + c.bytes().length > c.size()) return null;
         x.size = c.size();
         x.got.writeBytes(c.bytes());
@@ -99,13 +99,13 @@
     }
 
     /** What came does not have its digest: from the start again. */
-    void spoilt(String digest) {
+    void restartFetch(String digest) {
         checking.remove(digest);
         coming.put(digest, new Coming());
     }
 
     /** Lets go of all but these; gives back what was on disk. */
-    Set<String> keepOnly(Set<String> wanted) {
+    Set<String> retainOnly(Set<String> wanted) {
         Set<String> gone = new LinkedHashSet<>(here.keySet());
         gone.removeAll(wanted);
         here.keySet().retainAll(wanted);
--- a/src/main/java/mothcross/policy/Proposer.java
+++ b/src/main/java/mothcross/policy/Proposer.java
@@ -25,11 +25,11 @@
     private final Set<String> founders;
     private long round;
     private State state = State.IDLE;
-    private ProposalNumber turn = ProposalNumber.NONE;
+    private ProposalNumber number = ProposalNumber.NONE;
     private PolicyRegister known, offered;
-    private Transition move;
+    private Transition transition;
     private boolean own;
-    private String refused;
+    private String rejectionReason;
     // The sets of voters that have to be heard: the known ones, and those of a later book that was found.
     private final List<VoterSet> asked = new ArrayList<>();
     private final Map<String, PolicyMessage.Promised> promises = new TreeMap<>();
@@ -45,12 +45,12 @@
         this(w.name, w.life, w.founders);
         round = w.round;
         state = w.state;
-        turn = w.turn;
+        number = w.number;
         known = w.known;
         offered = w.offered;
-        move = w.move;
+        transition = w.transition;
         own = w.own;
-        refused = w.refused;
+        rejectionReason = w.rejectionReason;
         asked.addAll(w.asked);
         promises.putAll(w.promises);
         accepted.putAll(w.accepted);
@@ -60,32 +60,32 @@
         return state;
     }
 
-    public ProposalNumber turn() {
-        return turn;
+    public ProposalNumber number() {
+        return number;
     }
 
     /** What is being tried; null where only what others left is finished. */
-    public Transition move() {
-        return move;
+    public Transition transition() {
+        return transition;
     }
 
     /** Why the move does not fit the book that was found. */
-    public String refused() {
-        return refused;
+    public String rejectionReason() {
+        return rejectionReason;
     }
 
-    public boolean isOwn() {
+    public boolean isOwnTransition() {
         return own;
     }
 
     /** Those that have to answer next and have not. */
-    public List<String> waitsFor() {
+    public List<String> awaitedVoters() {
         Map<String, Boolean> all = new TreeMap<>();
         for (VoterSet v : sets()) {
             for (String n : v.names()) {
                 String mark = state == State.PREPARING ? promises.containsKey(n) ? promises.get(n).storeId() : null
                     : accepted.get(n);
-                if (mark == null || !v.has(n, mark)) all.put(n, true);
+                if (mark == null || !v.contains(n, mark)) all.put(n, true);
             }
         }
         return List.copyOf(all.keySet());
@@ -101,39 +101,39 @@
     public Map<String, PolicyMessage> pendingRequests() {
         Map<String, PolicyMessage> all = new LinkedHashMap<>();
         if (state != State.PREPARING && state != State.ACCEPTING) return all;
-        PolicyMessage s = state == State.PREPARING ? new PolicyMessage.Prepare(turn,
+        PolicyMessage s = state == State.PREPARING ? new PolicyMessage.Prepare(number,
             known.revision() == 0 ? founders : Set.of())
-            : new PolicyMessage.Accept(turn, offered);
-        for (String n : waitsFor()) all.put(n, s);
+            : new PolicyMessage.Accept(number, offered);
+        for (String n : awaitedVoters()) all.put(n, s);
         return all;
     }
 
-    /** {@code move} null: only to find out, and finish what another began. */
-    public void begin(PolicyRegister knownNow, Transition toTry) {
+    /** {@code transition} null: only to find out, and finish what another began. */
+    public void start(PolicyRegister knownNow, Transition toTry) {
         known = knownNow;
-        move = toTry;
-        turn = new ProposalNumber(++round, name, life);
+        transition = toTry;
+        number = new ProposalNumber(++round, name, life);
         state = State.PREPARING;
         offered = null;
         own = false;
-        refused = null;
+        rejectionReason = null;
         asked.clear();
         asked.add(known.voters());
         promises.clear();
         accepted.clear();
     }
 
-    public void stop() {
+    public void reset() {
         state = State.IDLE;
     }
 
     public void on(PolicyMessage.Rejected l) {
         round = Math.max(round, l.promised().round());
-        if (l.number().equals(turn) && (state == State.PREPARING || state == State.ACCEPTING)) state = State.LOST;
+        if (l.number().equals(number) && (state == State.PREPARING || state == State.ACCEPTING)) state = State.LOST;
     }
 
     public void on(String from, PolicyMessage.Promised p) {
-        if (state != State.PREPARING || !p.number().equals(turn)) return;
+        if (state != State.PREPARING || !p.number().equals(number)) return;
         promises.put(from, p);
         while (enoughPromises()) {
             PolicyRegister latest = latest();
@@ -148,7 +148,7 @@
     private boolean enoughPromises() {
         Map<String, String> marks = new HashMap<>();
         promises.forEach((n, p) -> marks.put(n, p.storeId()));
-        for (VoterSet v : asked) if (!v.enough(marks)) return false;
+        for (VoterSet v : asked) if (!v.isQuorum(marks)) return false;
         return true;
     }
 
@@ -160,7 +160,7 @@
             PolicyMessage.Promised p = e.getValue();
             if (p.accepted() == null || p.acceptedNumber().compareTo(at) <= 0) continue;
             boolean counts = false;
-            for (VoterSet v : asked) counts |= v.has(e.getKey(), p.storeId());
+            for (VoterSet v : asked) counts |= v.contains(e.getKey(), p.storeId());
             if (!counts) continue;
             at = p.acceptedNumber();
             b = p.accepted();
@@ -171,22 +171,23 @@
     private void offer(PolicyRegister latest) {
         long found = latest == null ? 0 : latest.revision();
         if (found < known.revision()) {
-            refused = "the voters have forgotten revision " + known.revision() + ": most of their disks are gone";
+            rejectionReason = "the voters have forgotten revision " + known.revision()
+                + ": most of their disks are gone";
             state = State.LOST;
             return;
         }
         // The very first book: that the voters which the files name have these marks.
-        boolean founds = latest == null && move != null;
-        if (found == known.revision() && move != null) {
+        boolean founds = latest == null && transition != null;
+        if (found == known.revision() && transition != null) {
             try {
-                offered = (founds ? new Transition.Bootstrap(marks()) : move).applyTo(founds ? known : latest);
+                offered = (founds ? new Transition.Bootstrap(storeIds()) : transition).applyTo(founds ? known : latest);
                 own = !founds;
             } catch (Transition.RejectedException e) {
-                refused = e.getMessage();
+                rejectionReason = e.getMessage();
             }
         }
-        if (offered == null && (latest == null || refused != null)) {
-            state = refused != null ? State.LOST : State.DONE;
+        if (offered == null && (latest == null || rejectionReason != null)) {
+            state = rejectionReason != null ? State.LOST : State.DONE;
             return;
         }
         if (offered == null) offered = latest;
@@ -194,9 +195,9 @@
     }
 
     public void on(String from, PolicyMessage.Accepted a) {
-        if (state != State.ACCEPTING || !a.number().equals(turn)) return;
+        if (state != State.ACCEPTING || !a.number().equals(number)) return;
         accepted.put(from, a.storeId());
-        for (VoterSet v : sets()) if (!v.enough(accepted)) return;
+        for (VoterSet v : sets()) if (!v.isQuorum(accepted)) return;
         state = State.DONE;
     }
 
@@ -206,7 +207,7 @@
     }
 
     /** By name the marks that voters answered with, also where they do not count. */
-    public Map<String, String> marks() {
+    public Map<String, String> storeIds() {
         Map<String, String> all = new TreeMap<>();
         promises.forEach((n, p) -> all.put(n, p.storeId()));
         return all;
@@ -214,8 +215,8 @@
 
     /** All that the next step depends on, but for what each voter said: {@link #voterFingerprint}. */
     public String fingerprint() {
-        StringBuilder s = new StringBuilder().append(state).append(turn).append(round).append('o').append(offered)
-            .append('m').append(move).append('k').append(known == null ? 0 : known.revision());
+        StringBuilder s = new StringBuilder().append(state).append(number).append(round).append('o').append(offered)
+            .append('m').append(transition).append('k').append(known == null ? 0 : known.revision());
         for (VoterSet v : asked) s.append(v.number());
         return s.toString();
     }
--- a/src/main/java/mothcross/policy/Transition.java
+++ b/src/main/java/mothcross/policy/Transition.java
@@ -24,14 +24,14 @@
         }
     }
 
-    /** The next book; {@link PolicyRegister#next} has been called. */
+    /** The next book; {@link PolicyRegister#nextRevision} has been called. */
     PolicyRegister apply(PolicyRegister b) throws RejectedException;
 
     default PolicyRegister applyTo(PolicyRegister b) throws RejectedException {
         if (b.revision() == 0 && !(this instanceof Bootstrap)) {
             throw new RejectedException("the fleet's register is not founded yet");
         }
-        return apply(b.next());
+        return apply(b.nextRevision());
     }
 
     private static void need(boolean holds, String otherwise) throws RejectedException {
@@ -39,20 +39,20 @@
     }
 
     /** The register begins: the voters that the files name, with the marks that all of them answered with. */
-    record Bootstrap(Map<String, String> marks) implements Transition {
+    record Bootstrap(Map<String, String> storeIds) implements Transition {
         @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
             need(b.revision() == 1, "the register was founded before");
-            need(marks.keySet().equals(b.voters().names()), "not all voters have answered");
-            return b.with(new VoterSet(1, marks));
+            need(storeIds.keySet().equals(b.voters().names()), "not all voters have answered");
+            return b.with(new VoterSet(1, storeIds));
         }
     }
 
     /** Directors that are about to serve. One whose former life may still run, elsewhere, has to wait for its end. */
-    record RegisterDirectors(Map<String, Registration> who) implements Transition {
+    record RegisterDirectors(Map<String, Registration> registrations) implements Transition {
         @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
             Map<String, Registration> roll = new TreeMap<>(b.registrations());
             boolean any = false;
-            for (Map.Entry<String, Registration> e : who.entrySet()) {
+            for (Map.Entry<String, Registration> e : registrations.entrySet()) {
                 Registration s = e.getValue(), before = roll.get(e.getKey());
                 if (!fits(before, s)) continue;
                 roll.put(e.getKey(), new Registration(s.incarnation(), s.host(), s.port(), false));
@@ -74,9 +74,9 @@
     /**
      * A director that serves no more: it said so, nobody holds its address, its lease is over, or an operator's word.
      */
-    record RemoveDirector(String name, long life, String why) implements Transition {
+    record RemoveDirector(String name, long incarnation, String reason) implements Transition {
         @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
-            need(b.registration(name, life) != null, name + " is not on the roll in that life");
+            need(b.registration(name, incarnation) != null, name + " is not on the roll in that life");
             Map<String, Registration> roll = new TreeMap<>(b.registrations());
             roll.remove(name);
             return b.with(roll);
@@ -84,11 +84,11 @@
     }
 
     /** Gets no lease any more; when the last one is over the change goes on without it. */
-    record ExcludeDirectors(Map<String, Long> who) implements Transition {
+    record ExcludeDirectors(Map<String, Long> incarnations) implements Transition {
         @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
             need(b.plan().leases(), "leases are off: nobody can be left out while it may serve");
             Map<String, Registration> roll = new TreeMap<>(b.registrations());
-            for (Map.Entry<String, Long> e : who.entrySet()) {
+            for (Map.Entry<String, Long> e : incarnations.entrySet()) {
                 Registration s = b.registration(e.getKey(), e.getValue());
                 if (s != null) roll.put(e.getKey(), new Registration(s.incarnation(), s.host(), s.port(), true));
             }
@@ -114,24 +114,24 @@
     }
 
     /** Every director on the roll has bound itself for this stage, or is left out and its lease waited out. */
-    record Commit(String id, long since, Set<String> ready, Set<String> over) implements Transition {
-        static String who(String name, long life) {
+    record Commit(String id, long stageRevision, Set<String> ready, Set<String> leaseOver) implements Transition {
+        static String directorKey(String name, long life) {
             return name + "@" + life;
         }
 
         @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
             Change c = b.change();
-            need(c != null && c.id().equals(id) && c.stage() == Stage.BINDING && c.stageRevision() == since,
+            need(c != null && c.id().equals(id) && c.stage() == Stage.BINDING && c.stageRevision() == stageRevision,
                 "the change is past that stage");
-            List<String> missing = missing(b, ready, over);
+            List<String> missing = missing(b, ready, leaseOver);
             need(missing.isEmpty(), "not ready: " + missing);
-            return b.with(c.target(), c.at(Stage.SETTLING, b.revision(), c.target()));
+            return b.with(c.target(), c.withStage(Stage.SETTLING, b.revision(), c.target()));
         }
 
         static List<String> missing(PolicyRegister b, Set<String> ready, Set<String> over) {
             List<String> all = new ArrayList<>();
             for (Map.Entry<String, Registration> e : b.registrations().entrySet()) {
-                String w = who(e.getKey(), e.getValue().incarnation());
+                String w = directorKey(e.getKey(), e.getValue().incarnation());
                 if (!(e.getValue().excluded() ? over : ready).contains(w)) all.add(e.getKey());
             }
             return all;
@@ -143,25 +143,26 @@
         @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
             Change c = b.change();
             need(c != null && c.stage() == Stage.SETTLING && b.plan().number() == plan, "there is nothing to settle");
-            if (b.plan().isTrial()) return b.with(b.plan(), c.at(Stage.TRIAL, b.revision(), b.plan()));
-            return b.plan().main().equals(c.digest()) ? b.ended(Outcome.COMMITTED, "")
-                : b.ended(Outcome.WITHDRAWN, c.note());
+            if (b.plan().isTrial()) return b.with(b.plan(), c.withStage(Stage.TRIAL, b.revision(), b.plan()));
+            return b.plan().main().equals(c.digest()) ? b.withChangeEnded(Outcome.COMMITTED, "")
+                : b.withChangeEnded(Outcome.WITHDRAWN, c.note());
         }
     }
 
     /** Ends it; one that is on trial is taken back under the same rules as it came. */
-    record Abort(String id, long since, String why) implements Transition {
+    record Abort(String id, long stageRevision, String reason) implements Transition {
         @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
             Change c = b.change();
-            need(c != null && c.id().equals(id) && (since < 0 || c.stageRevision() == since), "that change is over");
+            need(c != null && c.id().equals(id) && (stageRevision < 0 || c.stageRevision() == stageRevision),
+                "that change is over");
             need(c.stage() != Stage.SETTLING, "it is committed: undo it by a new change");
             if (c.stage() == Stage.TRIAL) {
                 Plan p = b.plan();
                 Plan to = new Plan(p.number() + 1, p.main(), "", Plan.Canary.NONE, p.leases());
-                return b.with(p, c.at(Stage.BINDING, b.revision(), to));
+                return b.with(p, c.withStage(Stage.BINDING, b.revision(), to));
             }
-            if (b.plan().isTrial()) return b.with(b.plan(), c.at(Stage.TRIAL, b.revision(), b.plan()));
-            return b.ended(Outcome.ABORTED, why);
+            if (b.plan().isTrial()) return b.with(b.plan(), c.withStage(Stage.TRIAL, b.revision(), b.plan()));
+            return b.withChangeEnded(Outcome.ABORTED, reason);
         }
     }
 
@@ -170,7 +171,7 @@
             Change c = b.change();
             need(c != null && c.id().equals(id) && c.stage() == Stage.TRIAL, "it is not on trial");
             Plan p = b.plan();
-            return b.with(p, c.at(Stage.BINDING, b.revision(), new Plan(p.number() + 1, c.digest(), "",
+            return b.with(p, c.withStage(Stage.BINDING, b.revision(), new Plan(p.number() + 1, c.digest(), "",
                 Plan.Canary.NONE, p.leases())));
         }
     }
@@ -183,13 +184,13 @@
     }
 
     /** Other voters, by name and mark; decided by most of the old and most of the new. */
-    record ChangeVoters(long before, Map<String, String> marks) implements Transition {
+    record ChangeVoters(long previousNumber, Map<String, String> storeIds) implements Transition {
         @Override public PolicyRegister apply(PolicyRegister b) throws RejectedException {
-            need(b.voters().number() == before, "the voters have changed meanwhile");
-            need(!marks.isEmpty() && !marks.containsValue(""), "a voter is named without its mark");
-            need(new HashSet<>(marks.values()).size() == marks.size(), "one mark is given twice");
-            need(!marks.equals(b.voters().storeIds()), "these are the voters already");
-            return b.with(new VoterSet(before + 1, marks));
+            need(b.voters().number() == previousNumber, "the voters have changed meanwhile");
+            need(!storeIds.isEmpty() && !storeIds.containsValue(""), "a voter is named without its mark");
+            need(new HashSet<>(storeIds.values()).size() == storeIds.size(), "one mark is given twice");
+            need(!storeIds.equals(b.voters().storeIds()), "these are the voters already");
+            return b.with(new VoterSet(previousNumber + 1, storeIds));
         }
     }
 }
--- a/src/main/java/mothcross/policy/Voter.java
+++ b/src/main/java/mothcross/policy/Voter.java
@@ -37,28 +37,28 @@
 
     public Step on(PolicyMessage.Prepare p) {
         // Nothing decided, and other founders than this one's file names: two fleets, or a file that is not everywhere.
-        boolean other = !p.founders().isEmpty() && !p.founders().equals(founders);
+        boolean other = !p.initialVoters().isEmpty() && !p.initialVoters().equals(founders);
         if (latest.accepted() == null && other) return new Step(null, null);
-        if (p.number().compareTo(latest.promised()) < 0) return late(p.number());
-        return keep(new State(latest.storeId(), p.number(), latest.acceptedNumber(), latest.accepted()));
+        if (p.number().compareTo(latest.promised()) < 0) return reject(p.number());
+        return persist(new State(latest.storeId(), p.number(), latest.acceptedNumber(), latest.accepted()));
     }
 
     public Step on(PolicyMessage.Accept a) {
-        if (a.number().compareTo(latest.promised()) < 0) return late(a.number());
-        return keep(new State(latest.storeId(), a.number(), a.number(), a.register()));
+        if (a.number().compareTo(latest.promised()) < 0) return reject(a.number());
+        return persist(new State(latest.storeId(), a.number(), a.number(), a.register()));
     }
 
-    private Step keep(State s) {
+    private Step persist(State s) {
         latest = s;
         return new Step(null, s);
     }
 
-    private Step late(ProposalNumber t) {
+    private Step reject(ProposalNumber t) {
         return new Step(new PolicyMessage.Rejected(t, latest.promised()), null);
     }
 
     /** What was to be kept may not be on disk: as if the message had never come. */
-    void unsynced() {
+    void syncFailed() {
         latest = state;
     }
 
@@ -78,7 +78,7 @@
         PolicyRegister b = a == null || decided != null && decided.revision() >= a.revision() ? decided : a;
         boolean yes = b != null && b.complete() && b.plan().number() == m.plan()
             && b.voters().number() == m.voterSetNumber()
-            && b.voters().has(name, state.storeId()) && b.isRegistered(who, m.incarnation());
+            && b.voters().contains(name, state.storeId()) && b.isRegistered(who, m.incarnation());
         return new PolicyMessage.LeaseReply(m.number(), state.storeId(), yes, b == null ? 0 : b.revision());
     }
 }
--- a/src/main/java/mothcross/policy/VoterSet.java
+++ b/src/main/java/mothcross/policy/VoterSet.java
@@ -18,7 +18,7 @@
     }
 
     /** As the operators' files name them. */
-    public static VoterSet named(Iterable<String> names) {
+    public static VoterSet initial(Iterable<String> names) {
         Map<String, String> all = new TreeMap<>();
         for (String n : names) all.put(n, "");
         return new VoterSet(0, all);
@@ -28,15 +28,15 @@
         return storeIds.keySet();
     }
 
-    public boolean has(String name, String mark) {
+    public boolean contains(String name, String mark) {
         String m = storeIds.get(name);
         return m != null && (number == 0 || m.equals(mark));
     }
 
     /** Whether these answers, by name the mark that came with each, are enough. */
-    boolean enough(Map<String, String> answered) {
+    boolean isQuorum(Map<String, String> answered) {
         int n = 0;
-        for (Map.Entry<String, String> e : answered.entrySet()) if (has(e.getKey(), e.getValue())) n++;
+        for (Map.Entry<String, String> e : answered.entrySet()) if (contains(e.getKey(), e.getValue())) n++;
         return number == 0 ? n == storeIds.size() : 2 * n > storeIds.size();
     }
 }
--- a/src/main/java/mothcross/policy/net/PolicyNode.java
+++ b/src/main/java/mothcross/policy/net/PolicyNode.java
@@ -100,7 +100,7 @@
 
     public void start() {
         LOG.atInfo().addKeyValue("name", party.name).addKeyValue("mark", mark).addKeyValue("life",
-            party.holder().incarnation())
+            party.replica().incarnation())
             .addKeyValue("revision", party.register().revision()).log("policy: begins");
         thread.start();
     }
@@ -137,7 +137,7 @@
             LOG.error("policy: a fault; what this step would have said is not said", e);
             party.takeSends();
         }
-        PolicyReplica h = party.holder();
+        PolicyReplica h = party.replica();
         leave = new Leave(h.stopReason(Double.NEGATIVE_INFINITY), h.plan(), h.requiresLease() ? h.leaseExpiresAt()
             : Double.POSITIVE_INFINITY);
         for (PolicyParticipant.Send s : party.takeSends()) sends.accept(s.to(), PolicyMessageCodec.encode(s.message()));
@@ -304,9 +304,9 @@
                 return status();
             }
             case "bring" -> party.submitText(p[1], body);
-            case "brought" -> o.addProperty("state", party.texts().has(p[1]) ? "kept"
-                : party.texts().fault(p[1]) != null
-                ? party.texts().fault(p[1]) : party.texts().isChecking(p[1]) ? "checking" : "unknown");
+            case "brought" -> o.addProperty("state", party.texts().contains(p[1]) ? "kept"
+                : party.texts().rejectionReason(p[1]) != null
+                ? party.texts().rejectionReason(p[1]) : party.texts().isValidating(p[1]) ? "checking" : "unknown");
             case "propose" -> {
                 Proposal x = PolicyMessageCodec.GSON.fromJson(new String(body, java.nio.charset.StandardCharsets.UTF_8),
                     Proposal.class);
@@ -360,22 +360,22 @@
         JsonObject o = new JsonObject();
         o.addProperty("fleet", fleet);
         o.addProperty("name", party.name);
-        o.addProperty("life", party.holder().incarnation());
+        o.addProperty("life", party.replica().incarnation());
         o.addProperty("mark", mark);
         o.addProperty("revision", b.revision());
-        o.addProperty("stopped", party.holder().stopReason(now).toString());
-        o.addProperty("bound", party.holder().requiresLease());
-        o.addProperty("lease_left_ms", party.holder().requiresLease()
-            ? Math.round(party.holder().leaseExpiresAt() - now) : -1);
+        o.addProperty("stopped", party.replica().stopReason(now).toString());
+        o.addProperty("bound", party.replica().requiresLease());
+        o.addProperty("lease_left_ms", party.replica().requiresLease()
+            ? Math.round(party.replica().leaseExpiresAt() - now) : -1);
         o.addProperty("lease_ms", b.leaseMs());
-        o.addProperty("deciding_by", party.holder().plan());
+        o.addProperty("deciding_by", party.replica().plan());
         o.add("plan", PolicyMessageCodec.GSON.toJsonTree(b.plan()));
         o.addProperty("previous_text", PolicyParticipant.previousText(b));
         if (b.change() != null) {
             o.add("change", PolicyMessageCodec.GSON.toJsonTree(b.change()));
-            o.addProperty("stage_for_ms", Math.round(party.driver().stageElapsed(now)));
+            o.addProperty("stage_for_ms", Math.round(party.coordinator().stageElapsed(now)));
             JsonObject up = new JsonObject();
-            if (b.complete()) party.driver().blockers(b, now).forEach(up::addProperty);
+            if (b.complete()) party.coordinator().blockers(b, now).forEach(up::addProperty);
             o.add("held_up_by", up);
         }
         JsonArray lately = new JsonArray();
@@ -408,7 +408,7 @@
         }
         JsonObject counts = new JsonObject();
         for (PolicyParticipant.Counter c : PolicyParticipant.Counter.values()) {
-            counts.addProperty(c.name().toLowerCase(Locale.ROOT), party.count[c.ordinal()]);
+            counts.addProperty(c.name().toLowerCase(Locale.ROOT), party.counts[c.ordinal()]);
         }
         counts.addProperty("unread", unread);
         counts.addProperty("crowded_out", crowded);
--- a/src/main/java/mothcross/rig/PolicyPlay.java
+++ b/src/main/java/mothcross/rig/PolicyPlay.java
@@ -40,7 +40,7 @@
 
         /** What holds for its lease and waits, in ms, of what the fleet says. */
         default boolean mayStart(PolicyParticipant p, double now) {
-            return p.holder().stopReason(now) == PolicyReplica.StopReason.NO;
+            return p.replica().stopReason(now) == PolicyReplica.StopReason.NO;
         }
     }
 
@@ -258,8 +258,8 @@
             if (n.party != null && n.party.hasLeft()) n.ends();
             if (n.party == null || now < n.pausedUntil) continue;
             boolean may = n.mayStart();
-            rules.starts(now, n.name, may ? n.deciding : -1, n.party.holder().requiresLease(),
-                n.party.holder().isRegistered());
+            rules.starts(now, n.name, may ? n.deciding : -1, n.party.replica().requiresLease(),
+                n.party.replica().isRegistered());
         }
     }
 
@@ -408,8 +408,8 @@
         Plan.Canary canary = l.what() != FaultScript.What.TRIAL ? Plan.Canary.NONE : proposals % 2 == 0
             ? new Plan.Canary(List.of("n1"), 0) : new Plan.Canary(List.of(), 0.3);
         n.disk.texts.put(digest, text);
-        p.texts().kept(digest, text);
-        p.holder().setTextAvailable(digest, true);
+        p.texts().add(digest, text);
+        p.replica().setTextAvailable(digest, true);
         rules.proposes(now, key, l.lasts());
         p.submit(now, key, new Transition.Propose(key, digest, text.length, n.name, "", mode, l.lasts(), canary,
             plan.leases()));
--- a/src/main/java/mothcross/rig/explore/ChangeModel.java
+++ b/src/main/java/mothcross/rig/explore/ChangeModel.java
@@ -132,7 +132,7 @@
 
     @Override public State first() {
         State s = new State();
-        PolicyRegister b = PolicyRegister.first(VoterSet.named(List.of("d0", "d1", "d2")), LEASE);
+        PolicyRegister b = PolicyRegister.initial(VoterSet.initial(List.of("d0", "d1", "d2")), LEASE);
         try {
             b = new Transition.Bootstrap(Map.of("d0", "m0", "d1", "m1", "d2", "m2")).applyTo(b);
             Map<String, PolicyRegister.Registration> all = new TreeMap<>();
@@ -154,7 +154,7 @@
         s.decides(b);
         for (int i = 0; i < N; i++) {
             Dir d = s.dirs[i] = new Dir();
-            d.holder = holder(i, 1, PolicyRegister.first(VoterSet.named(List.of("d0", "d1", "d2")), LEASE));
+            d.holder = holder(i, 1, PolicyRegister.initial(VoterSet.initial(List.of("d0", "d1", "d2")), LEASE));
             d.holder.learn(b);
             d.driver.learn(b, 0);
         }
--- a/src/main/java/mothcross/rig/explore/RegisterModel.java
+++ b/src/main/java/mothcross/rig/explore/RegisterModel.java
@@ -104,7 +104,7 @@
 
     @Override public State first() {
         State s = new State(scene == Scene.VOTERS ? 5 : 3, 2);
-        PolicyRegister b = PolicyRegister.first(VoterSet.named(founders), 1000);
+        PolicyRegister b = PolicyRegister.initial(VoterSet.initial(founders), 1000);
         Map<String, String> marks = new TreeMap<>();
         for (String v : founders) marks.put(v, "m" + v);
         try {
@@ -194,7 +194,7 @@
         State n = new State(s);
         if (crashed) n.crashes[0]++;
         Proposer w = crashed ? new Proposer(writer(i), life(n.crashes[0]), founders) : new Proposer(s.writers[i]);
-        w.begin(s.known[i], move(s, i));
+        w.start(s.known[i], move(s, i));
         n.attempts[i]++;
         n.writers[i] = w;
         says(n, i);
--- a/src/test/java/mothcross/rig/PolicyTest.java
+++ b/src/test/java/mothcross/rig/PolicyTest.java
@@ -175,7 +175,7 @@
                 w.acceptedNumber(), w.accepted()))},
             {"leases never end", new PolicyPlay.Spoils() {
                 @Override public boolean mayStart(PolicyParticipant p, double now) {
-                    return p.holder().stopReason(Double.NEGATIVE_INFINITY) == PolicyReplica.StopReason.NO;
+                    return p.replica().stopReason(Double.NEGATIVE_INFINITY) == PolicyReplica.StopReason.NO;
                 }
             }},
             {"who is behind counts as ready", hears((who, from, s) -> s instanceof PolicyMessage.ProgressReport t
@@ -194,7 +194,7 @@
             {"texts are not passed on", hears((who, from, s) -> s instanceof PolicyMessage.TextChunk ? null : s)},
             {"one who has not heard decides by another plan", new PolicyPlay.Spoils() {
                 @Override public boolean mayStart(PolicyParticipant p, double now) {
-                    return p.holder().plan() >= 0;
+                    return p.replica().plan() >= 0;
                 }
             }}};
     }
