--- a/src/main/java/mothcross/policy/PolicyParticipant.java
+++ b/src/main/java/mothcross/policy/PolicyParticipant.java
@@ -14,101 +14,134 @@
 import mothcross.policy.Change.Stage;
 
 /**
- * One director's whole part in changes of the policy: what it holds, the voter where it is one, the writer that it
- * tries steps with, and the driver. Time, chance, messages and the ends of writes are passed in; what is to be sent and
- * written comes back. Owns who is told what and when; must never send what rests on a write before that has ended.
- * docs/design/policy-change.md has the promises by number.
+ * One director's complete part in the replicated policy: its replica of the register, its voter, the proposer that it
+ * tries transitions with, and the coordinator of the change under way. It does no I/O: time, randomness, messages and
+ * the ends of writes are passed in; the messages to send and the actions to do are taken out. No reply that rests on a
+ * write of the voter's state leaves before {@link #voterStateSynced} has been called for that write.
+ * docs/design/policy-change.md lists the promises by number.
  */
 public final class PolicyParticipant {
+    /** A message to another director. */
     public record Send(String to, PolicyMessage message) { }
 
-    /** What the edge has to do before it sends what comes with it, in this order. */
+    /** What the I/O layer has to do, in this order, before it sends the messages that come with it. */
     public sealed interface Action { }
 
-    /** To be kept and synced; then {@link #voterStateSynced}. */
+    /** Write and sync the voter's state; then call {@link #voterStateSynced} or {@link #voterStateNotSynced}. */
     public record PersistVoterState(Voter.State state) implements Action { }
 
+    /** Write the latest decided register, which the next start begins with. */
     public record PersistRegister(PolicyRegister register) implements Action { }
 
-    /** To be compared with its digest, compiled, kept and synced; then {@link #textValidated}. */
+    /** Compare the text with its digest, compile, write and sync it; then call {@link #textValidated}. */
     public record ValidateText(String digest, byte[] bytes) implements Action { }
 
+    /** Delete a text that is needed no more. */
     public record DeleteText(String digest) implements Action { }
 
-    /** From now on it decides by this plan; lookups under way keep what they began with. */
+    /** Decide lookups by this plan from now on; lookups under way keep the plan that they began with. */
     public record ActivatePlan(Plan plan) implements Action { }
 
-    /** What is to be told to operators' logs. */
+    /** An entry for the operators' log. */
     public record LogEvent(String event, Map<String, Object> fields) implements Action { }
 
-    /** What a Party counts; each number only grows. */
+    /** Event counters; each number only grows. The status JSON shows them under these names, in lower case. */
     public enum Counter { WRITES_BEGUN, WRITES_DONE, WRITES_LOST, SYNCS, DECIDED_HEARD, LEASES, LEASE_REFUSALS, POLLS,
         TAKEOVERS, DOUBTS_ENDED }
 
-    private static final double AGAIN = 200, LEARN = 300, ENROL = 500, POLL = 250, IDLE_LEARN = 3000, TAKEOVER = 1500,
-        RANK = 700, LOST_MIN = 50, LOST_RANDOM = 250, SAYS_AGAIN = 1000, FETCH_AGAIN = 400;
-    private static final int MOST_RANKS = 20, MOST_TRIED = 64;
+    private static final double TICK_MS = 100;
+    private static final double RETRY_MS = 200;
+    private static final double LEARN_RETRY_MS = 300;
+    private static final double IDLE_LEARN_MS = 3000;
+    private static final double REGISTRATION_RETRY_MS = 500;
+    private static final double PROGRESS_POLL_MS = 250;
+    private static final double REPORT_RETRY_MS = 1000;
+    private static final double FETCH_RETRY_MS = 400;
+    private static final double TAKEOVER_DELAY_MS = 1500;
+    private static final double TAKEOVER_STAGGER_MS = 700;
+    private static final double REPROPOSE_MIN_MS = 50;
+    private static final double REPROPOSE_JITTER_MS = 250;
+    /** Directors that do not vote share this many ranks, by a hash of their names. */
+    private static final int MAX_RANKS = 20;
+    private static final int MAX_OUTCOMES = 64;
+    private static final int MAX_TEXT_SOURCES = 16;
+
+    private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     public final String name;
     private final String host;
     private final int port;
-    private final Set<String> founders;
+    private final Set<String> initialVoters;
     private final Supplier<Collection<String>> contacts;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Voter voter;
     private final PolicyReplica replica;
-    private final Proposer writer;
+    private final Proposer proposer;
     private final ChangeCoordinator coordinator = new ChangeCoordinator();
     private final PolicyTexts texts = new PolicyTexts();
-    private final List<Send> out = new ArrayList<>();
-    private final List<Action> works = new ArrayList<>();
-    // The last whole book heard of: it may be older than the holder's, and then no step is tried from it.
-    private PolicyRegister whole;
-    private boolean leaving, left;
-    private double nextAt = Double.NEGATIVE_INFINITY;
-    private double writerSaid, writerAgainAt = Double.NEGATIVE_INFINITY;
-    private double learnAt = Double.NEGATIVE_INFINITY, enrolAt = Double.NEGATIVE_INFINITY;
-    private double pollAt = Double.NEGATIVE_INFINITY, fetchAt = Double.NEGATIVE_INFINITY;
-    private double saidAt = Double.NEGATIVE_INFINITY, leaveAt = Double.NEGATIVE_INFINITY;
-    private double otherDrove = Double.NEGATIVE_INFINITY;
-    private boolean drives;
-    private double doubtsSince = Double.NaN;                // something later may be decided than is known here
-    // What was accepted in it was found not to be decided.
-    private ProposalNumber undecided = ProposalNumber.NONE;
-    private PolicyMessage.VotersRedirect pointed;
-    private String fetchedFirst = "";
-    private PolicyMessage.ProgressReport saidLast;
-    private long taken = -1;
-    private final Map<String, PolicyRegister.Registration> enrols = new LinkedHashMap<>();
-    private final Map<String, Long> leaves = new LinkedHashMap<>();
-    // What operators asked for, in order, and how it went; by a key of theirs.
-    private final Map<String, Transition> asked = new LinkedHashMap<>();
+    private final List<Send> sends = new ArrayList<>();
+    private final List<Action> actions = new ArrayList<>();
+    // Replies that wait for a sync of the voter's state, in the order of the writes.
+    private final List<PendingReply> pendingReplies = new ArrayList<>();
+    // The latest complete register known. It may be older than the replica's; then no transition is tried from it.
+    private PolicyRegister completeRegister;
+    private boolean leaving;
+    private boolean left;
+    private double nextTickAt = NEVER;
+    private double proposerSentAt;
+    private double nextProposalAt = NEVER;
+    private double nextLearnAt = NEVER;
+    private double nextJoinAt = NEVER;
+    private double nextPollAt = NEVER;
+    private double nextFetchAt = NEVER;
+    private double lastReportAt = NEVER;
+    private double nextLeaveAt = NEVER;
+    // When another director was last seen to coordinate the change, or the change moved on.
+    private double otherCoordinatedAt = NEVER;
+    private boolean coordinating;
+    // Since when this voter has held a proposal that may be decided, and that is later than the known register.
+    private double undecidedSince = Double.NaN;
+    // What was accepted under this number was found not to be decided.
+    private ProposalNumber knownUndecided = ProposalNumber.NONE;
+    private PolicyMessage.VotersRedirect redirect;
+    private String lastRequestedDigest = "";
+    private PolicyMessage.ProgressReport lastReport;
+    private long activePlan = -1;
+    private final Map<String, PolicyRegister.Registration> joinRequests = new LinkedHashMap<>();
+    private final Map<String, Long> leaveRequests = new LinkedHashMap<>();
+    // Transitions that operators asked for, in order, and the outcomes of earlier ones, by the operators' keys.
+    private final Map<String, Transition> submitted = new LinkedHashMap<>();
     private final Map<String, String> outcomes = new LinkedHashMap<>();
     private final Map<String, String> observedStoreIds = new TreeMap<>();
     public final long[] counts = new long[Counter.values().length];
 
+    /** The reply to a Prepare or, where {@code accepting}, to an Accept. */
+    private record PendingReply(String to, boolean accepting) { }
+
     /**
-     * {@code kept} is what was on disk: of the voter, null where this is none or its disk is new; the last book, null
-     * where there is none; texts by digest. {@code mark} is drawn anew for a new disk. {@code founders} are named by
-     * the operators' file; {@code contacts} are all that are known to be there, whether they vote or not.
+     * The parameters {@code voterState} (null for a new disk), {@code register} (null where none was kept) and
+     * {@code storedTexts} (by digest) are what was read from disk. {@code storeId} is drawn at random for a new disk.
+     * {@code initialVoters} are named by the operators' file; {@code contacts} are all directors known to be present,
+     * whether they vote or not.
      */
-    public PolicyParticipant(String name, long life, String host, int port, Set<String> founders,
-                             Supplier<Collection<String>> contacts, double leaseMs, Voter.State kept, String mark,
-                             PolicyRegister book, Map<String, byte[]> held, SplittableRandom chance) {
+    public PolicyParticipant(String name, long incarnation, String host, int port, Set<String> initialVoters,
+                             Supplier<Collection<String>> contacts, double leaseMs, Voter.State voterState,
+                             String storeId, PolicyRegister register, Map<String, byte[]> storedTexts,
+                             SplittableRandom random) {
         this.name = name;
         this.host = host;
         this.port = port;
-        this.founders = new TreeSet<>(founders);
+        this.initialVoters = new TreeSet<>(initialVoters);
         this.contacts = contacts;
-        this.chance = chance;
-        voter = new Voter(name, this.founders, kept != null ? kept : Voter.State.blank(mark));
-        replica = new PolicyReplica(name, life, book != null ? book
-            : PolicyRegister.initial(VoterSet.initial(founders), leaseMs));
-        writer = new Proposer(name, life, this.founders);
-        whole = replica.register().complete() ? replica.register() : null;
-        held.forEach((d, b) -> {
-            texts.add(d, b);
-            replica.setTextAvailable(d, true);
+        this.random = random;
+        voter = new Voter(name, this.initialVoters, voterState != null ? voterState : Voter.State.blank(storeId));
+        replica = new PolicyReplica(name, incarnation, register != null ? register
+            : PolicyRegister.initial(VoterSet.initial(initialVoters), leaseMs));
+        proposer = new Proposer(name, incarnation, this.initialVoters);
+        completeRegister = replica.register().complete() ? replica.register() : null;
+        storedTexts.forEach((digest, bytes) -> {
+            texts.add(digest, bytes);
+            replica.setTextAvailable(digest, true);
         });
         coordinator.learn(replica.register(), Double.NEGATIVE_INFINITY);
     }
@@ -129,444 +162,511 @@
         return texts;
     }
 
+    /** The latest decided register that this director knows. */
     public PolicyRegister register() {
         return replica.register();
     }
 
-    /** By name the mark that each voter last answered under. */
+    /** By voter name, the store id that it last answered with. */
     public Map<String, String> observedStoreIds() {
         return observedStoreIds;
     }
 
+    /** When {@link #tick} is due next. */
     public double nextTickAt() {
-        return nextAt;
+        return nextTickAt;
     }
 
     private boolean isVoter() {
-        return register().voters().names().contains(name) || register().revision() == 0 && founders.contains(name);
+        PolicyRegister register = register();
+        return register.voters().names().contains(name) || register.revision() == 0 && initialVoters.contains(name);
     }
 
-    private void count(Counter c) {
-        counts[c.ordinal()]++;
+    private void increment(Counter counter) {
+        counts[counter.ordinal()]++;
     }
 
-    private void tell(String what, Object... with) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        for (int i = 0; i < with.length; i += 2) m.put((String) with[i], with[i + 1]);
-        works.add(new LogEvent(what, m));
+    private void log(String event, Object... keysAndValues) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        for (int i = 0; i < keysAndValues.length; i += 2) fields.put((String) keysAndValues[i], keysAndValues[i + 1]);
+        actions.add(new LogEvent(event, fields));
     }
 
-    private void say(String to, PolicyMessage what) {
-        out.add(new Send(to, what));
+    private void send(String to, PolicyMessage message) {
+        sends.add(new Send(to, message));
     }
 
+    /** The messages to be sent, once all actions are done; each is returned once. */
     public List<Send> takeSends() {
-        List<Send> all = List.copyOf(out);
-        out.clear();
+        List<Send> all = List.copyOf(sends);
+        sends.clear();
         return all;
     }
 
     /**
-     * To be done before the sends are taken; {@link #voterStateSynced} and {@link #textValidated} may bring more of
-     * both.
+     * The actions to be done before the sends are taken; {@link #voterStateSynced} and {@link #textValidated} may add
+     * more of both.
      */
     public List<Action> takeActions() {
-        List<Action> all = List.copyOf(works);
-        works.clear();
+        List<Action> all = List.copyOf(actions);
+        actions.clear();
         return all;
     }
 
     // ---- time ----
 
+    /** Does all that is due by now. */
     public void tick(double now) {
         if (left) return;
-        nextAt = now + 100;
-        PolicyRegister b = register();
-        // Whoever is not seated asks what is decided, then for its seat; whoever is asks now and then.
-        if (now >= learnAt) {
-            boolean urgent = !replica.isRegistered() || replica.stopReason(now) != PolicyReplica.StopReason.NO;
-            boolean needsWhole = drives && !isWholeNow();
-            learnAt = now + (urgent || needsWhole ? LEARN : IDLE_LEARN * (0.8 + 0.4 * chance.nextDouble()));
-            // The voters that it knows may all be gone: now and then anybody is asked who is one now.
-            String v = urgent && chance.nextInt(4) == 0 ? anybody() : someVoter();
-            if (v != null) say(v, new PolicyMessage.Learn(b.revision(), needsWhole || isVoter()));
-        }
-        if (!replica.isRegistered() && !leaving && now >= enrolAt) {
-            enrolAt = now + ENROL * (0.7 + 0.6 * chance.nextDouble());
-            PolicyRegister.Registration former = b.registrations().get(name);
-            boolean here = former != null && former.host().equals(host) && former.port() == port;
-            if (here && former.incarnation() > replica.incarnation()) replica.restartAbove(former.incarnation());
-            PolicyMessage.JoinRequest e = new PolicyMessage.JoinRequest(replica.incarnation(), host, port);
-            String v = someVoter();
-            if (v == null) onMessage(now, name, e);
-            else say(v, e);
-        }
-        if (leaving && now >= leaveAt) {
-            leaveAt = now + AGAIN;
-            String v = someVoter();
-            if (v != null) say(v, new PolicyMessage.LeaveRequest(replica.incarnation()));
-        }
-        PolicyMessage.LeaseRequest m = replica.nextLeaseRequest(now);
-        if (m != null) {
-            count(Counter.LEASES);
-            for (String v : b.voters().names()) tell(v, m, now);
-        }
-        fetch(now);
-        stand(now, false);
-        drive(now);
-        write(now);
-    }
-
-    /** A message to a voter, which may be this one. */
-    private void tell(String v, PolicyMessage what, double now) {
-        if (v.equals(name)) onMessage(now, name, what);
-        else say(v, what);
-    }
-
-    private String anybody() {
-        List<String> all = new ArrayList<>(contacts.get());
-        all.remove(name);
-        return all.isEmpty() ? someVoter() : all.get(chance.nextInt(all.size()));
-    }
-
-    /** Those that it knows as voters, and those that others know as later ones. */
-    private String someVoter() {
+        nextTickAt = now + TICK_MS;
+        PolicyRegister register = register();
+        requestRegister(register, now);
+        requestRegistration(register, now);
+        if (leaving && now >= nextLeaveAt) {
+            nextLeaveAt = now + RETRY_MS;
+            String to = randomVoter();
+            if (to != null) send(to, new PolicyMessage.LeaveRequest(replica.incarnation()));
+        }
+        PolicyMessage.LeaseRequest leaseRequest = replica.nextLeaseRequest(now);
+        if (leaseRequest != null) {
+            increment(Counter.LEASES);
+            for (String voterName : register.voters().names()) deliver(voterName, leaseRequest, now);
+        }
+        requestTexts(now);
+        reportProgress(now, false);
+        coordinate(now);
+        propose(now);
+    }
+
+    /** Asks for the decided register: often where this director may not serve, else at long intervals. */
+    private void requestRegister(PolicyRegister register, double now) {
+        if (now < nextLearnAt) return;
+        boolean urgent = !replica.isRegistered() || replica.stopReason(now) != PolicyReplica.StopReason.NO;
+        boolean needsComplete = coordinating && !hasLatestComplete();
+        nextLearnAt = now + (urgent || needsComplete ? LEARN_RETRY_MS
+            : IDLE_LEARN_MS * (0.8 + 0.4 * random.nextDouble()));
+        // All voters that it knows may be gone; now and then any director is asked, which redirects to later voters.
+        String to = urgent && random.nextInt(4) == 0 ? randomContact() : randomVoter();
+        if (to != null) send(to, new PolicyMessage.Learn(register.revision(), needsComplete || isVoter()));
+    }
+
+    private void requestRegistration(PolicyRegister register, double now) {
+        if (replica.isRegistered() || leaving || now < nextJoinAt) return;
+        nextJoinAt = now + REGISTRATION_RETRY_MS * (0.7 + 0.6 * random.nextDouble());
+        PolicyRegister.Registration former = register.registrations().get(name);
+        boolean sameAddress = former != null && former.host().equals(host) && former.port() == port;
+        if (sameAddress && former.incarnation() > replica.incarnation()) replica.restartAbove(former.incarnation());
+        PolicyMessage.JoinRequest request = new PolicyMessage.JoinRequest(replica.incarnation(), host, port);
+        String to = randomVoter();
+        if (to == null) onMessage(now, name, request);
+        else send(to, request);
+    }
+
+    /** Sends a message, or handles it at once where the receiver is this director. */
+    private void deliver(String to, PolicyMessage message, double now) {
+        if (to.equals(name)) onMessage(now, name, message);
+        else send(to, message);
+    }
+
+    private String randomContact() {
+        List<String> names = new ArrayList<>(contacts.get());
+        names.remove(name);
+        return names.isEmpty() ? randomVoter() : names.get(random.nextInt(names.size()));
+    }
+
+    /** One of the voters in the known register and in a redirect to a later voter set; null where there is none. */
+    private String randomVoter() {
         Set<String> names = new TreeSet<>(register().voters().names());
-        if (pointed != null && pointed.voterSetNumber() > register().voters().number()) names.addAll(pointed.names());
-        List<String> all = new ArrayList<>(names);
-        all.remove(name);
-        return all.isEmpty() ? null : all.get(chance.nextInt(all.size()));
+        if (redirect != null && redirect.voterSetNumber() > register().voters().number()) {
+            names.addAll(redirect.names());
+        }
+        List<String> others = new ArrayList<>(names);
+        others.remove(name);
+        return others.isEmpty() ? null : others.get(random.nextInt(others.size()));
     }
 
-    private boolean isWholeNow() {
-        return whole != null && whole.revision() == register().revision();
+    private boolean hasLatestComplete() {
+        return completeRegister != null && completeRegister.revision() == register().revision();
     }
 
     // ---- texts ----
 
-    private Set<String> wanted() {
-        Set<String> all = new HashSet<>();
-        PolicyRegister b = register();
-        all.add(b.plan().main());
-        all.add(b.plan().trial());
-        if (b.change() != null) {
-            all.add(b.change().target().main());
-            all.add(b.change().target().trial());
-        }
-        for (Transition m : asked.values()) if (m instanceof Transition.Propose p) all.add(p.digest());
-        all.remove("");
-        return all;
-    }
-
-    private void fetch(double now) {
-        if (now < fetchAt) return;
-        fetchAt = now + FETCH_AGAIN;
-        for (String d : wanted()) {
-            texts.request(d);
-            if (!texts.isRequested(d)) continue;
-            String from = source(d);
-            if (from != null) say(from, new PolicyMessage.TextRequest(d, texts.receivedBytes(d)));
+    /** Digests of the texts that the register and the operators' pending proposals name. */
+    private Set<String> referencedTexts() {
+        Set<String> digests = new HashSet<>();
+        PolicyRegister register = register();
+        digests.add(register.plan().main());
+        digests.add(register.plan().trial());
+        if (register.change() != null) {
+            digests.add(register.change().target().main());
+            digests.add(register.change().target().trial());
+        }
+        for (Transition transition : submitted.values()) {
+            if (transition instanceof Transition.Propose proposal) digests.add(proposal.digest());
+        }
+        digests.remove("");
+        return digests;
+    }
+
+    private void requestTexts(double now) {
+        if (now < nextFetchAt) return;
+        nextFetchAt = now + FETCH_RETRY_MS;
+        for (String digest : referencedTexts()) {
+            texts.request(digest);
+            if (!texts.isRequested(digest)) continue;
+            String from = chooseTextSource(digest);
+            if (from != null) send(from, new PolicyMessage.TextRequest(digest, texts.receivedBytes(digest)));
         }
     }
 
-    /** First whoever brought it, who has it for sure; then any that may have it by now. */
-    private String source(String digest) {
-        Change by = register().change();
-        boolean first = !digest.equals(fetchedFirst);
-        fetchedFirst = digest;
-        if (first && by != null && by.digest().equals(digest) && !by.by().equals(name)) return by.by();
-        List<String> all = new ArrayList<>(register().voters().names());
-        Change c = register().change();
-        if (c != null && !all.contains(c.by())) all.add(c.by());
-        if (whole != null) for (String n : whole.registrations().keySet()) if (all.size() < 16
-            && !all.contains(n)) all.add(n);
-        all.remove(name);
-        return all.isEmpty() ? null : all.get(chance.nextInt(all.size()));
+    /** First the director that submitted the text, which has it for sure; then a random one that may have it by now. */
+    private String chooseTextSource(String digest) {
+        Change change = register().change();
+        boolean first = !digest.equals(lastRequestedDigest);
+        lastRequestedDigest = digest;
+        if (first && change != null && change.digest().equals(digest) && !change.by().equals(name)) return change.by();
+        List<String> sources = new ArrayList<>(register().voters().names());
+        if (change != null && !sources.contains(change.by())) sources.add(change.by());
+        if (completeRegister != null) {
+            for (String registered : completeRegister.registrations().keySet()) {
+                if (sources.size() < MAX_TEXT_SOURCES && !sources.contains(registered)) sources.add(registered);
+            }
+        }
+        sources.remove(name);
+        return sources.isEmpty() ? null : sources.get(random.nextInt(sources.size()));
     }
 
-    /** The edge's word on a text: {@code why} null, and it is on disk; "" where its bytes do not have the digest. */
-    public void textValidated(double now, String digest, byte[] bytes, String why) {
-        if (why == null) {
+    /**
+     * The I/O layer's result for a text: {@code reason} is null where the text is on disk, "" where its bytes do not
+     * match the digest (it is fetched again), and else says why the text can't be used.
+     */
+    public void textValidated(double now, String digest, byte[] bytes, String reason) {
+        if (reason == null) {
             texts.add(digest, bytes);
             replica.setTextAvailable(digest, true);
-            tell("policy: text kept", "digest", digest, "bytes", bytes.length);
-            takes();
-        } else if (why.isEmpty()) {
+            log("policy: text stored", "digest", digest, "bytes", bytes.length);
+            activatePlan();
+        } else if (reason.isEmpty()) {
             texts.restartFetch(digest);
         } else {
-            texts.reject(digest, why);
-            tell("policy: text refused", "digest", digest, "why", why);
+            texts.reject(digest, reason);
+            log("policy: text rejected", "digest", digest, "why", reason);
         }
-        stand(now, true);
+        reportProgress(now, true);
     }
 
-    /** A text that an operator brings; it is checked here first. */
+    /** A text that an operator submits; it is validated here first. */
     public void submitText(String digest, byte[] bytes) {
         texts.beginValidation(digest);
-        works.add(new ValidateText(digest, bytes));
-    }
-
-    private void dropOthers() {
-        PolicyRegister b = register();
-        Set<String> wanted = wanted();
-        // Without a change under way, the one before stays, to be taken back to at once.
-        if (b.change() == null && texts.digests().size() <= 2) return;
-        if (b.change() == null && !b.recentChanges().isEmpty()) wanted.add(previousText(b));
-        for (String gone : texts.retainOnly(wanted)) {
-            replica.setTextAvailable(gone, false);
-            works.add(new DeleteText(gone));
+        actions.add(new ValidateText(digest, bytes));
+    }
+
+    private void deleteUnreferencedTexts() {
+        PolicyRegister register = register();
+        Set<String> keep = referencedTexts();
+        // With no change under way the previous text is kept, so that the last change can be undone at once.
+        if (register.change() == null && texts.digests().size() <= 2) return;
+        if (register.change() == null && !register.recentChanges().isEmpty()) keep.add(previousText(register));
+        for (String digest : texts.retainOnly(keep)) {
+            replica.setTextAvailable(digest, false);
+            actions.add(new DeleteText(digest));
         }
     }
 
-    /** The text that was in force before the one that is. */
-    public static String previousText(PolicyRegister b) {
-        String now = b.plan().main();
-        List<PolicyRegister.CompletedChange> all = b.recentChanges();
-        for (int i = all.size() - 1; i >= 0; i--) {
-            if (all.get(i).outcome() == PolicyRegister.Outcome.COMMITTED && !all.get(i).digest().equals(now)) {
-                return all.get(i).digest();
+    /** Digest of the text that was in force before the present one; "" where none is known. */
+    public static String previousText(PolicyRegister register) {
+        String current = register.plan().main();
+        List<PolicyRegister.CompletedChange> changes = register.recentChanges();
+        for (int i = changes.size() - 1; i >= 0; i--) {
+            PolicyRegister.CompletedChange change = changes.get(i);
+            if (change.outcome() == PolicyRegister.Outcome.COMMITTED && !change.digest().equals(current)) {
+                return change.digest();
             }
         }
         return "";
     }
 
-    // ---- what is decided ----
+    // ---- the decided register ----
 
-    private void heard(PolicyRegister b, double now) {
-        if (b.complete() && (whole == null || b.revision() > whole.revision())) whole = b;
-        boolean wasSeated = replica.isRegistered();
+    private void learn(PolicyRegister register, double now) {
+        if (register.complete()
+            && (completeRegister == null || register.revision() > completeRegister.revision())) {
+            completeRegister = register;
+        }
+        boolean wasRegistered = replica.isRegistered();
         PolicyRegister before = register();
-        if (!replica.learn(b)) return;
-        count(Counter.DECIDED_HEARD);
+        if (!replica.learn(register)) return;
+        increment(Counter.DECIDED_HEARD);
         coordinator.learn(register(), now);
-        boolean planned = before.plan().number() != b.plan().number();
-        Change c = b.change(), o = before.change();
-        boolean staged = (c == null) != (o == null) || c != null && o != null && c.stageRevision() != o.stageRevision();
-        if (staged || planned) {
-            otherDrove = now;
-            boolean same = c != null && o != null && o.id().equals(c.id());
-            boolean goesOn = same && o.stage() != Stage.TRIAL;
-            drives = c != null && (goesOn ? drives : c.by().equals(name));
-            tell("policy: decided", "revision", b.revision(), "plan", b.plan().number(), "change", c == null ? ""
-                : c.id(), "stage", c == null ? "" : c.stage(), "outcome", b.recentChanges().isEmpty() ? ""
-                : b.recentChanges().get(b.recentChanges().size() - 1).outcome());
-        }
-        if (wasSeated && !replica.isRegistered() && !leaving) tell("policy: has no seat any more", "revision",
-            b.revision());
+        boolean newPlan = before.plan().number() != register.plan().number();
+        Change change = register.change();
+        Change former = before.change();
+        boolean newStage = (change == null) != (former == null)
+            || change != null && former != null && change.stageRevision() != former.stageRevision();
+        if (newStage || newPlan) {
+            otherCoordinatedAt = now;
+            boolean sameChange = change != null && former != null && former.id().equals(change.id());
+            boolean continues = sameChange && former.stage() != Stage.TRIAL;
+            coordinating = change != null && (continues ? coordinating : change.by().equals(name));
+            logDecided(register);
+        }
+        if (wasRegistered && !replica.isRegistered() && !leaving) {
+            log("policy: this director is not registered any more", "revision", register.revision());
+        }
         if (leaving && !replica.isRegistered()) left = true;
-        if (staged || planned || b.voters().number() != before.voters().number()) works.add(new PersistRegister(b));
-        enrols.entrySet().removeIf(e -> b.complete() && b.isRegistered(e.getKey(), e.getValue().incarnation()));
-        leaves.entrySet().removeIf(e -> b.complete() && b.registration(e.getKey(), e.getValue()) == null);
-        fetchAt = Double.NEGATIVE_INFINITY;
-        takes();
-        fetch(now);
-        stand(now, true);
-        dropOthers();
-    }
-
-    private void takes() {
-        if (replica.plan() < 0 || replica.plan() == taken) return;
-        taken = replica.plan();
-        works.add(new ActivatePlan(register().plan()));
-        tell("policy: taken up", "plan", taken, "revision", register().revision());
-    }
-
-    // ---- how far this director is ----
-
-    /** Says how far it is where that is news, or was said long ago; to the voters and to whom began the change. */
-    private void stand(double now, boolean atOnce) {
-        Change c = register().change();
-        if (c == null || c.stage() == Stage.TRIAL || !replica.isRegistered()) {
-            saidLast = null;
+        if (newStage || newPlan || register.voters().number() != before.voters().number()) {
+            actions.add(new PersistRegister(register));
+        }
+        joinRequests.entrySet().removeIf(entry -> register.complete()
+            && register.isRegistered(entry.getKey(), entry.getValue().incarnation()));
+        leaveRequests.entrySet().removeIf(entry -> register.complete()
+            && register.registration(entry.getKey(), entry.getValue()) == null);
+        nextFetchAt = NEVER;
+        activatePlan();
+        requestTexts(now);
+        reportProgress(now, true);
+        deleteUnreferencedTexts();
+    }
+
+    private void logDecided(PolicyRegister register) {
+        Change change = register.change();
+        List<PolicyRegister.CompletedChange> completed = register.recentChanges();
+        log("policy: decided", "revision", register.revision(), "plan", register.plan().number(),
+            "change", change == null ? "" : change.id(), "stage", change == null ? "" : change.stage(),
+            "outcome", completed.isEmpty() ? "" : completed.get(completed.size() - 1).outcome());
+    }
+
+    private void activatePlan() {
+        if (replica.plan() < 0 || replica.plan() == activePlan) return;
+        activePlan = replica.plan();
+        actions.add(new ActivatePlan(register().plan()));
+        log("policy: taken up", "plan", activePlan, "revision", register().revision());
+    }
+
+    // ---- progress of this director ----
+
+    /**
+     * Reports this director's progress to the voters and to the director that submitted the change: on each difference,
+     * and, unless {@code onlyIfNew}, again after {@link #REPORT_RETRY_MS}.
+     */
+    private void reportProgress(double now, boolean onlyIfNew) {
+        Change change = register().change();
+        if (change == null || change.stage() == Stage.TRIAL || !replica.isRegistered()) {
+            lastReport = null;
             return;
         }
-        PolicyMessage.ProgressReport s = standing(now);
-        if (s.equals(saidLast) && (atOnce || now - saidAt < SAYS_AGAIN)) return;
-        saidLast = s;
-        saidAt = now;
-        Set<String> to = new TreeSet<>(register().voters().names());
-        to.add(c.by());
-        for (String n : to) tell(n, s, now);
-    }
-
-    private PolicyMessage.ProgressReport standing(double now) {
-        Change c = register().change();
-        PolicyMessage.Progress far = PolicyMessage.Progress.BEHIND;
-        String why = "";
-        if (c.stage() == Stage.SETTLING) {
-            if (replica.plan() == register().plan().number()) far = PolicyMessage.Progress.TAKEN;
-        } else if (replica.bind(c.stageRevision(), now)) {
-            far = PolicyMessage.Progress.READY;
+        PolicyMessage.ProgressReport report = progressReport(now);
+        if (report.equals(lastReport) && (onlyIfNew || now - lastReportAt < REPORT_RETRY_MS)) return;
+        lastReport = report;
+        lastReportAt = now;
+        Set<String> receivers = new TreeSet<>(register().voters().names());
+        receivers.add(change.by());
+        for (String to : receivers) deliver(to, report, now);
+    }
+
+    /** This director's progress in the present stage; binds it to the stage where it is ready. */
+    private PolicyMessage.ProgressReport progressReport(double now) {
+        Change change = register().change();
+        PolicyMessage.Progress progress = PolicyMessage.Progress.BEHIND;
+        String reason = "";
+        if (change.stage() == Stage.SETTLING) {
+            if (replica.plan() == register().plan().number()) progress = PolicyMessage.Progress.TAKEN;
+        } else if (replica.bind(change.stageRevision(), now)) {
+            progress = PolicyMessage.Progress.READY;
         } else {
-            far = PolicyMessage.Progress.FETCHING;
-            for (String d : List.of(c.target().main(), c.target().trial())) {
-                if (texts.isValidating(d)) far = PolicyMessage.Progress.CHECKING;
-                if (texts.rejectionReason(d) == null) continue;
-                far = PolicyMessage.Progress.NO;
-                why = texts.rejectionReason(d);
+            progress = PolicyMessage.Progress.FETCHING;
+            for (String digest : List.of(change.target().main(), change.target().trial())) {
+                if (texts.isValidating(digest)) progress = PolicyMessage.Progress.CHECKING;
+                if (texts.rejectionReason(digest) == null) continue;
+                progress = PolicyMessage.Progress.NO;
+                reason = texts.rejectionReason(digest);
             }
         }
-        return new PolicyMessage.ProgressReport(replica.incarnation(), c.stageRevision(), register().plan().number(),
-            far, why);
+        return new PolicyMessage.ProgressReport(replica.incarnation(), change.stageRevision(),
+            register().plan().number(), progress, reason);
     }
 
-    // ---- driving ----
+    // ---- coordination of a change ----
 
-    /** Whoever began the change drives it; where nobody is heard to, the next one in order goes on with it. */
-    private void drive(double now) {
-        Change c = register().change();
-        if (c == null || c.stage() == Stage.TRIAL) {
-            drives = false;
+    /**
+     * The director that submitted a change coordinates it. Where no coordinator has been heard of for a while, the
+     * next director by rank takes over.
+     */
+    private void coordinate(double now) {
+        Change change = register().change();
+        if (change == null || change.stage() == Stage.TRIAL) {
+            coordinating = false;
             return;
         }
-        if (!drives && now - otherDrove >= TAKEOVER + RANK * rank()) {
-            drives = true;
-            count(Counter.TAKEOVERS);
-            tell("policy: drives what another began", "change", c.id(), "by", c.by());
+        if (!coordinating && now - otherCoordinatedAt >= takeoverDelay()) {
+            coordinating = true;
+            increment(Counter.TAKEOVERS);
+            log("policy: takes over coordination of a change", "change", change.id(), "by", change.by());
         }
-        if (!drives || now < pollAt) return;
-        pollAt = now + POLL;
-        if (!isWholeNow()) {
-            learnAt = Math.min(learnAt, now);
+        if (!coordinating || now < nextPollAt) return;
+        nextPollAt = now + PROGRESS_POLL_MS;
+        if (!hasLatestComplete()) {
+            nextLearnAt = Math.min(nextLearnAt, now);
             return;
         }
-        count(Counter.POLLS);
-        PolicyMessage.ProgressRequest how = new PolicyMessage.ProgressRequest(register().revision(), c.stageRevision(),
-            register().plan().number());
-        Set<String> to = new TreeSet<>(coordinator.awaitedDirectors(whole));
-        to.addAll(register().voters().names());
-        to.remove(name);
-        for (String n : to) say(n, how);
+        increment(Counter.POLLS);
+        PolicyMessage.ProgressRequest request = new PolicyMessage.ProgressRequest(register().revision(),
+            change.stageRevision(), register().plan().number());
+        Set<String> receivers = new TreeSet<>(coordinator.awaitedDirectors(completeRegister));
+        receivers.addAll(register().voters().names());
+        receivers.remove(name);
+        for (String to : receivers) send(to, request);
     }
 
+    /** Staggered by rank, so that directors do not take over all at once. */
+    private double takeoverDelay() {
+        return TAKEOVER_DELAY_MS + TAKEOVER_STAGGER_MS * rank();
+    }
+
+    /** The voters' order by name; after them all others. */
     private int rank() {
-        List<String> all = new ArrayList<>(new TreeSet<>(register().voters().names()));
-        int r = all.indexOf(name);
-        return r >= 0 ? r : all.size() + 1 + Math.floorMod(name.hashCode(), MOST_RANKS);
+        List<String> voterNames = new ArrayList<>(new TreeSet<>(register().voters().names()));
+        int position = voterNames.indexOf(name);
+        return position >= 0 ? position : voterNames.size() + 1 + Math.floorMod(name.hashCode(), MAX_RANKS);
     }
 
-    // ---- writing ----
+    // ---- proposals ----
 
-    private void write(double now) {
-        Proposer.State s = writer.state();
-        if (s == Proposer.State.PREPARING || s == Proposer.State.ACCEPTING) {
-            if (now - writerSaid >= AGAIN) saysOfWriter(now);
+    private void propose(double now) {
+        Proposer.State state = proposer.state();
+        if (state == Proposer.State.PREPARING || state == Proposer.State.ACCEPTING) {
+            if (now - proposerSentAt >= RETRY_MS) sendProposerRequests(now);
             return;
         }
-        if (now < writerAgainAt) return;
-        Transition m = nextMove(now);
-        if (m == null && !doubts(now)) return;
-        count(m == null ? Counter.DOUBTS_ENDED : Counter.WRITES_BEGUN);
-        writer.start(whole != null && isWholeNow() ? whole : register(), m);
-        saysOfWriter(now);
+        if (now < nextProposalAt) return;
+        Transition transition = nextTransition(now);
+        if (transition == null && !mustFinishAcceptedProposal(now)) return;
+        increment(transition == null ? Counter.DOUBTS_ENDED : Counter.WRITES_BEGUN);
+        proposer.start(completeRegister != null && hasLatestComplete() ? completeRegister : register(), transition);
+        sendProposerRequests(now);
     }
 
     /**
-     * A voter that has accepted what nobody has told it to be decided: who put it there may be dead, and the others may
-     * wait for its word. After a while, by rank, it finishes that itself.
+     * Whether this voter has to finish a proposal that it accepted and was never told to be decided. Its proposer may
+     * be dead, and the other voters may wait for the outcome; so after a delay by rank the voter finishes it itself.
      */
-    private boolean doubts(double now) {
-        PolicyRegister b = voter.state().accepted();
-        boolean settled = b == null || b.revision() <= register().revision()
-            || voter.state().acceptedNumber().equals(undecided);
-        if (settled) doubtsSince = Double.NaN;
-        else if (Double.isNaN(doubtsSince)) doubtsSince = now;
-        return now - doubtsSince >= TAKEOVER + RANK * rank();
-    }
-
-    private void saysOfWriter(double now) {
-        writerSaid = now;
-        Map<String, PolicyMessage> all = writer.pendingRequests();
-        all.forEach((n, what) -> {
-            if (!n.equals(name)) say(n, what);
+    private boolean mustFinishAcceptedProposal(double now) {
+        PolicyRegister accepted = voter.state().accepted();
+        boolean resolved = accepted == null || accepted.revision() <= register().revision()
+            || voter.state().acceptedNumber().equals(knownUndecided);
+        if (resolved) undecidedSince = Double.NaN;
+        else if (Double.isNaN(undecidedSince)) undecidedSince = now;
+        return now - undecidedSince >= takeoverDelay();
+    }
+
+    private void sendProposerRequests(double now) {
+        proposerSentAt = now;
+        Map<String, PolicyMessage> requests = proposer.pendingRequests();
+        requests.forEach((to, request) -> {
+            if (!to.equals(name)) send(to, request);
         });
-        if (all.containsKey(name)) onMessage(now, name, all.get(name));
+        if (requests.containsKey(name)) onMessage(now, name, requests.get(name));
     }
 
-    private Transition nextMove(double now) {
-        if (!asked.isEmpty()) return asked.values().iterator().next();
-        if (!enrols.isEmpty()) return new Transition.RegisterDirectors(Map.copyOf(enrols));
-        if (!leaves.isEmpty()) {
-            Map.Entry<String, Long> e = leaves.entrySet().iterator().next();
-            return new Transition.RemoveDirector(e.getKey(), e.getValue(), "it said so");
+    private Transition nextTransition(double now) {
+        if (!submitted.isEmpty()) return submitted.values().iterator().next();
+        if (!joinRequests.isEmpty()) return new Transition.RegisterDirectors(Map.copyOf(joinRequests));
+        if (!leaveRequests.isEmpty()) {
+            Map.Entry<String, Long> request = leaveRequests.entrySet().iterator().next();
+            return new Transition.RemoveDirector(request.getKey(), request.getValue(), "it leaves the fleet");
         }
-        return drives && isWholeNow() ? coordinator.nextTransition(whole, now) : null;
+        return coordinating && hasLatestComplete() ? coordinator.nextTransition(completeRegister, now) : null;
     }
 
-    private void afterWrite(double now) {
-        Proposer.State s = writer.state();
-        if (s == Proposer.State.DONE) {
-            PolicyRegister b = writer.decided();
-            boolean own = writer.isOwnTransition();
-            Transition m = writer.transition();
-            if (own) count(Counter.WRITES_DONE);
-            // Most voters know nothing later: what this one has accepted was never decided, and is left at that.
-            if (m == null && (b == null || b.revision() <= register().revision())) {
-                undecided = voter.state().acceptedNumber();
-            }
-            if (own) settleAsked(m, "done, revision " + b.revision());
-            writer.reset();
-            if (b != null) {
-                announce(b, own ? m : null);
-                heard(b, now);
-            }
-            write(now);
-        } else if (s == Proposer.State.LOST) {
-            count(Counter.WRITES_LOST);
-            Transition m = writer.transition();
-            if (writer.rejectionReason() != null) {
-                settleAsked(m, "refused: " + writer.rejectionReason());
-                if (m instanceof Transition.RegisterDirectors e) enrols.keySet().removeAll(e.registrations().keySet());
-                if (m instanceof Transition.RemoveDirector k) leaves.remove(k.name());
+    private void handleProposerResult(double now) {
+        Proposer.State state = proposer.state();
+        if (state == Proposer.State.DONE) onProposalDone(now);
+        else if (state == Proposer.State.LOST) onProposalLost(now);
+    }
+
+    private void onProposalDone(double now) {
+        PolicyRegister decided = proposer.decided();
+        boolean own = proposer.isOwnTransition();
+        Transition transition = proposer.transition();
+        if (own) increment(Counter.WRITES_DONE);
+        // A majority of the voters has nothing later: what this voter accepted was never decided, and is ignored.
+        if (transition == null && (decided == null || decided.revision() <= register().revision())) {
+            knownUndecided = voter.state().acceptedNumber();
+        }
+        if (own) recordOutcome(transition, "done, revision " + decided.revision());
+        proposer.reset();
+        if (decided != null) {
+            announce(decided, own ? transition : null);
+            learn(decided, now);
+        }
+        propose(now);
+    }
+
+    private void onProposalLost(double now) {
+        increment(Counter.WRITES_LOST);
+        Transition transition = proposer.transition();
+        if (proposer.rejectionReason() != null) {
+            recordOutcome(transition, "refused: " + proposer.rejectionReason());
+            if (transition instanceof Transition.RegisterDirectors register) {
+                joinRequests.keySet().removeAll(register.registrations().keySet());
             }
-            writer.reset();
-            writerAgainAt = now + LOST_MIN + LOST_RANDOM * chance.nextDouble();
+            if (transition instanceof Transition.RemoveDirector removal) leaveRequests.remove(removal.name());
         }
+        proposer.reset();
+        nextProposalAt = now + REPROPOSE_MIN_MS + REPROPOSE_JITTER_MS * random.nextDouble();
     }
 
-    private void settleAsked(Transition m, String how) {
-        if (how == null) return;
-        for (Map.Entry<String, Transition> e : asked.entrySet()) {
-            if (e.getValue() != m) continue;
-            if (outcomes.size() >= MOST_TRIED) outcomes.remove(outcomes.keySet().iterator().next());
-            outcomes.put(e.getKey(), how);
-            asked.remove(e.getKey());
+    /** Keeps the outcome where the transition is one that an operator submitted. */
+    private void recordOutcome(Transition transition, String outcome) {
+        for (Map.Entry<String, Transition> entry : submitted.entrySet()) {
+            if (entry.getValue() != transition) continue;
+            if (outcomes.size() >= MAX_OUTCOMES) outcomes.remove(outcomes.keySet().iterator().next());
+            outcomes.put(entry.getKey(), outcome);
+            submitted.remove(entry.getKey());
             return;
         }
     }
 
-    /** What concerns all is told to all; who comes and goes only to those and to the voters. */
-    private void announce(PolicyRegister b, Transition m) {
-        Set<String> to = new TreeSet<>();
-        boolean ofFew = m instanceof Transition.RegisterDirectors || m instanceof Transition.RemoveDirector
-            || m == null;
-        if (!ofFew) to.addAll(b.registrations().keySet());
-        if (m instanceof Transition.RegisterDirectors e) to.addAll(e.registrations().keySet());
-        if (m instanceof Transition.RemoveDirector s) to.add(s.name());
-        to.removeAll(b.voters().names());
-        to.remove(name);
-        for (String n : b.voters().names()) if (!n.equals(name)) say(n, new PolicyMessage.Decided(b));
-        for (String n : to) say(n, new PolicyMessage.Decided(b.brief(n)));
+    /**
+     * Sends a decided register to the voters; a change of the plan or of the voters also to all registered directors,
+     * a registration or removal only to the directors concerned.
+     */
+    private void announce(PolicyRegister register, Transition transition) {
+        Set<String> receivers = new TreeSet<>();
+        boolean concernsFew = transition instanceof Transition.RegisterDirectors
+            || transition instanceof Transition.RemoveDirector || transition == null;
+        if (!concernsFew) receivers.addAll(register.registrations().keySet());
+        if (transition instanceof Transition.RegisterDirectors registering) {
+            receivers.addAll(registering.registrations().keySet());
+        }
+        if (transition instanceof Transition.RemoveDirector removal) receivers.add(removal.name());
+        receivers.removeAll(register.voters().names());
+        receivers.remove(name);
+        for (String to : register.voters().names()) {
+            if (!to.equals(name)) send(to, new PolicyMessage.Decided(register));
+        }
+        for (String to : receivers) send(to, new PolicyMessage.Decided(register.brief(to)));
     }
 
     // ---- operators ----
 
-    /** Tries a step that an operator wants; {@link #outcome} has the answer under this key. */
-    public void submit(double now, String key, Transition m) {
-        asked.put(key, m);
-        write(now);
+    /** Tries a transition that an operator wants; {@link #outcome} has the result under this key. */
+    public void submit(double now, String key, Transition transition) {
+        submitted.put(key, transition);
+        propose(now);
     }
 
-    /** Null while it is being tried, and where nobody asked. */
+    /** The outcome of a submitted transition; null while it is pending, and where none was submitted. */
     public String outcome(String key) {
         return outcomes.get(key);
     }
 
+    /** Whether the transition submitted under this key has no outcome yet. */
     public boolean isPending(String key) {
-        return asked.containsKey(key);
+        return submitted.containsKey(key);
     }
 
-    /** It decides nothing any more, and says so until it is off the roll; {@link #hasLeft} then. */
+    /** Stops deciding lookups and asks to be removed until it is not registered any more; then {@link #hasLeft}. */
     public void leave(double now) {
         leaving = true;
         if (!replica.isRegistered()) left = true;
@@ -577,130 +677,153 @@
         return left;
     }
 
+    /** A connection to this address was refused: no process listens there. */
     public void onConnectionRefused(String atHost, int atPort) {
-        if (whole != null) coordinator.onConnectionRefused(whole, atHost, atPort);
+        if (completeRegister != null) coordinator.onConnectionRefused(completeRegister, atHost, atPort);
     }
 
     // ---- messages ----
 
-    public void onMessage(double now, String from, PolicyMessage s) {
+    /** Handles a message of another director, or of this one to itself. */
+    public void onMessage(double now, String from, PolicyMessage message) {
         if (left) return;
-        if (s instanceof PolicyMessage.Prepare p) step(from, voter.on(p), false);
-        else if (s instanceof PolicyMessage.Accept a) step(from, voter.on(a), true);
-        else if (s instanceof PolicyMessage.Promised p) {
-            observedStoreIds.put(from, p.storeId());
-            writer.on(from, p);
-            if (writer.state() == Proposer.State.ACCEPTING) saysOfWriter(now);
-            afterWrite(now);
-        } else if (s instanceof PolicyMessage.Accepted a) {
-            writer.on(from, a);
-            afterWrite(now);
-        } else if (s instanceof PolicyMessage.Rejected l) {
-            writer.on(l);
-            afterWrite(now);
-        } else if (s instanceof PolicyMessage.Decided d) {
-            heard(d.register(), now);
-        } else if (s instanceof PolicyMessage.Learn l) {
-            teach(from, l);
-        } else if (s instanceof PolicyMessage.VotersRedirect a) {
-            if (a.voterSetNumber() > register().voters().number()
-                && (pointed == null || a.voterSetNumber() > pointed.voterSetNumber())) {
-                pointed = a;
-                learnAt = Math.min(learnAt, now);
-            }
-        } else if (s instanceof PolicyMessage.JoinRequest e) {
-            enrols.put(from, new PolicyRegister.Registration(e.incarnation(), e.host(), e.port(), false));
-            if (isWholeNow() && whole.isRegistered(from, e.incarnation())) {
-                enrols.remove(from);
-                say(from, new PolicyMessage.Decided(whole.brief(from)));
-            }
-        } else if (s instanceof PolicyMessage.LeaveRequest l) {
-            if (isWholeNow() && whole.registration(from, l.incarnation()) == null) {
-                say(from, new PolicyMessage.Decided(whole.brief(from)));
-            } else {
-                leaves.put(from, l.incarnation());
+        if (message instanceof PolicyMessage.Prepare prepare) {
+            handleVoterStep(from, voter.on(prepare), false);
+        } else if (message instanceof PolicyMessage.Accept accept) {
+            handleVoterStep(from, voter.on(accept), true);
+        } else if (message instanceof PolicyMessage.Promised promised) {
+            observedStoreIds.put(from, promised.storeId());
+            proposer.on(from, promised);
+            if (proposer.state() == Proposer.State.ACCEPTING) sendProposerRequests(now);
+            handleProposerResult(now);
+        } else if (message instanceof PolicyMessage.Accepted accepted) {
+            proposer.on(from, accepted);
+            handleProposerResult(now);
+        } else if (message instanceof PolicyMessage.Rejected rejected) {
+            proposer.on(rejected);
+            handleProposerResult(now);
+        } else if (message instanceof PolicyMessage.Decided decided) {
+            learn(decided.register(), now);
+        } else if (message instanceof PolicyMessage.Learn request) {
+            onLearn(from, request);
+        } else if (message instanceof PolicyMessage.VotersRedirect received) {
+            onVotersRedirect(received, now);
+        } else if (message instanceof PolicyMessage.JoinRequest request) {
+            onJoinRequest(from, request);
+        } else if (message instanceof PolicyMessage.LeaveRequest request) {
+            onLeaveRequest(from, request);
+        } else if (message instanceof PolicyMessage.LeaseRequest request) {
+            if (isVoter()) deliver(from, voter.on(request, from, hasLatestComplete() ? completeRegister : null), now);
+        } else if (message instanceof PolicyMessage.LeaseReply reply) {
+            observedStoreIds.put(from, reply.storeId());
+            if (!reply.granted()) increment(Counter.LEASE_REFUSALS);
+            if (replica.onLeaseReply(from, reply)) send(from, learnRequest());
+        } else if (message instanceof PolicyMessage.ProgressRequest request) {
+            onProgressRequest(now, from, request);
+        } else if (message instanceof PolicyMessage.ProgressReport report) {
+            coordinator.onProgress(register(), from, report);
+        } else if (message instanceof PolicyMessage.ProgressReports collected) {
+            if (register().change() != null && collected.stageRevision() == register().change().stageRevision()) {
+                collected.reports().forEach((of, report) -> coordinator.onProgress(register(), of, report));
             }
-        } else if (s instanceof PolicyMessage.LeaseRequest m) {
-            if (isVoter()) tell(from, voter.on(m, from, isWholeNow() ? whole : null), now);
-        } else if (s instanceof PolicyMessage.LeaseReply y) {
-            observedStoreIds.put(from, y.storeId());
-            if (!y.granted()) count(Counter.LEASE_REFUSALS);
-            if (replica.onLeaseReply(from, y)) say(from, new PolicyMessage.Learn(register().revision(), isVoter()));
-        } else if (s instanceof PolicyMessage.ProgressRequest h) {
-            howFar(now, from, h);
-        } else if (s instanceof PolicyMessage.ProgressReport st) {
-            coordinator.onProgress(register(), from, st);
-        } else if (s instanceof PolicyMessage.ProgressReports w) {
-            if (register().change() != null && w.stageRevision() == register().change().stageRevision()) {
-                w.reports().forEach((n, st) -> coordinator.onProgress(register(), n, st));
-            }
-        } else if (s instanceof PolicyMessage.TextRequest f) {
-            say(from, texts.chunk(f));
-        } else if (s instanceof PolicyMessage.TextChunk c) {
-            piece(from, c);
-        } else if (s instanceof PolicyMessage.TextNotFound) {
-            fetchAt = Math.min(fetchAt, now + FETCH_AGAIN / 4);
+        } else if (message instanceof PolicyMessage.TextRequest request) {
+            send(from, texts.chunk(request));
+        } else if (message instanceof PolicyMessage.TextChunk chunk) {
+            onTextChunk(from, chunk);
+        } else if (message instanceof PolicyMessage.TextNotFound) {
+            nextFetchAt = Math.min(nextFetchAt, now + FETCH_RETRY_MS / 4);
+        }
+        if (message instanceof PolicyMessage.JoinRequest || message instanceof PolicyMessage.LeaveRequest
+            || message instanceof PolicyMessage.ProgressReport || message instanceof PolicyMessage.ProgressReports) {
+            propose(now);
         }
-        if (s instanceof PolicyMessage.JoinRequest || s instanceof PolicyMessage.LeaveRequest
-            || s instanceof PolicyMessage.ProgressReport || s instanceof PolicyMessage.ProgressReports) write(now);
     }
 
-    private void step(String from, Voter.Step s, boolean accepts) {
-        if (s.reply() != null) say(from, s.reply());
-        if (s.persist() == null) return;
-        rest.add(new Rest(from, accepts));
-        works.add(new PersistVoterState(s.persist()));
+    private PolicyMessage.Learn learnRequest() {
+        return new PolicyMessage.Learn(register().revision(), isVoter());
+    }
+
+    private void onVotersRedirect(PolicyMessage.VotersRedirect received, double now) {
+        if (received.voterSetNumber() <= register().voters().number()) return;
+        if (redirect != null && received.voterSetNumber() <= redirect.voterSetNumber()) return;
+        redirect = received;
+        nextLearnAt = Math.min(nextLearnAt, now);
     }
 
-    // Who waits for which write, in the order of the works.
-    private final List<Rest> rest = new ArrayList<>();
+    private void onJoinRequest(String from, PolicyMessage.JoinRequest request) {
+        joinRequests.put(from,
+            new PolicyRegister.Registration(request.incarnation(), request.host(), request.port(), false));
+        if (hasLatestComplete() && completeRegister.isRegistered(from, request.incarnation())) {
+            joinRequests.remove(from);
+            send(from, new PolicyMessage.Decided(completeRegister.brief(from)));
+        }
+    }
+
+    private void onLeaveRequest(String from, PolicyMessage.LeaveRequest request) {
+        if (hasLatestComplete() && completeRegister.registration(from, request.incarnation()) == null) {
+            send(from, new PolicyMessage.Decided(completeRegister.brief(from)));
+        } else {
+            leaveRequests.put(from, request.incarnation());
+        }
+    }
 
-    private record Rest(String to, boolean accepts) { }
+    private void handleVoterStep(String from, Voter.Step step, boolean accepting) {
+        if (step.reply() != null) send(from, step.reply());
+        if (step.persist() == null) return;
+        pendingReplies.add(new PendingReply(from, accepting));
+        actions.add(new PersistVoterState(step.persist()));
+    }
 
-    /** The voter's state is on disk; what rested on it is said now. */
-    public void voterStateSynced(double now, Voter.State kept) {
-        count(Counter.SYNCS);
-        PolicyMessage.Receipt r = voter.synced(kept);
-        Rest x = rest.remove(0);
-        tell(x.to, x.accepts ? PolicyMessage.Accepted.of(r) : PolicyMessage.Promised.of(r), now);
+    /** The voter's state is on disk; the reply that rests on it is sent now. */
+    public void voterStateSynced(double now, Voter.State synced) {
+        increment(Counter.SYNCS);
+        PolicyMessage.Receipt receipt = voter.synced(synced);
+        PendingReply pending = pendingReplies.remove(0);
+        deliver(pending.to, pending.accepting ? PolicyMessage.Accepted.of(receipt)
+            : PolicyMessage.Promised.of(receipt), now);
     }
 
-    /** The disk has refused: what would have rested on it is not said, to anybody. */
+    /** The write has failed: the reply that would have rested on it is never sent. */
     public void voterStateNotSynced() {
-        rest.remove(0);
+        pendingReplies.remove(0);
         voter.syncFailed();
     }
 
-    private void teach(String from, PolicyMessage.Learn l) {
-        PolicyRegister b = isWholeNow() ? whole : null;
-        if (b != null && (b.revision() > l.revision() || l.complete() && b.revision() == l.revision())
-            && b.revision() > 0) {
-            say(from, new PolicyMessage.Decided(l.complete() ? b : b.brief(from)));
-        } else if (b == null && register().revision() > l.revision()) {
-            say(from, new PolicyMessage.VotersRedirect(register().voters().number(), register().voters().names()));
+    /** Answers with the register, or, where only a brief one is known here, redirects to the voters. */
+    private void onLearn(String from, PolicyMessage.Learn request) {
+        PolicyRegister known = hasLatestComplete() ? completeRegister : null;
+        if (known != null && known.revision() > 0 && (known.revision() > request.revision()
+            || request.complete() && known.revision() == request.revision())) {
+            send(from, new PolicyMessage.Decided(request.complete() ? known : known.brief(from)));
+        } else if (known == null && register().revision() > request.revision()) {
+            send(from, new PolicyMessage.VotersRedirect(register().voters().number(), register().voters().names()));
         }
     }
 
-    private void howFar(double now, String from, PolicyMessage.ProgressRequest h) {
+    private void onProgressRequest(double now, String from, PolicyMessage.ProgressRequest request) {
+        Change change = register().change();
         if (!from.equals(name)) {
-            otherDrove = now;
-            // Of two that drive the one that began it goes on, else the first by name.
-            Change c = register().change();
-            boolean yields = c != null && !c.by().equals(name) && (c.by().equals(from) || from.compareTo(name) < 0);
-            if (drives && yields) drives = false;
-        }
-        if (h.revision() > register().revision()) say(from, new PolicyMessage.Learn(register().revision(), isVoter()));
-        Change c = register().change();
-        if (c == null || c.stageRevision() != h.stageRevision()) return;
-        if (isVoter()) say(from, new PolicyMessage.ProgressReports(c.stageRevision(),
-            coordinator.reports(register().plan().number())));
-        if (replica.isRegistered() && c.stage() != Stage.TRIAL) say(from, standing(now));
-    }
-
-    private void piece(String from, PolicyMessage.TextChunk c) {
-        byte[] all = texts.addChunk(c);
-        if (all != null) works.add(new ValidateText(c.digest(), all));
-        else if (texts.isRequested(c.digest())) say(from, new PolicyMessage.TextRequest(c.digest(),
-            texts.receivedBytes(c.digest())));
+            otherCoordinatedAt = now;
+            // Of two coordinators the one that submitted the change goes on, else the first by name.
+            boolean yields = change != null && !change.by().equals(name)
+                && (change.by().equals(from) || from.compareTo(name) < 0);
+            if (coordinating && yields) coordinating = false;
+        }
+        if (request.revision() > register().revision()) send(from, learnRequest());
+        if (change == null || change.stageRevision() != request.stageRevision()) return;
+        if (isVoter()) {
+            send(from, new PolicyMessage.ProgressReports(change.stageRevision(),
+                coordinator.reports(register().plan().number())));
+        }
+        if (replica.isRegistered() && change.stage() != Stage.TRIAL) send(from, progressReport(now));
+    }
+
+    private void onTextChunk(String from, PolicyMessage.TextChunk chunk) {
+        byte[] text = texts.addChunk(chunk);
+        if (text != null) {
+            actions.add(new ValidateText(chunk.digest(), text));
+        } else if (texts.isRequested(chunk.digest())) {
+            send(from, new PolicyMessage.TextRequest(chunk.digest(), texts.receivedBytes(chunk.digest())));
+        }
     }
 }
