--- a/src/main/java/mothcross/policy/PolicyReplica.java
+++ b/src/main/java/mothcross/policy/PolicyReplica.java
@@ -6,52 +6,65 @@
 import java.util.TreeSet;
 
 /**
- * What one director holds of the policy: the latest decided book it has heard of, the plan it decides by, and whether
- * it is bound. A bound director decides only until its lease is over; leases are given by most of the voters and count
- * from when they were asked for. It binds itself when it says that it is ready, and is free once the stage is over.
- * Spans on the own clock only. Owns that; must never decide by a plan that is not decided, by an older one than it has
- * heard of, or past its lease.
+ * One director's replica of the register: the latest decided register that it knows, the plan it decides lookups by,
+ * and whether it requires a lease. With a lease required it decides lookups only until the lease expires. A majority of
+ * the voters grants a lease, and it counts from when it was asked for. A director binds itself to a stage when it
+ * reports that it is ready, and is released when that stage is over. It decides only by a decided plan, never by an
+ * older one than it has heard of. All times are of the own monotonic clock; only differences matter.
  */
 public final class PolicyReplica {
-    /** Why it decides nothing. */
+    /** Why the director decides no lookups; the status JSON shows these names. NO: it does decide them. */
     public enum StopReason { NO, NOT_SEATED, NO_TEXT, LEASE_OVER }
 
+    /** A lease is asked for this many times while one lasts. */
+    private static final int REQUESTS_PER_LEASE = 4;
+
     private final String name;
     private long incarnation;
     private PolicyRegister register;
-    private long plan = -1;                                 // what it decides by; -1: nothing yet
-    private long boundStage = -1;                           // the stage, by its first revision; -1: free of it
-    private double leaseExpiresAt = Double.NEGATIVE_INFINITY;  // end of the lease, where it is bound
-    private long question;
-    private double askedAt = Double.NaN, askedLast = Double.NEGATIVE_INFINITY;
-    private final Map<String, String> yes = new TreeMap<>();
-    private final Set<String> no = new TreeSet<>();
-    private final Set<String> texts = new TreeSet<>();      // digests that are on disk and compiled here
-
-    public PolicyReplica(String name, long life, PolicyRegister kept) {
+    // Number of the plan that lookups are decided by; -1: none.
+    private long plan = -1;
+    // First revision of the stage that this director has bound itself to; -1: none.
+    private long boundStage = -1;
+    private double leaseExpiresAt = Double.NEGATIVE_INFINITY;
+    private long requestNumber;
+    // When the request was sent whose replies count; NaN: none is open.
+    private double openRequestAt = Double.NaN;
+    private double lastRequestAt = Double.NEGATIVE_INFINITY;
+    // Of the open request: store ids of those that granted it by name, and the names of those that refused.
+    private final Map<String, String> grantedBy = new TreeMap<>();
+    private final Set<String> refusedBy = new TreeSet<>();
+    // Digests of the texts that are on disk and compiled here.
+    private final Set<String> texts = new TreeSet<>();
+
+    /** {@code stored} is the register to begin with. */
+    public PolicyReplica(String name, long incarnation, PolicyRegister stored) {
         this.name = name;
-        this.incarnation = life;
-        this.register = kept;
+        this.incarnation = incarnation;
+        this.register = stored;
         texts.add("");
     }
 
-    public PolicyReplica(PolicyReplica h) {
-        this(h.name, h.incarnation, h.register);
-        plan = h.plan;
-        boundStage = h.boundStage;
-        leaseExpiresAt = h.leaseExpiresAt;
-        question = h.question;
-        askedAt = h.askedAt;
-        askedLast = h.askedLast;
-        yes.putAll(h.yes);
-        no.addAll(h.no);
-        texts.addAll(h.texts);
+    /** A copy, for the state explorer. */
+    public PolicyReplica(PolicyReplica other) {
+        this(other.name, other.incarnation, other.register);
+        plan = other.plan;
+        boundStage = other.boundStage;
+        leaseExpiresAt = other.leaseExpiresAt;
+        requestNumber = other.requestNumber;
+        openRequestAt = other.openRequestAt;
+        lastRequestAt = other.lastRequestAt;
+        grantedBy.putAll(other.grantedBy);
+        refusedBy.addAll(other.refusedBy);
+        texts.addAll(other.texts);
     }
 
+    /** The latest decided register that is known here. */
     public PolicyRegister register() {
         return register;
     }
 
+    /** The number of the plan that lookups are decided by; -1: none. */
     public long plan() {
         return plan;
     }
@@ -60,22 +73,24 @@
         return incarnation;
     }
 
+    /** When the lease expires; it matters only where one is required. */
     public double leaseExpiresAt() {
         return leaseExpiresAt;
     }
 
+    /** Digests of the texts that are on disk and compiled here; "" is always among them. */
     public Set<String> texts() {
         return texts;
     }
 
-    /** Its clock went back and its disk is new: its seat is a former life's, which this one has outlived. */
-    void restartAbove(long above) {
-        if (!isRegistered()) incarnation = above + 1;
+    /** The register has a higher incarnation, since the clock went back and the disk is new: continues above it. */
+    void restartAbove(long registeredIncarnation) {
+        if (!isRegistered()) incarnation = registeredIncarnation + 1;
     }
 
-    /** A text is on disk and compiled, or is not held any more. */
-    public void setTextAvailable(String digest, boolean here) {
-        if (here) texts.add(digest);
+    /** A text is on disk and compiled, or is not stored any more. */
+    public void setTextAvailable(String digest, boolean available) {
+        if (available) texts.add(digest);
         else if (!digest.isEmpty()) texts.remove(digest);
         activatePlan();
     }
@@ -84,38 +99,44 @@
         return register.isRegistered(name, incarnation);
     }
 
-    /** It decides only while it has a lease. */
+    /** Whether it may decide lookups only while it has a lease. */
     public boolean requiresLease() {
         return register.plan().leases() || boundStage >= 0;
     }
 
-    /** A decided book; false where it is no news. A brief one is cut for this director. */
-    public boolean learn(PolicyRegister b) {
-        boolean fuller = b.revision() == register.revision() && b.complete() && !register.complete();
-        if (b.revision() < register.revision() || b.revision() == register.revision() && !fuller) return false;
-        register = b;
-        Change c = b.change();
-        if (boundStage >= 0 && (c == null || c.stageRevision() != boundStage)) boundStage = -1;
-        if (no.size() > 0 || !yes.isEmpty()) forgetAnswers();
+    /** Takes a decided register, complete or cut for this director; false where it is nothing new. */
+    public boolean learn(PolicyRegister decided) {
+        boolean sameRevision = decided.revision() == register.revision();
+        boolean completes = sameRevision && decided.complete() && !register.complete();
+        if (decided.revision() < register.revision() || sameRevision && !completes) return false;
+        register = decided;
+        Change change = decided.change();
+        if (boundStage >= 0 && (change == null || change.stageRevision() != boundStage)) boundStage = -1;
+        if (!refusedBy.isEmpty() || !grantedBy.isEmpty()) closeRequest();
         activatePlan();
         return true;
     }
 
-    /** The decided plan is taken up as soon as its texts are here, and no older one is decided by from then on. */
+    /** Activates the decided plan as soon as its texts are here; until then no older plan is decided by either. */
     private void activatePlan() {
-        Plan p = register.plan();
-        if (p.number() == plan || register.revision() == 0) return;
-        plan = texts.contains(p.main()) && texts.contains(p.trial()) ? p.number() : -1;
-    }
-
-    /** Its own word that it is ready for this stage: from now on it decides by the old plan only under a lease. */
-    public boolean bind(long since, double now) {
-        Change c = register.change();
-        boolean fits = c != null && c.stage() == Change.Stage.BINDING && c.stageRevision() == since && isRegistered()
-            && texts.contains(c.target().main()) && texts.contains(c.target().trial());
-        if (!fits) return false;
+        Plan decided = register.plan();
+        if (decided.number() == plan || register.revision() == 0) return;
+        boolean textsAvailable = texts.contains(decided.main()) && texts.contains(decided.trial());
+        plan = textsAvailable ? decided.number() : -1;
+    }
+
+    /**
+     * Binds this director to a stage, where it is ready for it: from now on it decides by the old plan only under a
+     * lease. False where it is not ready.
+     */
+    public boolean bind(long stageRevision, double now) {
+        Change change = register.change();
+        boolean ready = change != null && change.stage() == Change.Stage.BINDING
+            && change.stageRevision() == stageRevision && isRegistered()
+            && texts.contains(change.target().main()) && texts.contains(change.target().trial());
+        if (!ready) return false;
         if (!requiresLease()) leaseExpiresAt = now + register.leaseMs();
-        boundStage = since;
+        boundStage = stageRevision;
         return true;
     }
 
@@ -128,38 +149,40 @@
 
     // ---- leases ----
 
-    /** The next question for a lease where one is due; null where none is. Each voter is asked the same. */
+    /** The next lease request, to be sent to each voter; null where none is due. */
     public PolicyMessage.LeaseRequest nextLeaseRequest(double now) {
-        if (!requiresLease() || !isRegistered() || plan < 0 || now - askedLast < register.leaseMs() / 4) return null;
-        forgetAnswers();
-        askedLast = askedAt = now;
-        return new PolicyMessage.LeaseRequest(incarnation, plan, register.voters().number(), ++question);
-    }
-
-    private void forgetAnswers() {
-        yes.clear();
-        no.clear();
-        askedAt = Double.NaN;
-    }
-
-    /** True where a voter knows of a later book. */
-    public boolean onLeaseReply(String from, PolicyMessage.LeaseReply y) {
-        if (y.number() == question && !Double.isNaN(askedAt)) {
-            if (y.granted()) yes.put(from, y.storeId());
-            else no.add(from);
-            if (y.granted() && register.voters().number() > 0 && register.voters().isQuorum(yes)) {
-                leaseExpiresAt = Math.max(leaseExpiresAt, askedAt + register.leaseMs());
+        if (!requiresLease() || !isRegistered() || plan < 0) return null;
+        if (now - lastRequestAt < register.leaseMs() / REQUESTS_PER_LEASE) return null;
+        closeRequest();
+        lastRequestAt = now;
+        openRequestAt = now;
+        return new PolicyMessage.LeaseRequest(incarnation, plan, register.voters().number(), ++requestNumber);
+    }
+
+    private void closeRequest() {
+        grantedBy.clear();
+        refusedBy.clear();
+        openRequestAt = Double.NaN;
+    }
+
+    /** Counts a voter's reply; true where that voter knows of a later register. */
+    public boolean onLeaseReply(String from, PolicyMessage.LeaseReply reply) {
+        if (reply.number() == requestNumber && !Double.isNaN(openRequestAt)) {
+            if (reply.granted()) grantedBy.put(from, reply.storeId());
+            else refusedBy.add(from);
+            if (reply.granted() && register.voters().number() > 0 && register.voters().isQuorum(grantedBy)) {
+                leaseExpiresAt = Math.max(leaseExpiresAt, openRequestAt + register.leaseMs());
             }
         }
-        return !y.granted() && y.revision() > register.revision();
+        return !reply.granted() && reply.revision() > register.revision();
     }
 
-    /** Who said no to the last question. */
+    /** Names of the voters that refused the open request. */
     public Set<String> refusedBy() {
-        return no;
+        return refusedBy;
     }
 
-    /** The stage that it has bound itself for, by its first revision; -1: none. */
+    /** First revision of the stage that this director has bound itself to; -1: none. */
     public long boundStage() {
         return boundStage;
     }
--- a/src/main/java/mothcross/policy/ProposalNumber.java
+++ b/src/main/java/mothcross/policy/ProposalNumber.java
@@ -3,16 +3,17 @@
 import com.google.gson.annotations.SerializedName;
 
 /**
- * The number of one attempt to write the register; of two, one is always before the other. {@code incarnation} is the
- * writer's incarnation, so that none is ever used twice, whatever a writer forgets.
+ * The number of one attempt to write the register, totally ordered by round, proposer and incarnation. The incarnation
+ * is that of the proposer's process, so that no number is used twice even where a proposer loses all its state.
  */
 public record ProposalNumber(long round, @SerializedName("by") String proposer,
                              @SerializedName("life") long incarnation) implements Comparable<ProposalNumber> {
+    /** Precedes the number of every attempt. */
     public static final ProposalNumber NONE = new ProposalNumber(0, "", 0);
 
-    @Override public int compareTo(ProposalNumber o) {
-        int c = Long.compare(round, o.round);
-        if (c == 0) c = proposer.compareTo(o.proposer);
-        return c != 0 ? c : Long.compare(incarnation, o.incarnation);
+    @Override public int compareTo(ProposalNumber other) {
+        int order = Long.compare(round, other.round);
+        if (order == 0) order = proposer.compareTo(other.proposer);
+        return order != 0 ? order : Long.compare(incarnation, other.incarnation);
     }
 }
--- a/src/main/java/mothcross/policy/Proposer.java
+++ b/src/main/java/mothcross/policy/Proposer.java
@@ -9,222 +9,246 @@
 import java.util.TreeMap;
 
 /**
- * One attempt at the register: it is heard first by enough voters, finishes what one of them has accepted where that
- * may have been decided, and only else puts its own book there. Owns the attempt; must never offer a book of its own
- * that does not follow the latest decided one, nor count a voter under another mark.
+ * One attempt to write the register. It first gets promises of a quorum, then completes the latest register that one of
+ * these voters has accepted, since that may have been decided; only where that is the known register does it propose
+ * one of its own. Its own proposal always follows the latest decided register, and a voter that answers with another
+ * store id than the voter set names is not counted.
  * <pre>
- * IDLE --begin--> ASKS --enough promises--> OFFERS --enough have accepted--> DONE
- * ASKS, OFFERS --a later turn is promised--> LOST
+ * IDLE --start--> PREPARING --quorum of promises--> ACCEPTING --quorum has accepted--> DONE
+ * PREPARING --nothing to write--> DONE
+ * PREPARING, ACCEPTING --a later number is promised--> LOST
+ * PREPARING --the transition does not apply--> LOST
  * </pre>
  */
 public final class Proposer {
+    /** Where the attempt stands. */
     public enum State { IDLE, PREPARING, ACCEPTING, DONE, LOST }
 
     private final String name;
-    private final long life;
-    private final Set<String> founders;
+    private final long incarnation;
+    private final Set<String> initialVoters;
     private long round;
     private State state = State.IDLE;
     private ProposalNumber number = ProposalNumber.NONE;
-    private PolicyRegister known, offered;
+    private PolicyRegister known;
+    private PolicyRegister proposed;
     private Transition transition;
-    private boolean own;
+    private boolean ownTransition;
     private String rejectionReason;
-    // The sets of voters that have to be heard: the known ones, and those of a later book that was found.
-    private final List<VoterSet> asked = new ArrayList<>();
+    // The voter sets that need a quorum each: the known one, and those of later registers that were found.
+    private final List<VoterSet> voterSets = new ArrayList<>();
     private final Map<String, PolicyMessage.Promised> promises = new TreeMap<>();
-    private final Map<String, String> accepted = new TreeMap<>();
+    private final Map<String, String> acceptedBy = new TreeMap<>();
 
-    public Proposer(String name, long life, Set<String> founders) {
+    /** {@code initialVoters} are those that this director's file names. */
+    public Proposer(String name, long incarnation, Set<String> initialVoters) {
         this.name = name;
-        this.life = life;
-        this.founders = founders;
-    }
-
-    public Proposer(Proposer w) {
-        this(w.name, w.life, w.founders);
-        round = w.round;
-        state = w.state;
-        number = w.number;
-        known = w.known;
-        offered = w.offered;
-        transition = w.transition;
-        own = w.own;
-        rejectionReason = w.rejectionReason;
-        asked.addAll(w.asked);
-        promises.putAll(w.promises);
-        accepted.putAll(w.accepted);
+        this.incarnation = incarnation;
+        this.initialVoters = initialVoters;
+    }
+
+    /** A copy, for the state explorer. */
+    public Proposer(Proposer other) {
+        this(other.name, other.incarnation, other.initialVoters);
+        round = other.round;
+        state = other.state;
+        number = other.number;
+        known = other.known;
+        proposed = other.proposed;
+        transition = other.transition;
+        ownTransition = other.ownTransition;
+        rejectionReason = other.rejectionReason;
+        voterSets.addAll(other.voterSets);
+        promises.putAll(other.promises);
+        acceptedBy.putAll(other.acceptedBy);
     }
 
     public State state() {
         return state;
     }
 
+    /** The number of the present or last attempt. */
     public ProposalNumber number() {
         return number;
     }
 
-    /** What is being tried; null where only what others left is finished. */
+    /** The transition that is tried; null where the attempt only completes what others have begun. */
     public Transition transition() {
         return transition;
     }
 
-    /** Why the move does not fit the book that was found. */
+    /** Why the transition can't be applied to the register that was found; null where it was not rejected. */
     public String rejectionReason() {
         return rejectionReason;
     }
 
+    /** Whether the proposed register comes from this proposer's own transition. */
     public boolean isOwnTransition() {
-        return own;
+        return ownTransition;
     }
 
-    /** Those that have to answer next and have not. */
+    /** Names of the voters that have not answered the present phase, or not with the store id that counts. */
     public List<String> awaitedVoters() {
-        Map<String, Boolean> all = new TreeMap<>();
-        for (VoterSet v : sets()) {
-            for (String n : v.names()) {
-                String mark = state == State.PREPARING ? promises.containsKey(n) ? promises.get(n).storeId() : null
-                    : accepted.get(n);
-                if (mark == null || !v.contains(n, mark)) all.put(n, true);
+        Map<String, Boolean> awaited = new TreeMap<>();
+        for (VoterSet voters : requiredVoterSets()) {
+            for (String voter : voters.names()) {
+                String storeId = answeredStoreId(voter);
+                if (storeId == null || !voters.contains(voter, storeId)) awaited.put(voter, true);
             }
         }
-        return List.copyOf(all.keySet());
+        return List.copyOf(awaited.keySet());
+    }
+
+    /** The store id that a voter answered the present phase with; null where it has not answered. */
+    private String answeredStoreId(String voter) {
+        if (state != State.PREPARING) return acceptedBy.get(voter);
+        PolicyMessage.Promised promise = promises.get(voter);
+        return promise == null ? null : promise.storeId();
     }
 
-    private List<VoterSet> sets() {
-        List<VoterSet> all = new ArrayList<>(asked);
-        if (state == State.ACCEPTING && !all.contains(offered.voters())) all.add(offered.voters());
-        return all;
+    private List<VoterSet> requiredVoterSets() {
+        List<VoterSet> required = new ArrayList<>(voterSets);
+        if (state == State.ACCEPTING && !required.contains(proposed.voters())) required.add(proposed.voters());
+        return required;
     }
 
-    /** By name what each voter is to be told now; to be said again as long as it does not answer. */
+    /** By voter name, the request to send now, and again as long as the voter does not answer. */
     public Map<String, PolicyMessage> pendingRequests() {
-        Map<String, PolicyMessage> all = new LinkedHashMap<>();
-        if (state != State.PREPARING && state != State.ACCEPTING) return all;
-        PolicyMessage s = state == State.PREPARING ? new PolicyMessage.Prepare(number,
-            known.revision() == 0 ? founders : Set.of())
-            : new PolicyMessage.Accept(number, offered);
-        for (String n : awaitedVoters()) all.put(n, s);
-        return all;
-    }
-
-    /** {@code transition} null: only to find out, and finish what another began. */
-    public void start(PolicyRegister knownNow, Transition toTry) {
-        known = knownNow;
+        Map<String, PolicyMessage> requests = new LinkedHashMap<>();
+        if (state != State.PREPARING && state != State.ACCEPTING) return requests;
+        PolicyMessage request = state == State.PREPARING
+            ? new PolicyMessage.Prepare(number, known.revision() == 0 ? initialVoters : Set.of())
+            : new PolicyMessage.Accept(number, proposed);
+        for (String voter : awaitedVoters()) requests.put(voter, request);
+        return requests;
+    }
+
+    /** Starts an attempt. A null transition only finds out what is accepted, and completes what another began. */
+    public void start(PolicyRegister knownRegister, Transition toTry) {
+        known = knownRegister;
         transition = toTry;
-        number = new ProposalNumber(++round, name, life);
+        number = new ProposalNumber(++round, name, incarnation);
         state = State.PREPARING;
-        offered = null;
-        own = false;
+        proposed = null;
+        ownTransition = false;
         rejectionReason = null;
-        asked.clear();
-        asked.add(known.voters());
+        voterSets.clear();
+        voterSets.add(known.voters());
         promises.clear();
-        accepted.clear();
+        acceptedBy.clear();
     }
 
+    /** Gives up the attempt, or puts away a finished one. */
     public void reset() {
         state = State.IDLE;
     }
 
-    public void on(PolicyMessage.Rejected l) {
-        round = Math.max(round, l.promised().round());
-        if (l.number().equals(number) && (state == State.PREPARING || state == State.ACCEPTING)) state = State.LOST;
+    /** A voter has promised a later number; the next attempt uses a higher round. */
+    public void on(PolicyMessage.Rejected rejected) {
+        round = Math.max(round, rejected.promised().round());
+        boolean active = state == State.PREPARING || state == State.ACCEPTING;
+        if (rejected.number().equals(number) && active) state = State.LOST;
     }
 
-    public void on(String from, PolicyMessage.Promised p) {
-        if (state != State.PREPARING || !p.number().equals(number)) return;
-        promises.put(from, p);
-        while (enoughPromises()) {
-            PolicyRegister latest = latest();
-            if (latest == null || asked.contains(latest.voters())) {
-                offer(latest);
+    /** A voter's promise; with a quorum the second phase begins. */
+    public void on(String from, PolicyMessage.Promised promise) {
+        if (state != State.PREPARING || !promise.number().equals(number)) return;
+        promises.put(from, promise);
+        while (hasPromiseQuorums()) {
+            PolicyRegister latest = latestAccepted();
+            if (latest == null || voterSets.contains(latest.voters())) {
+                propose(latest);
                 return;
             }
-            asked.add(latest.voters());                 // it may have been decided, and others after it by those
+            // This register may have been decided, and later ones by its voters: they have to be asked as well.
+            voterSets.add(latest.voters());
         }
     }
 
-    private boolean enoughPromises() {
-        Map<String, String> marks = new HashMap<>();
-        promises.forEach((n, p) -> marks.put(n, p.storeId()));
-        for (VoterSet v : asked) if (!v.isQuorum(marks)) return false;
+    private boolean hasPromiseQuorums() {
+        Map<String, String> promisedBy = new HashMap<>();
+        promises.forEach((voter, promise) -> promisedBy.put(voter, promise.storeId()));
+        for (VoterSet voters : voterSets) if (!voters.isQuorum(promisedBy)) return false;
         return true;
     }
 
-    /** Of what those that count have accepted, the one of the latest turn. */
-    private PolicyRegister latest() {
-        ProposalNumber at = ProposalNumber.NONE;
-        PolicyRegister b = null;
-        for (Map.Entry<String, PolicyMessage.Promised> e : promises.entrySet()) {
-            PolicyMessage.Promised p = e.getValue();
-            if (p.accepted() == null || p.acceptedNumber().compareTo(at) <= 0) continue;
+    /** Of the registers that the counted voters have accepted, the one of the latest number; null where none. */
+    private PolicyRegister latestAccepted() {
+        ProposalNumber latestNumber = ProposalNumber.NONE;
+        PolicyRegister latest = null;
+        for (Map.Entry<String, PolicyMessage.Promised> entry : promises.entrySet()) {
+            PolicyMessage.Promised promise = entry.getValue();
+            if (promise.accepted() == null || promise.acceptedNumber().compareTo(latestNumber) <= 0) continue;
             boolean counts = false;
-            for (VoterSet v : asked) counts |= v.contains(e.getKey(), p.storeId());
+            for (VoterSet voters : voterSets) counts |= voters.contains(entry.getKey(), promise.storeId());
             if (!counts) continue;
-            at = p.acceptedNumber();
-            b = p.accepted();
+            latestNumber = promise.acceptedNumber();
+            latest = promise.accepted();
         }
-        return b;
+        return latest;
     }
 
-    private void offer(PolicyRegister latest) {
-        long found = latest == null ? 0 : latest.revision();
-        if (found < known.revision()) {
-            rejectionReason = "the voters have forgotten revision " + known.revision()
-                + ": most of their disks are gone";
+    private void propose(PolicyRegister latest) {
+        long foundRevision = latest == null ? 0 : latest.revision();
+        if (foundRevision < known.revision()) {
+            rejectionReason = "the voters have lost revision " + known.revision()
+                + ": a majority of their disks is gone";
             state = State.LOST;
             return;
         }
-        // The very first book: that the voters which the files name have these marks.
-        boolean founds = latest == null && transition != null;
-        if (found == known.revision() && transition != null) {
+        // The very first register records the store ids of the voters that the operators' files name.
+        boolean bootstrap = latest == null && transition != null;
+        if (foundRevision == known.revision() && transition != null) {
             try {
-                offered = (founds ? new Transition.Bootstrap(storeIds()) : transition).applyTo(founds ? known : latest);
-                own = !founds;
+                proposed = (bootstrap ? new Transition.Bootstrap(storeIds()) : transition)
+                    .applyTo(bootstrap ? known : latest);
+                ownTransition = !bootstrap;
             } catch (Transition.RejectedException e) {
                 rejectionReason = e.getMessage();
             }
         }
-        if (offered == null && (latest == null || rejectionReason != null)) {
+        if (proposed == null && (latest == null || rejectionReason != null)) {
             state = rejectionReason != null ? State.LOST : State.DONE;
             return;
         }
-        if (offered == null) offered = latest;
+        if (proposed == null) proposed = latest;
         state = State.ACCEPTING;
     }
 
-    public void on(String from, PolicyMessage.Accepted a) {
-        if (state != State.ACCEPTING || !a.number().equals(number)) return;
-        accepted.put(from, a.storeId());
-        for (VoterSet v : sets()) if (!v.isQuorum(accepted)) return;
+    /** A voter has accepted; with a quorum of each voter set the register is decided. */
+    public void on(String from, PolicyMessage.Accepted accepted) {
+        if (state != State.ACCEPTING || !accepted.number().equals(number)) return;
+        acceptedBy.put(from, accepted.storeId());
+        for (VoterSet voters : requiredVoterSets()) if (!voters.isQuorum(acceptedBy)) return;
         state = State.DONE;
     }
 
-    /** What is decided now, once it is done; null where nothing ever was. */
+    /** The decided register, once the attempt is done; null before, and where nothing was ever decided. */
     public PolicyRegister decided() {
-        return state == State.DONE ? offered : null;
+        return state == State.DONE ? proposed : null;
     }
 
-    /** By name the marks that voters answered with, also where they do not count. */
+    /** By name, the store ids that voters promised with, also where they do not count. */
     public Map<String, String> storeIds() {
-        Map<String, String> all = new TreeMap<>();
-        promises.forEach((n, p) -> all.put(n, p.storeId()));
-        return all;
+        Map<String, String> storeIds = new TreeMap<>();
+        promises.forEach((voter, promise) -> storeIds.put(voter, promise.storeId()));
+        return storeIds;
     }
 
-    /** All that the next step depends on, but for what each voter said: {@link #voterFingerprint}. */
+    /** All state that the next step depends on, except for the voters' answers: see {@link #voterFingerprint}. */
     public String fingerprint() {
-        StringBuilder s = new StringBuilder().append(state).append(number).append(round).append('o').append(offered)
-            .append('m').append(transition).append('k').append(known == null ? 0 : known.revision());
-        for (VoterSet v : asked) s.append(v.number());
-        return s.toString();
+        StringBuilder text = new StringBuilder().append(state).append(number).append(round)
+            .append('o').append(proposed).append('m').append(transition)
+            .append('k').append(known == null ? 0 : known.revision());
+        for (VoterSet voters : voterSets) text.append(voters.number());
+        return text.toString();
     }
 
-    /** What one voter has said in this attempt. */
+    /** One voter's answers in this attempt. */
     public String voterFingerprint(String voter) {
-        PolicyMessage.Promised p = promises.get(voter);
-        return (p == null ? "" : p.storeId() + p.acceptedNumber().round() + p.acceptedNumber().proposer()
-            + p.accepted()) + ';' + accepted.get(voter);
+        PolicyMessage.Promised promise = promises.get(voter);
+        String promised = promise == null ? "" : promise.storeId() + promise.acceptedNumber().round()
+            + promise.acceptedNumber().proposer() + promise.accepted();
+        return promised + ';' + acceptedBy.get(voter);
     }
 }
--- a/src/main/java/mothcross/policy/Voter.java
+++ b/src/main/java/mothcross/policy/Voter.java
@@ -4,81 +4,94 @@
 import java.util.Set;
 
 /**
- * A voter of the register: single-decree consensus of Lamport's Paxos, written over and over as CASPaxos does. Owns
- * what it has promised and accepted; that is on disk, whole and synced, before any word of it leaves. Must never go
- * back in turns, nor answer under a mark that was not drawn with its disk.
+ * A voter (acceptor) of the register: Lamport's single-decree Paxos, written over and over as CASPaxos does. What it
+ * promises and accepts is written and synced before the reply leaves. Promised numbers never decrease, and all replies
+ * bear the store id that was drawn with the disk.
  */
 public final class Voter {
-    /** All that it must remember; a new disk has a new mark and nothing else. */
+    /** All that the voter has to remember; a new disk has a new store id and nothing else. */
     public record State(@SerializedName("mark") String storeId, ProposalNumber promised,
                         @SerializedName("acceptedAt") ProposalNumber acceptedNumber, PolicyRegister accepted) {
-        public static State blank(String mark) {
-            return new State(mark, ProposalNumber.NONE, ProposalNumber.NONE, null);
+        /** The state of a new disk. */
+        public static State blank(String storeId) {
+            return new State(storeId, ProposalNumber.NONE, ProposalNumber.NONE, null);
         }
     }
 
-    /** Either an answer that needs nothing kept, or what has to be kept first. */
+    /** Either a reply that needs no write, or the state to write before the reply; both null: no reply at all. */
     public record Step(PolicyMessage reply, State persist) { }
 
     private final String name;
-    private final Set<String> founders;
-    // What is on disk, and what will be: the next word is by the latter.
-    private State state, latest;
+    private final Set<String> initialVoters;
+    // What is on disk.
+    private State state;
+    // What will be on disk once all writes are done; the next request is judged by it.
+    private State latest;
 
-    public Voter(String name, Set<String> founders, State kept) {
+    /** {@code stored} is the state on disk. */
+    public Voter(String name, Set<String> initialVoters, State stored) {
         this.name = name;
-        this.founders = founders;
-        this.state = this.latest = kept;
+        this.initialVoters = initialVoters;
+        this.state = stored;
+        this.latest = stored;
     }
 
+    /** The state that is on disk. */
     public State state() {
         return state;
     }
 
-    public Step on(PolicyMessage.Prepare p) {
-        // Nothing decided, and other founders than this one's file names: two fleets, or a file that is not everywhere.
-        boolean other = !p.initialVoters().isEmpty() && !p.initialVoters().equals(founders);
-        if (latest.accepted() == null && other) return new Step(null, null);
-        if (p.number().compareTo(latest.promised()) < 0) return reject(p.number());
-        return persist(new State(latest.storeId(), p.number(), latest.acceptedNumber(), latest.accepted()));
+    /** The first phase: promises to accept nothing under an earlier number. */
+    public Step on(PolicyMessage.Prepare request) {
+        // Before anything is decided, other initial voters than this one's file names mean another fleet, or an
+        // operators' file that is not yet the same everywhere.
+        boolean mismatch = !request.initialVoters().isEmpty() && !request.initialVoters().equals(initialVoters);
+        if (latest.accepted() == null && mismatch) return new Step(null, null);
+        if (request.number().compareTo(latest.promised()) < 0) return reject(request.number());
+        return persist(new State(latest.storeId(), request.number(), latest.acceptedNumber(), latest.accepted()));
     }
 
-    public Step on(PolicyMessage.Accept a) {
-        if (a.number().compareTo(latest.promised()) < 0) return reject(a.number());
-        return persist(new State(latest.storeId(), a.number(), a.number(), a.register()));
+    /** The second phase: accepts the register unless a later number is promised. */
+    public Step on(PolicyMessage.Accept request) {
+        if (request.number().compareTo(latest.promised()) < 0) return reject(request.number());
+        return persist(new State(latest.storeId(), request.number(), request.number(), request.register()));
     }
 
-    private Step persist(State s) {
-        latest = s;
-        return new Step(null, s);
+    private Step persist(State next) {
+        latest = next;
+        return new Step(null, next);
     }
 
-    private Step reject(ProposalNumber t) {
-        return new Step(new PolicyMessage.Rejected(t, latest.promised()), null);
+    private Step reject(ProposalNumber number) {
+        return new Step(new PolicyMessage.Rejected(number, latest.promised()), null);
     }
 
-    /** What was to be kept may not be on disk: as if the message had never come. */
+    /** A write has failed and may not be on disk: as if its message had never come. */
     void syncFailed() {
         latest = state;
     }
 
-    /** What was to be kept is on disk. */
-    public PolicyMessage.Receipt synced(State kept) {
-        state = kept;
-        if (latest.promised().compareTo(kept.promised()) < 0) latest = kept;
-        return new PolicyMessage.Receipt(kept);
+    /** The state is on disk; the receipt lets the reply that rests on it be made. */
+    public PolicyMessage.Receipt synced(State written) {
+        state = written;
+        if (latest.promised().compareTo(written.promised()) < 0) latest = written;
+        return new PolicyMessage.Receipt(written);
     }
 
     /**
-     * Whether a director may go on under a plan, for as long as a lease from when it asked. Of what was accepted and
-     * what is known to be decided the later speaks: whatever may have been decided by most, one of them says no.
+     * Whether a director may go on under a plan for one lease from when it asked. It is judged by the later of what
+     * this voter accepted and what is known to be decided. So for any register that may have been decided by a
+     * majority, one of the majority refuses leases for the plan before.
      */
-    public PolicyMessage.LeaseReply on(PolicyMessage.LeaseRequest m, String who, PolicyRegister decided) {
-        PolicyRegister a = latest.accepted();
-        PolicyRegister b = a == null || decided != null && decided.revision() >= a.revision() ? decided : a;
-        boolean yes = b != null && b.complete() && b.plan().number() == m.plan()
-            && b.voters().number() == m.voterSetNumber()
-            && b.voters().contains(name, state.storeId()) && b.isRegistered(who, m.incarnation());
-        return new PolicyMessage.LeaseReply(m.number(), state.storeId(), yes, b == null ? 0 : b.revision());
+    public PolicyMessage.LeaseReply on(PolicyMessage.LeaseRequest request, String from, PolicyRegister decided) {
+        PolicyRegister accepted = latest.accepted();
+        boolean decidedIsLater = accepted == null || decided != null && decided.revision() >= accepted.revision();
+        PolicyRegister register = decidedIsLater ? decided : accepted;
+        boolean granted = register != null && register.complete() && register.plan().number() == request.plan()
+            && register.voters().number() == request.voterSetNumber()
+            && register.voters().contains(name, state.storeId())
+            && register.isRegistered(from, request.incarnation());
+        return new PolicyMessage.LeaseReply(request.number(), state.storeId(), granted,
+            register == null ? 0 : register.revision());
     }
 }
--- a/src/main/java/mothcross/policy/VoterSet.java
+++ b/src/main/java/mothcross/policy/VoterSet.java
@@ -7,36 +7,38 @@
 import java.util.TreeMap;
 
 /**
- * Who decides: a fixed, numbered set. A voter is its name and its mark, drawn when its disk was first written: one
- * whose disk is gone comes back under another mark, and counts no more. Number 0 is what the operators' files name,
- * before
- * any mark is known: there all have to agree, not only most.
+ * A fixed, numbered set of voters. A voter is identified by its name and its store id, which is drawn at random when
+ * its disk is first written: a voter whose disk is lost returns with another id and counts no more. Number 0 is the set
+ * that the operators' files name, before any store id is known; there all voters have to agree, not only a majority.
  */
 public record VoterSet(long number, @SerializedName("marks") Map<String, String> storeIds) {
     public VoterSet {
         storeIds = Collections.unmodifiableMap(new TreeMap<>(storeIds));
     }
 
-    /** As the operators' files name them. */
+    /** The set number 0, as the operators' files name it. */
     public static VoterSet initial(Iterable<String> names) {
-        Map<String, String> all = new TreeMap<>();
-        for (String n : names) all.put(n, "");
-        return new VoterSet(0, all);
+        Map<String, String> storeIds = new TreeMap<>();
+        for (String name : names) storeIds.put(name, "");
+        return new VoterSet(0, storeIds);
     }
 
     public Set<String> names() {
         return storeIds.keySet();
     }
 
-    public boolean contains(String name, String mark) {
-        String m = storeIds.get(name);
-        return m != null && (number == 0 || m.equals(mark));
+    /** Whether an answer under this name and store id counts. */
+    public boolean contains(String name, String storeId) {
+        String expected = storeIds.get(name);
+        return expected != null && (number == 0 || expected.equals(storeId));
     }
 
-    /** Whether these answers, by name the mark that came with each, are enough. */
-    boolean isQuorum(Map<String, String> answered) {
-        int n = 0;
-        for (Map.Entry<String, String> e : answered.entrySet()) if (contains(e.getKey(), e.getValue())) n++;
-        return number == 0 ? n == storeIds.size() : 2 * n > storeIds.size();
+    /** Whether those that answered (by name, the store id of the answer) are enough to decide. */
+    boolean isQuorum(Map<String, String> answers) {
+        int counted = 0;
+        for (Map.Entry<String, String> answer : answers.entrySet()) {
+            if (contains(answer.getKey(), answer.getValue())) counted++;
+        }
+        return number == 0 ? counted == storeIds.size() : 2 * counted > storeIds.size();
     }
 }
