--- a/src/main/java/mothcross/policy/ChangeCoordinator.java
+++ b/src/main/java/mothcross/policy/ChangeCoordinator.java
@@ -12,186 +12,219 @@
 import mothcross.policy.Change.Stage;
 
 /**
- * What the change under way wants next, by what directors have said and how long it has been so. Any director may
- * drive, several at once, and one may go on where another stopped: nothing here outlasts a crash, and all of it is
- * asked again. Owns that; must never count what was said of another stage, by another life, or before a lease that it
- * waits for was over. Spans on the own clock only.
+ * Chooses the next transition of the change under way from the directors' progress reports and the time that has gone
+ * by. Any director may coordinate, several at once, and one may take over from another: this state is not stored, and
+ * after a crash all directors are asked again. A report counts only for the stage and the incarnation that it names,
+ * and no lease is taken to be over before it has surely expired. All times are of the own monotonic clock; only
+ * differences matter.
  */
 public final class ChangeCoordinator {
-    /** Clocks that run at other rates, and what lies between a clock's reading and its use. */
-    static final double DRIFT = 0.02, GRACE_MS = 50;
-    private static final double PATIENCE_LEASES = 1;
-
-    /** How far a director was, by its own last word. */
-    record Word(long life, PolicyMessage.Progress far, String why) { }
-
-    private long since = -1;
+    /** The most by which the rates of two directors' clocks differ. */
+    static final double MAX_CLOCK_DRIFT_SHARE = 0.02;
+    /** Covers the time between the reading of a clock and its use. */
+    static final double CLOCK_USE_GRACE_MS = 50;
+    private static final double EXCLUSION_DELAY_LEASES = 1;
+    private static final int MAX_REASON_CHARS = 500;
+
+    /** A director's last report in the present stage. */
+    record Report(long incarnation, PolicyMessage.Progress progress, String reason) { }
+
+    // First revision of the present stage; -1: no change is under way.
+    private long stageRevision = -1;
     private Stage stage;
-    private double began;                                   // when this one heard of the stage
-    private final Map<String, Word> words = new HashMap<>();
-    // Lives that nobody can be any more: their address was refused; and when it heard that one is left out.
+    // When this director heard of the stage.
+    private double stageLearnedAt;
+    private final Map<String, Report> reports = new HashMap<>();
+    // Incarnations that have ended by name: their address has refused a connection.
     private final Map<String, Long> ended = new TreeMap<>();
+    // When this director heard that a director is excluded, by Transition.Commit.directorKey.
     private final Map<String, Double> excludedAt = new TreeMap<>();
 
     public ChangeCoordinator() { }
 
-    public ChangeCoordinator(ChangeCoordinator d) {
-        since = d.since;
-        stage = d.stage;
-        began = d.began;
-        words.putAll(d.words);
-        ended.putAll(d.ended);
-        excludedAt.putAll(d.excludedAt);
-    }
-
-    /** The latest decided book is heard of. */
-    public void learn(PolicyRegister b, double now) {
-        Change c = b.change();
-        long s = c == null ? -1 : c.stageRevision();
-        Stage at = c == null ? null : c.stage();
-        if (s != since || at != stage) {
-            words.clear();
-            began = now;
-            since = s;
-            stage = at;
+    /** A copy, for the state explorer. */
+    public ChangeCoordinator(ChangeCoordinator other) {
+        stageRevision = other.stageRevision;
+        stage = other.stage;
+        stageLearnedAt = other.stageLearnedAt;
+        reports.putAll(other.reports);
+        ended.putAll(other.ended);
+        excludedAt.putAll(other.excludedAt);
+    }
+
+    /** Takes the latest decided register. */
+    public void learn(PolicyRegister register, double now) {
+        Change change = register.change();
+        long newRevision = change == null ? -1 : change.stageRevision();
+        Stage newStage = change == null ? null : change.stage();
+        if (newRevision != stageRevision || newStage != stage) {
+            reports.clear();
+            stageLearnedAt = now;
+            stageRevision = newRevision;
+            stage = newStage;
         }
-        if (!b.complete()) return;
-        excludedAt.keySet().retainAll(excluded(b));
-        for (String w : excluded(b)) excludedAt.putIfAbsent(w, now);
-        ended.entrySet().removeIf(e -> b.registration(e.getKey(), e.getValue()) == null);
+        if (!register.complete()) return;
+        Set<String> excluded = excluded(register);
+        excludedAt.keySet().retainAll(excluded);
+        for (String key : excluded) excludedAt.putIfAbsent(key, now);
+        ended.entrySet().removeIf(entry -> register.registration(entry.getKey(), entry.getValue()) == null);
     }
 
-    private static Set<String> excluded(PolicyRegister b) {
-        Set<String> all = new HashSet<>();
-        b.registrations().forEach((n, s) -> {
-            if (s.excluded()) all.add(Transition.Commit.directorKey(n, s.incarnation()));
+    private static Set<String> excluded(PolicyRegister register) {
+        Set<String> keys = new HashSet<>();
+        register.registrations().forEach((name, registration) -> {
+            if (registration.excluded()) keys.add(Transition.Commit.directorKey(name, registration.incarnation()));
         });
-        return all;
+        return keys;
     }
 
-    /** Nobody holds the address that this life had: it has ended, whatever comes there later. */
-    public void onConnectionRefused(PolicyRegister b, String host, int port) {
-        b.registrations().forEach((n, s) -> {
-            if (s.host().equals(host) && s.port() == port) ended.put(n, s.incarnation());
+    /** An address has refused a connection: the incarnation registered there has ended, whatever comes there later. */
+    public void onConnectionRefused(PolicyRegister register, String host, int port) {
+        register.registrations().forEach((name, registration) -> {
+            if (registration.host().equals(host) && registration.port() == port) {
+                ended.put(name, registration.incarnation());
+            }
         });
     }
 
-    public void onProgress(PolicyRegister b, String from, PolicyMessage.ProgressReport s) {
-        if (b.change() == null || s.stageRevision() != since) return;
-        Word w = words.get(from);
-        if (w == null || w.life() <= s.incarnation()) words.put(from,
-            new Word(s.incarnation(), s.progress(), s.reason()));
+    /** Takes a progress report; one of another stage or of an earlier incarnation is ignored. */
+    public void onProgress(PolicyRegister register, String from, PolicyMessage.ProgressReport received) {
+        if (register.change() == null || received.stageRevision() != stageRevision) return;
+        Report former = reports.get(from);
+        if (former != null && former.incarnation() > received.incarnation()) return;
+        reports.put(from, new Report(received.incarnation(), received.progress(), received.reason()));
     }
 
-    /** What it has heard of all of them, for another that drives. */
+    /** All reports of this stage, for another coordinator. */
     public Map<String, PolicyMessage.ProgressReport> reports(long plan) {
-        Map<String, PolicyMessage.ProgressReport> all = new TreeMap<>();
-        words.forEach((n, w) -> all.put(n, new PolicyMessage.ProgressReport(w.life(), since, plan, w.far(), w.why())));
-        return all;
-    }
-
-    /** Who has to be asked again: on the roll, and not yet where this stage wants it. */
-    public List<String> awaitedDirectors(PolicyRegister b) {
-        List<String> all = new ArrayList<>();
-        if (b.change() == null || b.change().stage() == Stage.TRIAL) return all;
-        PolicyMessage.Progress wanted = b.change().stage() == Stage.BINDING ? PolicyMessage.Progress.READY
+        Map<String, PolicyMessage.ProgressReport> copies = new TreeMap<>();
+        reports.forEach((name, report) -> copies.put(name, new PolicyMessage.ProgressReport(report.incarnation(),
+            stageRevision, plan, report.progress(), report.reason())));
+        return copies;
+    }
+
+    /** Names of the registered directors that have not reported the progress that this stage waits for. */
+    public List<String> awaitedDirectors(PolicyRegister register) {
+        List<String> awaited = new ArrayList<>();
+        Change change = register.change();
+        if (change == null || change.stage() == Stage.TRIAL) return awaited;
+        PolicyMessage.Progress wanted = change.stage() == Stage.BINDING ? PolicyMessage.Progress.READY
             : PolicyMessage.Progress.TAKEN;
-        for (Map.Entry<String, PolicyRegister.Registration> e : b.registrations().entrySet()) {
-            Word w = words.get(e.getKey());
-            boolean there = w != null && w.life() == e.getValue().incarnation() && w.far() == wanted;
-            if (!there && !e.getValue().excluded()) all.add(e.getKey());
+        for (Map.Entry<String, PolicyRegister.Registration> entry : register.registrations().entrySet()) {
+            Report report = reports.get(entry.getKey());
+            boolean done = report != null && report.incarnation() == entry.getValue().incarnation()
+                && report.progress() == wanted;
+            if (!done && !entry.getValue().excluded()) awaited.add(entry.getKey());
         }
-        return all;
+        return awaited;
     }
 
+    /** A director's last reported progress in this stage; null where there is none. */
     public PolicyMessage.Progress progress(String name) {
-        Word w = words.get(name);
-        return w == null ? null : w.far();
+        Report report = reports.get(name);
+        return report == null ? null : report.progress();
     }
 
-    /** For operators: who holds it up, and how. */
-    public Map<String, String> blockers(PolicyRegister b, double now) {
-        Map<String, String> all = new LinkedHashMap<>();
-        for (String n : awaitedDirectors(b)) {
-            Word w = words.get(n);
-            all.put(n, w == null ? "has not answered for " + Math.round(now - began) + " ms"
-                : w.far() + (w.why().isEmpty() ? "" : ": " + w.why()));
+    /** For operators: by name, the directors that the change waits for, and why. */
+    public Map<String, String> blockers(PolicyRegister register, double now) {
+        Map<String, String> blockers = new LinkedHashMap<>();
+        for (String name : awaitedDirectors(register)) {
+            Report report = reports.get(name);
+            blockers.put(name, report == null ? "has not answered for " + Math.round(stageElapsed(now)) + " ms"
+                : report.progress() + (report.reason().isEmpty() ? "" : ": " + report.reason()));
         }
-        b.registrations().forEach((n, s) -> {
-            if (s.excluded()) all.put(n, "left out; its lease is waited for");
+        register.registrations().forEach((name, registration) -> {
+            if (registration.excluded()) blockers.put(name, "excluded; waits until its lease is over");
         });
-        return all;
+        return blockers;
     }
 
+    /** How long this director has known of the present stage, in ms. */
     public double stageElapsed(double now) {
-        return now - began;
+        return now - stageLearnedAt;
     }
 
-    private double leaseOver(PolicyRegister b) {
-        return b.leaseMs() * (1 + DRIFT) + GRACE_MS;
+    /** After this time a lease of another director is over by any clock. */
+    private double leaseOverMs(PolicyRegister register) {
+        return register.leaseMs() * (1 + MAX_CLOCK_DRIFT_SHARE) + CLOCK_USE_GRACE_MS;
     }
 
-    private Set<String> over(PolicyRegister b, double now) {
-        Set<String> all = new HashSet<>();
-        excludedAt.forEach((w, at) -> {
-            if (now - at >= leaseOver(b)) all.add(w);
+    /** The excluded directors whose last lease is over. */
+    private Set<String> leaseOver(PolicyRegister register, double now) {
+        Set<String> keys = new HashSet<>();
+        excludedAt.forEach((key, since) -> {
+            if (now - since >= leaseOverMs(register)) keys.add(key);
         });
-        return all;
+        return keys;
     }
 
-    /** The next step that all it has heard allows; null where it has to wait. {@code b} has to be whole. */
-    public Transition nextTransition(PolicyRegister b, double now) {
-        Change c = b.change();
-        if (c == null || c.stage() == Stage.TRIAL || c.stageRevision() != since) return null;
-        for (Map.Entry<String, Long> e : ended.entrySet()) {
-            if (b.registration(e.getKey(), e.getValue()) != null) {
-                return new Transition.RemoveDirector(e.getKey(), e.getValue(), "nobody holds its address");
+    /** The next transition that the reports allow; null where it has to wait. The register has to be complete. */
+    public Transition nextTransition(PolicyRegister register, double now) {
+        Change change = register.change();
+        if (change == null || change.stage() == Stage.TRIAL || change.stageRevision() != stageRevision) return null;
+        for (Map.Entry<String, Long> entry : ended.entrySet()) {
+            if (register.registration(entry.getKey(), entry.getValue()) != null) {
+                return new Transition.RemoveDirector(entry.getKey(), entry.getValue(),
+                    "its address refuses connections");
             }
         }
-        return c.stage() == Stage.BINDING ? binding(b, c, now) : settling(b, now);
+        return change.stage() == Stage.BINDING ? nextInBinding(register, change, now) : nextInSettling(register, now);
     }
 
-    private Transition binding(PolicyRegister b, Change c, double now) {
-        StringBuilder no = new StringBuilder();
+    private Transition nextInBinding(PolicyRegister register, Change change, double now) {
+        StringBuilder refusals = new StringBuilder();
         Set<String> ready = new HashSet<>();
-        b.registrations().forEach((n, s) -> {
-            Word w = words.get(n);
-            if (w == null || w.life() != s.incarnation()) return;
-            if (w.far() == PolicyMessage.Progress.READY) ready.add(Transition.Commit.directorKey(n, s.incarnation()));
-            if (w.far() == PolicyMessage.Progress.NO && no.length() < 500) {
-                no.append(no.isEmpty() ? "" : "; ").append(n).append(": ").append(w.why());
+        register.registrations().forEach((name, registration) -> {
+            Report report = reports.get(name);
+            if (report == null || report.incarnation() != registration.incarnation()) return;
+            if (report.progress() == PolicyMessage.Progress.READY) {
+                ready.add(Transition.Commit.directorKey(name, registration.incarnation()));
+            }
+            if (report.progress() == PolicyMessage.Progress.NO && refusals.length() < MAX_REASON_CHARS) {
+                refusals.append(refusals.isEmpty() ? "" : "; ").append(name).append(": ").append(report.reason());
             }
         });
-        if (!no.isEmpty() && !c.isWithdrawn()) return new Transition.Abort(c.id(), c.stageRevision(), no.toString());
-        Set<String> over = over(b, now);
-        List<String> missing = Transition.Commit.missing(b, ready, over);
-        if (missing.isEmpty()) return new Transition.Commit(c.id(), c.stageRevision(), ready, over);
-        if (now - began >= c.deadlineMs()) {
-            return new Transition.Abort(c.id(), c.stageRevision(), "not ready by the deadline: " + missing);
+        if (!refusals.isEmpty() && !change.isWithdrawn()) {
+            return new Transition.Abort(change.id(), change.stageRevision(), refusals.toString());
+        }
+        Set<String> leaseOver = leaseOver(register, now);
+        List<String> missing = Transition.Commit.missing(register, ready, leaseOver);
+        if (missing.isEmpty()) return new Transition.Commit(change.id(), change.stageRevision(), ready, leaseOver);
+        if (stageElapsed(now) >= change.deadlineMs()) {
+            return new Transition.Abort(change.id(), change.stageRevision(), "not ready by the deadline: " + missing);
         }
-        if (c.mode() == Mode.STOP && now - began >= PATIENCE_LEASES * b.leaseMs()) {
-            Map<String, Long> late = new TreeMap<>();
-            for (String n : missing) if (!b.registrations().get(n).excluded()) late.put(n,
-                b.registrations().get(n).incarnation());
-            if (!late.isEmpty()) return new Transition.ExcludeDirectors(late);
+        if (change.mode() == Mode.STOP && stageElapsed(now) >= EXCLUSION_DELAY_LEASES * register.leaseMs()) {
+            return exclude(register, missing);
         }
         return null;
     }
 
-    /** Whoever has not said that it decides by the new plan decides by none, once its last lease is over. */
-    private Transition settling(PolicyRegister b, double now) {
-        boolean all = awaitedDirectors(b).isEmpty() && over(b, now).containsAll(excluded(b));
-        return all || now - began >= leaseOver(b) ? new Transition.Settle(b.plan().number()) : null;
+    /** Excludes the missing directors; null where all of them are excluded already. */
+    private static Transition exclude(PolicyRegister register, List<String> missing) {
+        Map<String, Long> incarnations = new TreeMap<>();
+        for (String name : missing) {
+            PolicyRegister.Registration registration = register.registrations().get(name);
+            if (!registration.excluded()) incarnations.put(name, registration.incarnation());
+        }
+        return incarnations.isEmpty() ? null : new Transition.ExcludeDirectors(incarnations);
+    }
+
+    /** A director that has not reported to decide by the new plan decides by none once its last lease is over. */
+    private Transition nextInSettling(PolicyRegister register, double now) {
+        boolean allSettled = awaitedDirectors(register).isEmpty()
+            && leaseOver(register, now).containsAll(excluded(register));
+        boolean leasesOver = stageElapsed(now) >= leaseOverMs(register);
+        return allSettled || leasesOver ? new Transition.Settle(register.plan().number()) : null;
     }
 
     /**
-     * All that what comes next depends on, times as spans from now, at most {@code span}; the stage up to the blank.
+     * All state that the next transition depends on. Times are given as differences from now, at most {@code maxMs};
+     * the text up to the first space is the stage.
      */
-    public String fingerprint(double now, double span) {
-        StringBuilder s = new StringBuilder().append(since).append(stage).append(' ').append(Math.min(span,
-            now - began))
-            .append(new TreeMap<>(words)).append(ended);
-        excludedAt.forEach((w, at) -> s.append(w).append(Math.min(span, now - at)));
-        return s.toString();
+    public String fingerprint(double now, double maxMs) {
+        StringBuilder text = new StringBuilder().append(stageRevision).append(stage).append(' ')
+            .append(Math.min(maxMs, stageElapsed(now))).append(new TreeMap<>(reports)).append(ended);
+        excludedAt.forEach((key, since) -> text.append(key).append(Math.min(maxMs, now - since)));
+        return text.toString();
     }
 }
--- a/src/main/java/mothcross/policy/Plan.java
+++ b/src/main/java/mothcross/policy/Plan.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * What directors decide by: the text in force, and, while one is tried, that one and for which lookups. Numbered; each
- * number is one committed plan for ever. {@code leases}: a director decides only while voters have lately told it that
- * this is the plan. Texts are named by their digests; "" is no text: no rules.
+ * What directors decide lookups by: the text in force and, during a trial, the text on trial and the lookups it is for.
+ * A number belongs to one committed plan for ever. With {@code leases} on, a director decides lookups only while it has
+ * a lease on this plan from the voters. Texts are named by their digests; "" is the empty text, without rules.
  */
 public record Plan(long number, String main, String trial, Canary canary, boolean leases) {
+    /** The plan before any was committed. */
     public static final Plan FIRST = new Plan(0, "", "", Canary.NONE, false);
 
-    /** Who tries: the directors named, or this share of objects at all of them. */
+    /** What the text on trial decides: all lookups at the named directors, or a share of the objects at all of them. */
     public record Canary(List<String> names, double share) {
         public static final Canary NONE = new Canary(List.of(), 0);
 
@@ -23,20 +24,25 @@
         return !canary.isNone();
     }
 
-    /** The text that decides a lookup of this object at this director; the same at all for a share. */
+    /**
+     * Digest of the text that decides a lookup of this object at this director; with a share it is the same at all
+     * directors.
+     */
     public String textFor(String director, long objectHash) {
         return isOnTrial(director, objectHash) ? trial : main;
     }
 
+    /** Whether the text on trial decides a lookup of this object at this director. */
     public boolean isOnTrial(String director, long objectHash) {
         if (canary.isNone()) return false;
         if (!canary.names().isEmpty()) return canary.names().contains(director);
         return (mix(objectHash) >>> 11) * 0x1p-53 < canary.share();
     }
 
-    private static long mix(long x) {                       // finalizer of a 64-bit mixing hash
-        long y = (x ^ x >>> 30) * 0xbf58476d1ce4e5b9L;
-        y = (y ^ y >>> 27) * 0x94d049bb133111ebL;
-        return y ^ y >>> 31;
+    /** The finalizer of a 64-bit mixing hash. */
+    private static long mix(long hash) {
+        long mixed = (hash ^ hash >>> 30) * 0xbf58476d1ce4e5b9L;
+        mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
+        return mixed ^ mixed >>> 31;
     }
 }
--- a/src/main/java/mothcross/policy/PolicyRegister.java
+++ b/src/main/java/mothcross/policy/PolicyRegister.java
@@ -9,24 +9,26 @@
 import java.util.TreeMap;
 
 /**
- * The one value that the register holds: who votes, who may serve, the plan in force, the change under way, and how the
- * last ones ended, and how long a lease is, the same for all. Each decided book has the revision after the one that
- * it was made from. Owns what a book holds; how
- * one follows from another is {@link Transition}'s. {@code complete} false: the roll has only the one it was cut for.
+ * The one value of the replicated register: who votes, which directors are registered to serve, the plan in force, the
+ * change under way, how the last changes ended, and the length of a lease, which is the same for all. Each decided
+ * register has the revision after that of the register it was made from; {@link Transition} says how one follows from
+ * another. Where {@code complete} is false, {@code registrations} holds only the one of the director that asked.
  */
 public record PolicyRegister(long revision, double leaseMs, VoterSet voters,
                              @SerializedName("roll") Map<String, Registration> registrations, Plan plan, Change change,
                              @SerializedName("lately") List<CompletedChange> recentChanges,
                              @SerializedName("whole") boolean complete) {
     /**
-     * A director that may serve: its process's life, where it is reached, and whether its lease is being waited out.
+     * A director that may serve: the incarnation of its process, its address, and whether it is excluded, that is gets
+     * no lease any more.
      */
     public record Registration(@SerializedName("life") long incarnation, String host, int port, boolean excluded) { }
 
-    /** How a change ended; {@code plan} is the number that was in force from then on. */
+    /** How a change ended; {@code plan} is the number of the plan in force from then on. */
     public record CompletedChange(String id, String digest, String by, Outcome outcome,
                                   @SerializedName("why") String reason, long plan, long revision) { }
 
+    /** COMMITTED: its text is in force; ABORTED: it never was; WITHDRAWN: it was on trial and was taken back. */
     public enum Outcome { COMMITTED, ABORTED, WITHDRAWN }
 
     static final int MAX_RECENT_CHANGES = 16;
@@ -36,70 +38,77 @@
         recentChanges = List.copyOf(recentChanges);
     }
 
-    /** Before anything was decided. */
-    public static PolicyRegister initial(VoterSet v, double leaseMs) {
-        return new PolicyRegister(0, leaseMs, v, Map.of(), Plan.FIRST, null, List.of(), true);
+    /** The register before anything was decided. */
+    public static PolicyRegister initial(VoterSet voters, double leaseMs) {
+        return new PolicyRegister(0, leaseMs, voters, Map.of(), Plan.FIRST, null, List.of(), true);
     }
 
-    public Registration registration(String name, long life) {
-        Registration s = registrations.get(name);
-        return s != null && s.incarnation == life ? s : null;
+    /** The registration of a director's incarnation; null where there is none. */
+    public Registration registration(String name, long incarnation) {
+        Registration registration = registrations.get(name);
+        return registration != null && registration.incarnation == incarnation ? registration : null;
     }
 
-    /** Whether this life of a director may serve, as far as the book goes. */
-    public boolean isRegistered(String name, long life) {
-        Registration s = registration(name, life);
-        return s != null && !s.excluded;
+    /** Whether this incarnation of a director is registered and not excluded. */
+    public boolean isRegistered(String name, long incarnation) {
+        Registration registration = registration(name, incarnation);
+        return registration != null && !registration.excluded;
     }
 
-    /** What one director needs of it. */
+    /** A copy with only the named director's registration. */
     public PolicyRegister brief(String name) {
-        Registration s = registrations.get(name);
-        return new PolicyRegister(revision, leaseMs, voters, s == null ? Map.of() : Map.of(name, s), plan, change,
-            recentChanges, false);
+        Registration registration = registrations.get(name);
+        Map<String, Registration> own = registration == null ? Map.of() : Map.of(name, registration);
+        return new PolicyRegister(revision, leaseMs, voters, own, plan, change, recentChanges, false);
     }
 
-    PolicyRegister with(Map<String, Registration> seats) {
-        return new PolicyRegister(revision, leaseMs, voters, seats, plan, change, recentChanges, complete);
+    PolicyRegister withRegistrations(Map<String, Registration> others) {
+        return new PolicyRegister(revision, leaseMs, voters, others, plan, change, recentChanges, complete);
     }
 
-    PolicyRegister with(VoterSet v) {
-        return new PolicyRegister(revision, leaseMs, v, registrations, plan, change, recentChanges, complete);
+    PolicyRegister withVoters(VoterSet others) {
+        return new PolicyRegister(revision, leaseMs, others, registrations, plan, change, recentChanges, complete);
     }
 
-    PolicyRegister with(Plan p, Change c) {
-        return new PolicyRegister(revision, leaseMs, voters, registrations, p, c, recentChanges, complete);
+    PolicyRegister withPlan(Plan newPlan, Change newChange) {
+        return new PolicyRegister(revision, leaseMs, voters, registrations, newPlan, newChange, recentChanges,
+            complete);
     }
 
-    PolicyRegister withChangeEnded(Outcome o, String why) {
-        List<CompletedChange> all = new ArrayList<>(recentChanges);
-        if (all.size() == MAX_RECENT_CHANGES) all.remove(0);
-        all.add(new CompletedChange(change.id(), change.digest(), change.by(), o, why, plan.number(), revision));
-        return new PolicyRegister(revision, leaseMs, voters, registrations, plan, null, all, complete);
+    /** Without the change under way, which is recorded with its outcome. */
+    PolicyRegister withChangeEnded(Outcome outcome, String reason) {
+        List<CompletedChange> completed = new ArrayList<>(recentChanges);
+        if (completed.size() == MAX_RECENT_CHANGES) completed.remove(0);
+        completed.add(new CompletedChange(change.id(), change.digest(), change.by(), outcome, reason, plan.number(),
+            revision));
+        return new PolicyRegister(revision, leaseMs, voters, registrations, plan, null, completed, complete);
     }
 
     PolicyRegister nextRevision() {
         return new PolicyRegister(revision + 1, leaseMs, voters, registrations, plan, change, recentChanges, complete);
     }
 
-    /** Short, and the same for equal books only. */
+    /** A short form, the same for equal registers only. */
     @Override public String toString() {
-        StringBuilder s = new StringBuilder().append(revision).append(complete ? "" : "~").append(" v")
-            .append(voters.number()).append(voters.storeIds().values()).append(" p").append(plan.number())
-            .append(plan.main())
-            .append('/').append(plan.trial()).append(plan.leases() ? "L" : "");
-        registrations.forEach((n, x) -> s.append(' ').append(n).append('@').append(x.incarnation).append(x.excluded
-            ? "!" : ""));
+        StringBuilder text = new StringBuilder().append(revision).append(complete ? "" : "~")
+            .append(" v").append(voters.number()).append(voters.storeIds().values())
+            .append(" p").append(plan.number()).append(plan.main()).append('/').append(plan.trial())
+            .append(plan.leases() ? "L" : "");
+        registrations.forEach((name, registration) -> text.append(' ').append(name).append('@')
+            .append(registration.incarnation).append(registration.excluded ? "!" : ""));
         if (change != null) {
-            s.append(" c").append(change.id()).append(change.stage()).append(change.stageRevision()).append('>')
+            text.append(" c").append(change.id()).append(change.stage()).append(change.stageRevision()).append('>')
                 .append(change.target().number()).append(change.target().main()).append(change.target().trial());
         }
-        for (CompletedChange e : recentChanges) s.append(' ').append(e.id).append(e.outcome);
-        return s.toString();
+        for (CompletedChange completed : recentChanges) {
+            text.append(' ').append(completed.id).append(completed.outcome);
+        }
+        return text.toString();
     }
 
+    /** How the change with this id ended; null where it has not, or too long ago. */
     public CompletedChange outcome(String id) {
-        for (CompletedChange e : recentChanges) if (Objects.equals(e.id, id)) return e;
+        for (CompletedChange completed : recentChanges) if (Objects.equals(completed.id, id)) return completed;
         return null;
     }
 }
--- a/src/main/java/mothcross/policy/PolicyTexts.java
+++ b/src/main/java/mothcross/policy/PolicyTexts.java
@@ -1,6 +1,7 @@
 package mothcross.policy;
 
 import java.io.ByteArrayOutputStream;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -8,109 +9,123 @@
 import java.util.Set;
 
 /**
- * The texts that a director holds, and the one that is coming in, piece by piece from whoever has it; what has come
- * stays where a source is lost. Owns which digests are wanted and how far they are; must never hold more than the one
- * in force and one beside it, and while one is tried or taken back those two.
+ * The texts that a director stores, by digest, and those that it fetches chunk by chunk from any director that has
+ * them; the chunks received so far stay when a source is lost. At most the text in force and one more are stored, and
+ * during a trial or a withdrawal the two texts of that.
  */
 public final class PolicyTexts {
-    static final int CHUNK_BYTES = 32_768, MAX_TEXT_BYTES = 1 << 20;
+    static final int CHUNK_BYTES = 32_768;
+    static final int MAX_TEXT_BYTES = 1 << 20;
 
-    private static final class Coming {
+    private static final class PartialText {
+        // -1 until the first chunk says it.
         int size = -1;
-        final ByteArrayOutputStream got = new ByteArrayOutputStream();
+        final ByteArrayOutputStream received = new ByteArrayOutputStream();
     }
 
-    private final Map<String, byte[]> here = new LinkedHashMap<>();
-    private final Map<String, Coming> coming = new HashMap<>();
-    // Whole, and being checked; and those that were found at fault, with the reason.
-    private final Set<String> checking = new LinkedHashSet<>();
-    private final Map<String, String> faults = new HashMap<>();
+    private final Map<String, byte[]> stored = new LinkedHashMap<>();
+    private final Map<String, PartialText> partial = new HashMap<>();
+    // Complete, and being validated.
+    private final Set<String> validating = new LinkedHashSet<>();
+    // Reasons of rejection by digest.
+    private final Map<String, String> rejected = new HashMap<>();
 
+    /** The text is on disk. */
     public void add(String digest, byte[] bytes) {
-        here.put(digest, bytes);
-        coming.remove(digest);
-        checking.remove(digest);
+        stored.put(digest, bytes);
+        partial.remove(digest);
+        validating.remove(digest);
     }
 
+    /** Whether the text is stored; the empty text always is. */
     public boolean contains(String digest) {
-        return digest.isEmpty() || here.containsKey(digest);
+        return digest.isEmpty() || stored.containsKey(digest);
     }
 
+    /** The bytes of a stored text; null where it is not stored. */
     public byte[] bytes(String digest) {
-        return here.get(digest);
+        return stored.get(digest);
     }
 
+    /** Digests of the stored texts. */
     public Set<String> digests() {
-        return here.keySet();
+        return stored.keySet();
     }
 
     public boolean isValidating(String digest) {
-        return checking.contains(digest);
+        return validating.contains(digest);
     }
 
+    /** Why the text was rejected; null where it was not. */
     public String rejectionReason(String digest) {
-        return faults.get(digest);
+        return rejected.get(digest);
     }
 
-    void reject(String digest, String why) {
-        checking.remove(digest);
-        faults.put(digest, why);
+    void reject(String digest, String reason) {
+        validating.remove(digest);
+        rejected.put(digest, reason);
     }
 
-    /** From where on it is wanted. */
+    /** How many bytes of the text have been received, from its start on. */
     int receivedBytes(String digest) {
-        Coming c = coming.get(digest);
-        return c == null ? 0 : c.got.size();
+        PartialText text = partial.get(digest);
+        return text == null ? 0 : text.received.size();
     }
 
+    /** Begins to fetch the text, unless it is stored or being validated. */
     void request(String digest) {
-        if (!contains(digest) && !checking.contains(digest)) coming.computeIfAbsent(digest, k -> new Coming());
+        if (!contains(digest) && !validating.contains(digest)) {
+            partial.computeIfAbsent(digest, key -> new PartialText());
+        }
     }
 
     boolean isRequested(String digest) {
-        return coming.containsKey(digest);
+        return partial.containsKey(digest);
     }
 
-    /** It is all here, and about to be checked. */
+    /** The text is complete and is about to be validated. */
     void beginValidation(String digest) {
-        coming.remove(digest);
-        if (!here.containsKey(digest)) checking.add(digest);
-    }
-
-    PolicyMessage chunk(PolicyMessage.TextRequest f) {
-        byte[] all = here.get(f.digest());
-        if (all == null || f.from() < 0 || f.from() > all.length) return new PolicyMessage.TextNotFound(f.digest());
-        int n = Math.min(CHUNK_BYTES, all.length - f.from());
-        return new PolicyMessage.TextChunk(f.digest(), f.from(), all.length, java.util.Arrays.copyOfRange(all, f.from(),
-            f.from() + n));
-    }
-
-    /** All of it, once the last piece is in; null before. What is not the next piece is dropped. */
-    byte[] addChunk(PolicyMessage.TextChunk c) {
-        Coming x = coming.get(c.digest());
-        if (x == null || c.from() != x.got.size() || c.size() < 0 || c.size() > MAX_TEXT_BYTES) return null;
-        if (x.size >= 0 && x.size != c.size() || c.from() + c.bytes().length > c.size()) return null;
-        x.size = c.size();
-        x.got.writeBytes(c.bytes());
-        if (x.got.size() < x.size) return null;
-        coming.remove(c.digest());
-        checking.add(c.digest());
-        return x.got.toByteArray();
-    }
-
-    /** What came does not have its digest: from the start again. */
+        partial.remove(digest);
+        if (!stored.containsKey(digest)) validating.add(digest);
+    }
+
+    /** The answer to a request of another director. */
+    PolicyMessage chunk(PolicyMessage.TextRequest request) {
+        byte[] text = stored.get(request.digest());
+        int from = request.from();
+        if (text == null || from < 0 || from > text.length) return new PolicyMessage.TextNotFound(request.digest());
+        int to = from + Math.min(CHUNK_BYTES, text.length - from);
+        return new PolicyMessage.TextChunk(request.digest(), from, text.length, Arrays.copyOfRange(text, from, to));
+    }
+
+    /** The complete text once its last chunk is in, else null. A chunk that is not the next one is dropped. */
+    byte[] addChunk(PolicyMessage.TextChunk chunk) {
+        PartialText text = partial.get(chunk.digest());
+        if (text == null || chunk.from() != text.received.size()) return null;
+        if (chunk.size() < 0 || chunk.size() > MAX_TEXT_BYTES) return null;
+        if (text.size >= 0 && text.size != chunk.size()) return null;
+        if (chunk.from() + chunk.bytes().length > chunk.size()) return null;
+        text.size = chunk.size();
+        text.received.writeBytes(chunk.bytes());
+        if (text.received.size() < text.size) return null;
+        partial.remove(chunk.digest());
+        validating.add(chunk.digest());
+        return text.received.toByteArray();
+    }
+
+    /** The received bytes do not match the digest: fetches the text from the start again. */
     void restartFetch(String digest) {
-        checking.remove(digest);
-        coming.put(digest, new Coming());
+        validating.remove(digest);
+        partial.put(digest, new PartialText());
     }
 
-    /** Lets go of all but these; gives back what was on disk. */
+    /** Forgets all other texts; returns the digests of those that were stored. */
     Set<String> retainOnly(Set<String> wanted) {
-        Set<String> gone = new LinkedHashSet<>(here.keySet());
-        gone.removeAll(wanted);
-        here.keySet().retainAll(wanted);
-        coming.keySet().retainAll(wanted);
-        faults.keySet().retainAll(wanted);
-        return gone;
+        Set<String> removed = new LinkedHashSet<>(stored.keySet());
+        removed.removeAll(wanted);
+        stored.keySet().retainAll(wanted);
+        partial.keySet().retainAll(wanted);
+        rejected.keySet().retainAll(wanted);
+        return removed;
     }
 }
