--- a/src/main/java/mothcross/policy/net/PolicyMessageCodec.java
+++ b/src/main/java/mothcross/policy/net/PolicyMessageCodec.java
@@ -17,15 +17,16 @@
 import mothcross.policy.PolicyMessage;
 
 /**
- * What directors say about the policy, as JSON: one field, its name the kind, its value the fields of the record in
- * {@link PolicyMessage}; bytes in base 64. Owns that form; what does not fit is null, and the caller counts it.
+ * The JSON form of {@link PolicyMessage}s: an object with one field, whose name is the kind of the message and whose
+ * value has the components of the record; bytes are in base 64. The names of the kinds are fixed here, since directors
+ * of other builds read them.
  */
 public final class PolicyMessageCodec {
     static final Gson GSON = new GsonBuilder()
-        .registerTypeAdapter(byte[].class, (JsonSerializer<byte[]>) (b, t, c) -> new JsonPrimitive(
-            Base64.getEncoder().encodeToString(b)))
-        .registerTypeAdapter(byte[].class, (JsonDeserializer<byte[]>) (j, t, c) -> Base64.getDecoder().decode(
-            j.getAsString()))
+        .registerTypeAdapter(byte[].class, (JsonSerializer<byte[]>) (bytes, type, context) -> new JsonPrimitive(
+            Base64.getEncoder().encodeToString(bytes)))
+        .registerTypeAdapter(byte[].class, (JsonDeserializer<byte[]>) (json, type, context) ->
+            Base64.getDecoder().decode(json.getAsString()))
         .create();
     private static final Map<String, Class<? extends PolicyMessage>> KINDS = new LinkedHashMap<>();
     private static final Map<Class<?>, String> NAMES = new HashMap<>();
@@ -54,19 +55,20 @@
 
     private PolicyMessageCodec() { }
 
-    public static byte[] encode(PolicyMessage s) {
-        JsonObject o = new JsonObject();
-        o.add(NAMES.get(s.getClass()), GSON.toJsonTree(s));
-        return o.toString().getBytes(StandardCharsets.UTF_8);
+    public static byte[] encode(PolicyMessage message) {
+        JsonObject object = new JsonObject();
+        object.add(NAMES.get(message.getClass()), GSON.toJsonTree(message));
+        return object.toString().getBytes(StandardCharsets.UTF_8);
     }
 
+    /** Null where the bytes are no message of a known kind; the caller counts these. */
     public static PolicyMessage decode(byte[] bytes) {
         try {
-            JsonObject o = JsonParser.parseString(new String(bytes, StandardCharsets.UTF_8)).getAsJsonObject();
-            if (o.size() != 1) return null;
-            Map.Entry<String, JsonElement> e = o.entrySet().iterator().next();
-            Class<? extends PolicyMessage> kind = KINDS.get(e.getKey());
-            return kind == null ? null : GSON.fromJson(e.getValue(), kind);
+            JsonObject object = JsonParser.parseString(new String(bytes, StandardCharsets.UTF_8)).getAsJsonObject();
+            if (object.size() != 1) return null;
+            Map.Entry<String, JsonElement> entry = object.entrySet().iterator().next();
+            Class<? extends PolicyMessage> kind = KINDS.get(entry.getKey());
+            return kind == null ? null : GSON.fromJson(entry.getValue(), kind);
         } catch (JsonParseException | IllegalStateException | IllegalArgumentException | NullPointerException
                  | UnsupportedOperationException | StackOverflowError e) {
             return null;
--- a/src/main/java/mothcross/policy/net/PolicyNode.java
+++ b/src/main/java/mothcross/policy/net/PolicyNode.java
@@ -1,9 +1,11 @@
 package mothcross.policy.net;
 
+import com.google.gson.Gson;
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -29,399 +31,479 @@
 import mothcross.policy.PolicyParticipant;
 import mothcross.policy.PolicyRegister;
 import mothcross.policy.PolicyReplica;
+import mothcross.policy.PolicyTexts;
 import mothcross.policy.Transition;
 import mothcross.policy.Voter;
+import mothcross.policy.VoterSet;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * A {@link PolicyParticipant} in service: its messages ride on the fleet's, its writes go to disk, its texts are
- * compiled beside. Owns the one thread that it runs on, and the order in which a write comes before what rests on it;
- * must never decide anything, nor send from a step whose write has failed.
+ * The I/O layer of a {@link PolicyParticipant}: carries its messages over the fleet's links, writes its state to disk,
+ * compiles its texts, and answers requests of the command line. The participant runs on one thread. In each step all
+ * actions, with their writes and syncs, are done before any message of the step is sent; where the step fails with an
+ * exception nothing of it is sent.
  */
 public final class PolicyNode implements FleetNode.MessageHandler, Current, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("mothcross.policy");
-    private static final int MOST_WAITING = 4096;
-    private static final long LEAVE_MS = 1500, ASKED_MS = 3000;
-
-    /** What a lookup that starts is held against; made anew with each step, read without a lock. */
-    private record Leave(PolicyReplica.StopReason why, long plan, double until) { }
-
-    private final PolicyParticipant party;
-    private final PolicyStore kept;
-    private final PolicyActivator service;
-    private final BiConsumer<String, byte[]> sends;
-    private final String fleet, mark;
-    private final BlockingQueue<Runnable> waiting = new LinkedBlockingQueue<>(MOST_WAITING);
-    private final ExecutorService compiler = Executors.newSingleThreadExecutor(r -> {
-        Thread t = new Thread(r, "policy-check");
-        t.setDaemon(true);
-        return t;
+    private static final Gson GSON = PolicyMessageCodec.GSON;
+    private static final int MAX_QUEUED_TASKS = 4096;
+    private static final double MIN_WAIT_MS = 1;
+    private static final double MAX_WAIT_MS = 100;
+    private static final long LEAVE_TIMEOUT_MS = 1500;
+    private static final long ADMIN_TIMEOUT_MS = 3000;
+    private static final long WAIT_POLL_MS = 5;
+
+    /** Whether a lookup may start; replaced after each step, and read without a lock. */
+    private record Permit(PolicyReplica.StopReason stopReason, long plan, double expiresAt) { }
+
+    /** The body of the admin request "propose". */
+    private record Proposal(String id, String digest, byte[] text, String note, Change.Mode mode, double deadlineMs,
+                            Plan.Canary canary, boolean leases) { }
+
+    private final PolicyParticipant participant;
+    private final PolicyStore store;
+    private final PolicyActivator activator;
+    private final BiConsumer<String, byte[]> sender;
+    private final String fleet;
+    private final String storeId;
+    private final BlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>(MAX_QUEUED_TASKS);
+    private final ExecutorService compiler = Executors.newSingleThreadExecutor(task -> {
+        Thread compilerThread = new Thread(task, "policy-check");
+        compilerThread.setDaemon(true);
+        return compilerThread;
     });
-    // Compiled texts by digest; as long as the texts.
-    private final Map<String, Object> made = new HashMap<>();
-    private final Map<String, Double> voterHeard = new TreeMap<>();
+    // By digest, for the texts that are stored.
+    private final Map<String, Object> compiledTexts = new HashMap<>();
+    private final Map<String, Double> voterHeardAt = new TreeMap<>();
     private final Thread thread = new Thread(this::run, "policy");
-    private volatile Leave leave = new Leave(PolicyReplica.StopReason.NOT_SEATED, -1, 0);
+    private volatile Permit permit = new Permit(PolicyReplica.StopReason.NOT_SEATED, -1, 0);
     private volatile boolean stopped;
-    private Plan taken;
-    private long unread, crowded, unwritten;
-    private int marksWarned;
-
-    /** {@code address}: where the others reach this one, HOST and port; {@code life} of this process. */
-    public PolicyNode(String fleet, String name, long life, String host, int port, Set<String> voters,
-                      Supplier<Collection<String>> contacts, double leaseMs, Path dir, PolicyActivator service,
-                      BiConsumer<String, byte[]> sends) throws IOException {
+    private long undecodableMessages;
+    private long droppedTasks;
+    private long failedWrites;
+    private boolean storeIdWarned;
+
+    /**
+     * {@code host} and {@code port} are where the other directors reach this one, {@code incarnation} that of this
+     * process, {@code directory} that of the policy's files. {@code sender} sends a message to a director by name.
+     */
+    public PolicyNode(String fleet, String name, long incarnation, String host, int port, Set<String> voters,
+                      Supplier<Collection<String>> contacts, double leaseMs, Path directory, PolicyActivator activator,
+                      BiConsumer<String, byte[]> sender) throws IOException {
         this.fleet = fleet;
-        this.service = service;
-        this.sends = sends;
-        kept = new PolicyStore(dir, fleet, name);
-        SplittableRandom chance = new SplittableRandom();
-        Voter.State state = kept.voter();
-        if (state == null) kept.voter(state = Voter.State.blank(Long.toHexString(chance.nextLong())));
-        mark = state.storeId();
-        Map<String, byte[]> texts = new HashMap<>();
-        for (Map.Entry<String, byte[]> t : kept.texts().entrySet()) {
+        this.activator = activator;
+        this.sender = sender;
+        store = new PolicyStore(directory, fleet, name);
+        SplittableRandom random = new SplittableRandom();
+        Voter.State voterState = store.readVoterState();
+        if (voterState == null) {
+            voterState = Voter.State.blank(Long.toHexString(random.nextLong()));
+            store.writeVoterState(voterState);
+        }
+        storeId = voterState.storeId();
+        Map<String, byte[]> texts = compileStoredTexts();
+        participant = new PolicyParticipant(name, incarnation, host, port, voters, contacts, leaseMs, voterState,
+            storeId, store.readRegister(), texts, random);
+        thread.setDaemon(true);
+    }
+
+    private Map<String, byte[]> compileStoredTexts() throws IOException {
+        Map<String, byte[]> usable = new HashMap<>();
+        for (Map.Entry<String, byte[]> text : store.readTexts().entrySet()) {
             List<String> faults = new ArrayList<>();
-            Object m = service.compile(t.getKey(), t.getValue(), faults);
-            if (m == null) {
-                LOG.atWarn().addKeyValue("digest", t.getKey()).addKeyValue("why", faults).log(
-                    "policy: a kept text can't be used by this build");
+            Object compiled = activator.compile(text.getKey(), text.getValue(), faults);
+            if (compiled == null) {
+                LOG.atWarn().addKeyValue("digest", text.getKey()).addKeyValue("why", faults).log(
+                    "policy: a stored text can't be compiled by this build");
                 continue;
             }
-            made.put(t.getKey(), m);
-            texts.put(t.getKey(), t.getValue());
+            compiledTexts.put(text.getKey(), compiled);
+            usable.put(text.getKey(), text.getValue());
         }
-        party = new PolicyParticipant(name, life, host, port, voters, contacts, leaseMs, state, mark, kept.book(),
-            texts, chance);
-        thread.setDaemon(true);
+        return usable;
     }
 
+    /** Starts the thread that the participant runs on. */
     public void start() {
-        LOG.atInfo().addKeyValue("name", party.name).addKeyValue("mark", mark).addKeyValue("life",
-            party.replica().incarnation())
-            .addKeyValue("revision", party.register().revision()).log("policy: begins");
+        LOG.atInfo().addKeyValue("name", participant.name).addKeyValue("mark", storeId)
+            .addKeyValue("life", participant.replica().incarnation())
+            .addKeyValue("revision", participant.register().revision()).log("policy: started");
         thread.start();
     }
 
-    /** Spans only: how long it has been since any moment, whatever the Unix clock does. */
+    /** Monotonic, so that differences are right whatever happens to the wall clock. */
     private static double now() {
         return System.nanoTime() / 1e6;
     }
 
-    // ---- the one thread ----
+    // ---- the participant's thread ----
 
     private void run() {
         try {
             while (!stopped) {
-                double wait = Math.max(1, Math.min(100, party.nextTickAt() - now()));
-                Runnable r = waiting.poll((long) (wait * 1000), TimeUnit.MICROSECONDS);
-                if (r != null) step(r);
-                else step(() -> party.tick(now()));
-                if (r != null && now() >= party.nextTickAt()) step(() -> party.tick(now()));
+                double waitMs = Math.max(MIN_WAIT_MS, Math.min(MAX_WAIT_MS, participant.nextTickAt() - now()));
+                Runnable task = tasks.poll((long) (waitMs * 1000), TimeUnit.MICROSECONDS);
+                if (task != null) step(task);
+                else step(() -> participant.tick(now()));
+                if (task != null && now() >= participant.nextTickAt()) step(() -> participant.tick(now()));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void step(Runnable what) {
+    private void step(Runnable task) {
         try {
-            what.run();
-            for (List<PolicyParticipant.Action> works = party.takeActions(); !works.isEmpty();
-                 works = party.takeActions()) {
-                for (PolicyParticipant.Action w : works) does(w);
+            task.run();
+            for (List<PolicyParticipant.Action> actions = participant.takeActions(); !actions.isEmpty();
+                 actions = participant.takeActions()) {
+                for (PolicyParticipant.Action action : actions) perform(action);
             }
         } catch (RuntimeException e) {
-            LOG.error("policy: a fault; what this step would have said is not said", e);
-            party.takeSends();
+            LOG.error("policy: a step failed; its messages are not sent", e);
+            participant.takeSends();
+        }
+        PolicyReplica replica = participant.replica();
+        permit = new Permit(replica.stopReason(Double.NEGATIVE_INFINITY), replica.plan(),
+            replica.requiresLease() ? replica.leaseExpiresAt() : Double.POSITIVE_INFINITY);
+        for (PolicyParticipant.Send send : participant.takeSends()) {
+            sender.accept(send.to(), PolicyMessageCodec.encode(send.message()));
         }
-        PolicyReplica h = party.replica();
-        leave = new Leave(h.stopReason(Double.NEGATIVE_INFINITY), h.plan(), h.requiresLease() ? h.leaseExpiresAt()
-            : Double.POSITIVE_INFINITY);
-        for (PolicyParticipant.Send s : party.takeSends()) sends.accept(s.to(), PolicyMessageCodec.encode(s.message()));
-        warnOfMark();
+        warnOfReplacedDisk();
     }
 
-    private void does(PolicyParticipant.Action w) {
-        if (w instanceof PolicyParticipant.PersistVoterState k) {
+    private void perform(PolicyParticipant.Action action) {
+        if (action instanceof PolicyParticipant.PersistVoterState persist) {
+            persistVoterState(persist.state());
+        } else if (action instanceof PolicyParticipant.PersistRegister persist) {
             try {
-                if (!k.state().equals(party.voter().state())) kept.voter(k.state());
-                party.voterStateSynced(now(), k.state());
+                store.writeRegister(persist.register());
             } catch (IOException e) {
-                unwritten++;
-                LOG.atWarn().addKeyValue("why", e).log("policy: the disk refuses; this voter does not answer");
-                party.voterStateNotSynced();
+                failedWrites++;                             // the next start asks the voters for it
             }
-        } else if (w instanceof PolicyParticipant.PersistRegister k) {
+        } else if (action instanceof PolicyParticipant.ValidateText validate) {
+            compiler.execute(() -> validate(validate.digest(), validate.bytes()));
+        } else if (action instanceof PolicyParticipant.DeleteText delete) {
+            compiledTexts.remove(delete.digest());
             try {
-                kept.book(k.register());
+                store.deleteText(delete.digest());
             } catch (IOException e) {
-                unwritten++;                                // it is asked for again at the next start
+                failedWrites++;
             }
-        } else if (w instanceof PolicyParticipant.ValidateText c) {
-            compiler.execute(() -> check(c.digest(), c.bytes()));
-        } else if (w instanceof PolicyParticipant.DeleteText d) {
-            made.remove(d.digest());
-            try {
-                kept.drop(d.digest());
-            } catch (IOException e) {
-                unwritten++;
+        } else if (action instanceof PolicyParticipant.ActivatePlan activate) {
+            Plan plan = activate.plan();
+            activator.activate(plan, compiledTexts.get(plan.main()), compiledTexts.get(plan.trial()));
+        } else if (action instanceof PolicyParticipant.LogEvent logged) {
+            LoggingEventBuilder event = LOG.atInfo();
+            for (Map.Entry<String, Object> field : logged.fields().entrySet()) {
+                event = event.addKeyValue(field.getKey(), field.getValue());
             }
-        } else if (w instanceof PolicyParticipant.ActivatePlan t) {
-            service.activate(t.plan(), made.get(t.plan().main()), made.get(t.plan().trial()));
-            taken = t.plan();
-        } else if (w instanceof PolicyParticipant.LogEvent t) {
-            LoggingEventBuilder e = LOG.atInfo();
-            for (Map.Entry<String, Object> x : t.fields().entrySet()) e = e.addKeyValue(x.getKey(), x.getValue());
-            e.log(t.event());
+            event.log(logged.event());
+        }
+    }
+
+    private void persistVoterState(Voter.State state) {
+        try {
+            if (!state.equals(participant.voter().state())) store.writeVoterState(state);
+            participant.voterStateSynced(now(), state);
+        } catch (IOException e) {
+            failedWrites++;
+            LOG.atWarn().addKeyValue("why", e).log("policy: can't write the voter's state; this voter does not answer");
+            participant.voterStateNotSynced();
         }
     }
 
-    /** On the compiler's thread: its digest, its meaning, and its place on disk. */
-    private void check(String digest, byte[] bytes) {
+    /** On the compiler's thread: compares the text with its digest, compiles it and writes it to disk. */
+    private void validate(String digest, byte[] bytes) {
         List<String> faults = new ArrayList<>();
-        String why = null;
-        Object m = null;
+        String reason = null;
+        Object compiled = null;
         if (!PolicyStore.digest(bytes).equals(digest)) {
-            why = "";
+            reason = "";
         } else {
-            m = service.compile(digest, bytes, faults);
-            if (m == null) why = String.join("; ", faults);
+            compiled = activator.compile(digest, bytes, faults);
+            if (compiled == null) reason = String.join("; ", faults);
             try {
-                if (m != null) kept.text(digest, bytes);
+                if (compiled != null) store.writeText(digest, bytes);
             } catch (IOException e) {
-                why = "the disk refuses: " + e.getMessage();
+                reason = "can't write the text to disk: " + e.getMessage();
             }
         }
-        String found = why;
-        Object ready = m;
-        later(() -> {
-            if (found == null) made.put(digest, ready);
-            party.textValidated(now(), digest, bytes, found);
+        String result = reason;
+        Object compiledText = compiled;
+        enqueue(() -> {
+            if (result == null) compiledTexts.put(digest, compiledText);
+            participant.textValidated(now(), digest, bytes, result);
         });
     }
 
-    private void later(Runnable r) {
-        if (!waiting.offer(r)) crowded++;
+    private void enqueue(Runnable task) {
+        if (!tasks.offer(task)) droppedTasks++;
     }
 
-    private void warnOfMark() {
-        String right = party.register().voters().storeIds().get(party.name);
-        if (right == null || party.register().revision() == 0 || right.equals(mark) || marksWarned++ > 0) return;
-        LOG.atWarn().addKeyValue("mark", mark).addKeyValue("known_as", right).log(
-            "policy: this voter's disk is not the one that it was named with; its votes do not count");
+    private void warnOfReplacedDisk() {
+        String expected = participant.register().voters().storeIds().get(participant.name);
+        if (expected == null || participant.register().revision() == 0 || expected.equals(storeId)) return;
+        if (storeIdWarned) return;
+        storeIdWarned = true;
+        LOG.atWarn().addKeyValue("mark", storeId).addKeyValue("known_as", expected).log(
+            "policy: this voter's disk is not the one that it was registered with; its votes do not count");
     }
 
     // ---- for those who decide lookups ----
 
     @Override public boolean mayStart() {
-        Leave l = leave;
-        return l.why == PolicyReplica.StopReason.NO && now() < l.until;
+        Permit current = permit;
+        return current.stopReason == PolicyReplica.StopReason.NO && now() < current.expiresAt;
     }
 
     @Override public double comeBackAfter() {
-        return party.register().leaseMs() / 2;
+        return participant.register().leaseMs() / 2;
     }
 
-    /** False where it was not on the roll, with its texts, by then. */
-    public boolean awaitRegistration(long mostMs) throws InterruptedException {
-        double until = now() + mostMs;
+    /** Waits until this director is registered and has its texts; false where it was not within {@code timeoutMs}. */
+    public boolean awaitRegistration(long timeoutMs) throws InterruptedException {
+        double until = now() + timeoutMs;
         while (!mayStart()) {
             if (now() >= until) return false;
-            Thread.sleep(5);
+            Thread.sleep(WAIT_POLL_MS);
         }
         return true;
     }
 
-    /** For the log, while it waits. */
+    /** Why it may not serve yet, for the log. */
     public String notReadyReason() {
-        return leave.why + ", known revision " + party.register().revision();
+        return permit.stopReason + ", known revision " + participant.register().revision();
     }
 
     // ---- the fleet's messages ----
 
     @Override public void onMessage(String from, byte[] body) {
-        later(() -> {
-            PolicyMessage s = PolicyMessageCodec.decode(body);
-            if (s == null) {
-                unread++;
+        enqueue(() -> {
+            PolicyMessage message = PolicyMessageCodec.decode(body);
+            if (message == null) {
+                undecodableMessages++;
                 return;
             }
-            if (party.register().voters().names().contains(from)) voterHeard.put(from, now());
-            party.onMessage(now(), from, s);
+            if (participant.register().voters().names().contains(from)) voterHeardAt.put(from, now());
+            participant.onMessage(now(), from, message);
         });
     }
 
     @Override public void onConnectionRefused(String host, int port) {
-        later(() -> party.onConnectionRefused(host, port));
+        enqueue(() -> participant.onConnectionRefused(host, port));
     }
 
-    // ---- the operators' questions ----
+    // ---- requests of operators ----
 
-    /** {@code what} is a word and its arguments; the answer is JSON. */
-    @Override public String onAdminRequest(String what, byte[] body) {
+    /** {@code request} is a word and its arguments; the answer is JSON. */
+    @Override public String onAdminRequest(String request, byte[] body) {
         String[] answer = new String[1];
-        Object done = new Object();
-        synchronized (done) {
-            later(() -> {
-                String a;
+        Object lock = new Object();
+        synchronized (lock) {
+            enqueue(() -> {
+                String result;
                 try {
-                    a = answer(what, body);
+                    result = answer(request, body);
                 } catch (RuntimeException e) {
-                    a = failed(String.valueOf(e.getMessage()));
+                    result = failed(String.valueOf(e.getMessage()));
                 }
-                synchronized (done) {
-                    answer[0] = a;
-                    done.notifyAll();
+                synchronized (lock) {
+                    answer[0] = result;
+                    lock.notifyAll();
                 }
             });
-            long until = System.nanoTime() + ASKED_MS * 1_000_000;
+            long until = System.nanoTime() + ADMIN_TIMEOUT_MS * 1_000_000;
             try {
-                while (answer[0] == null && System.nanoTime() < until) done.wait(ASKED_MS);
+                while (answer[0] == null && System.nanoTime() < until) lock.wait(ADMIN_TIMEOUT_MS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
-        return answer[0] == null ? failed("no answer within " + ASKED_MS + " ms") : answer[0];
+        return answer[0] == null ? failed("no answer within " + ADMIN_TIMEOUT_MS + " ms") : answer[0];
     }
 
-    private static String failed(String why) {
-        JsonObject o = new JsonObject();
-        o.addProperty("failed", why);
-        return o.toString();
+    private static String failed(String reason) {
+        JsonObject answer = new JsonObject();
+        answer.addProperty("failed", reason);
+        return answer.toString();
     }
 
-    private record Proposal(String id, String digest, byte[] text, String note, Change.Mode mode, double deadlineMs,
-                            Plan.Canary canary, boolean leases) { }
-
-    private String answer(String what, byte[] body) {
-        String[] p = what.split(" ", 3);
-        JsonObject o = new JsonObject();
-        switch (p[0]) {
+    private String answer(String request, byte[] body) {
+        String[] words = request.split(" ", 3);
+        JsonObject answer = new JsonObject();
+        switch (words[0]) {
             case "status" -> {
                 return status();
             }
-            case "bring" -> party.submitText(p[1], body);
-            case "brought" -> o.addProperty("state", party.texts().contains(p[1]) ? "kept"
-                : party.texts().rejectionReason(p[1]) != null
-                ? party.texts().rejectionReason(p[1]) : party.texts().isValidating(p[1]) ? "checking" : "unknown");
+            case "bring" -> participant.submitText(words[1], body);
+            case "brought" -> answer.addProperty("state", textState(words[1]));
             case "propose" -> {
-                Proposal x = PolicyMessageCodec.GSON.fromJson(new String(body, java.nio.charset.StandardCharsets.UTF_8),
-                    Proposal.class);
-                int size = x.digest.isEmpty() ? 0 : party.texts().bytes(x.digest) == null ? -1
-                    : party.texts().bytes(x.digest).length;
-                if (size < 0) return failed("its text is not here");
-                party.submit(now(), x.id, new Transition.Propose(x.id, x.digest, size, party.name, x.note, x.mode,
-                    x.deadlineMs, x.canary, x.leases));
+                return submitProposal(body);
             }
-            case "abort" -> party.submit(now(), p[1], new Transition.Abort(p[2], -1, "aborted by an operator at "
-                + party.name));
-            case "promote" -> party.submit(now(), p[1], new Transition.Promote(p[2]));
+            case "abort" -> submit(words[1],
+                new Transition.Abort(words[2], -1, "aborted by an operator at " + participant.name));
+            case "promote" -> submit(words[1], new Transition.Promote(words[2]));
             case "strike" -> {
-                PolicyRegister b = party.register();
-                PolicyRegister.Registration s = b.registrations().get(p[2]);
-                if (s == null) return failed(b.complete() ? p[2] + " is not on the roll"
-                    : "ask a voter: the roll is there");
-                party.submit(now(), p[1], new Transition.RemoveDirector(p[2], s.incarnation(),
-                    "struck by an operator at " + party.name));
+                return submitRemoval(words[1], words[2]);
             }
             case "voters" -> {
-                Map<String, String> marks = new TreeMap<>();
-                for (String n : p[2].split(",")) {
-                    String m = n.contains("=") ? n.substring(n.indexOf('=') + 1)
-                        : party.register().voters().storeIds().get(n);
-                    if (m == null) return failed(n + " is no voter yet: name it with its mark, NAME=MARK");
-                    marks.put(n.replaceAll("=.*", ""), m);
-                }
-                party.submit(now(), p[1], new Transition.ChangeVoters(party.register().voters().number(), marks));
+                return submitVoters(words[1], words[2]);
             }
             case "text" -> {
-                byte[] t = party.texts().bytes(p[1]);
-                if (t == null) return failed("not here");
-                o.addProperty("text", new String(t, java.nio.charset.StandardCharsets.UTF_8));
+                byte[] text = participant.texts().bytes(words[1]);
+                if (text == null) return failed("the text is not stored at this director");
+                answer.addProperty("text", new String(text, StandardCharsets.UTF_8));
             }
             case "tried" -> {
-                if (party.outcome(p[1]) != null) o.addProperty("outcome", party.outcome(p[1]));
-                else o.addProperty("trying", party.isPending(p[1]));
+                String outcome = participant.outcome(words[1]);
+                if (outcome != null) answer.addProperty("outcome", outcome);
+                else answer.addProperty("trying", participant.isPending(words[1]));
             }
-            case "probe" -> party.submit(now(), p[1], new Transition.Probe());
+            case "probe" -> submit(words[1], new Transition.Probe());
             default -> {
-                return failed("no such question: " + p[0]);
+                return failed("unknown request: " + words[0]);
             }
         }
-        return o.toString();
+        return answer.toString();
+    }
+
+    private void submit(String key, Transition transition) {
+        participant.submit(now(), key, transition);
+    }
+
+    /** "kept", "checking", "unknown", or why the text was rejected. */
+    private String textState(String digest) {
+        PolicyTexts texts = participant.texts();
+        if (texts.contains(digest)) return "kept";
+        if (texts.rejectionReason(digest) != null) return texts.rejectionReason(digest);
+        return texts.isValidating(digest) ? "checking" : "unknown";
+    }
+
+    private String submitProposal(byte[] body) {
+        Proposal proposal = GSON.fromJson(new String(body, StandardCharsets.UTF_8), Proposal.class);
+        int size = 0;
+        if (!proposal.digest.isEmpty()) {
+            byte[] text = participant.texts().bytes(proposal.digest);
+            if (text == null) return failed("the text of the proposal is not stored at this director");
+            size = text.length;
+        }
+        submit(proposal.id, new Transition.Propose(proposal.id, proposal.digest, size, participant.name, proposal.note,
+            proposal.mode, proposal.deadlineMs, proposal.canary, proposal.leases));
+        return new JsonObject().toString();
+    }
+
+    private String submitRemoval(String key, String director) {
+        PolicyRegister register = participant.register();
+        PolicyRegister.Registration registration = register.registrations().get(director);
+        if (registration == null) {
+            return failed(register.complete() ? director + " is not registered"
+                : "this director does not know all registrations: ask a voter");
+        }
+        submit(key, new Transition.RemoveDirector(director, registration.incarnation(),
+            "removed by an operator at " + participant.name));
+        return new JsonObject().toString();
+    }
+
+    /** {@code names} are NAME or NAME=MARK, separated by commas; the mark is the voter's store id. */
+    private String submitVoters(String key, String names) {
+        VoterSet voters = participant.register().voters();
+        Map<String, String> storeIds = new TreeMap<>();
+        for (String entry : names.split(",")) {
+            String id = entry.contains("=") ? entry.substring(entry.indexOf('=') + 1) : voters.storeIds().get(entry);
+            if (id == null) return failed(entry + " is no voter yet: name it with its mark, NAME=MARK");
+            storeIds.put(entry.replaceAll("=.*", ""), id);
+        }
+        submit(key, new Transition.ChangeVoters(voters.number(), storeIds));
+        return new JsonObject().toString();
     }
 
     private String status() {
-        PolicyRegister b = party.register();
+        PolicyRegister register = participant.register();
+        PolicyReplica replica = participant.replica();
         double now = now();
-        JsonObject o = new JsonObject();
-        o.addProperty("fleet", fleet);
-        o.addProperty("name", party.name);
-        o.addProperty("life", party.replica().incarnation());
-        o.addProperty("mark", mark);
-        o.addProperty("revision", b.revision());
-        o.addProperty("stopped", party.replica().stopReason(now).toString());
-        o.addProperty("bound", party.replica().requiresLease());
-        o.addProperty("lease_left_ms", party.replica().requiresLease()
-            ? Math.round(party.replica().leaseExpiresAt() - now) : -1);
-        o.addProperty("lease_ms", b.leaseMs());
-        o.addProperty("deciding_by", party.replica().plan());
-        o.add("plan", PolicyMessageCodec.GSON.toJsonTree(b.plan()));
-        o.addProperty("previous_text", PolicyParticipant.previousText(b));
-        if (b.change() != null) {
-            o.add("change", PolicyMessageCodec.GSON.toJsonTree(b.change()));
-            o.addProperty("stage_for_ms", Math.round(party.coordinator().stageElapsed(now)));
-            JsonObject up = new JsonObject();
-            if (b.complete()) party.coordinator().blockers(b, now).forEach(up::addProperty);
-            o.add("held_up_by", up);
+        JsonObject status = new JsonObject();
+        status.addProperty("fleet", fleet);
+        status.addProperty("name", participant.name);
+        status.addProperty("life", replica.incarnation());
+        status.addProperty("mark", storeId);
+        status.addProperty("revision", register.revision());
+        status.addProperty("stopped", replica.stopReason(now).toString());
+        status.addProperty("bound", replica.requiresLease());
+        status.addProperty("lease_left_ms", replica.requiresLease()
+            ? Math.round(replica.leaseExpiresAt() - now) : -1);
+        status.addProperty("lease_ms", register.leaseMs());
+        status.addProperty("deciding_by", replica.plan());
+        status.add("plan", GSON.toJsonTree(register.plan()));
+        status.addProperty("previous_text", PolicyParticipant.previousText(register));
+        if (register.change() != null) {
+            status.add("change", GSON.toJsonTree(register.change()));
+            status.addProperty("stage_for_ms", Math.round(participant.coordinator().stageElapsed(now)));
+            JsonObject blockers = new JsonObject();
+            if (register.complete()) {
+                participant.coordinator().blockers(register, now).forEach(blockers::addProperty);
+            }
+            status.add("held_up_by", blockers);
         }
-        JsonArray lately = new JsonArray();
-        for (PolicyRegister.CompletedChange e : b.recentChanges()) lately.add(PolicyMessageCodec.GSON.toJsonTree(e));
-        o.add("lately", lately);
+        JsonArray completed = new JsonArray();
+        for (PolicyRegister.CompletedChange change : register.recentChanges()) completed.add(GSON.toJsonTree(change));
+        status.add("lately", completed);
+        status.add("voters", voterStatus(register, now));
+        status.addProperty("voters_number", register.voters().number());
+        if (register.complete()) status.add("roll", registrationStatus(register));
+        status.add("counts", counters());
+        return new GsonBuilder().setPrettyPrinting().create().toJson(status);
+    }
+
+    private JsonArray voterStatus(PolicyRegister register, double now) {
         JsonArray voters = new JsonArray();
-        for (Map.Entry<String, String> v : b.voters().storeIds().entrySet()) {
-            JsonObject x = new JsonObject();
-            String seen = v.getKey().equals(party.name) ? mark : party.observedStoreIds().get(v.getKey());
-            x.addProperty("name", v.getKey());
-            x.addProperty("mark", v.getValue());
-            if (seen != null && !seen.equals(v.getValue()) && b.revision() > 0) x.addProperty("answers_as", seen);
-            Double at = v.getKey().equals(party.name) ? Double.valueOf(now) : voterHeard.get(v.getKey());
-            if (at != null) x.addProperty("heard_ms_ago", Math.round(now - at));
-            voters.add(x);
-        }
-        o.add("voters", voters);
-        o.addProperty("voters_number", b.voters().number());
-        if (b.complete()) {
-            JsonArray roll = new JsonArray();
-            b.registrations().forEach((n, s) -> {
-                JsonObject x = new JsonObject();
-                x.addProperty("name", n);
-                x.addProperty("life", s.incarnation());
-                x.addProperty("at", s.host() + ":" + s.port());
-                x.addProperty("left_out", s.excluded());
-                roll.add(x);
-            });
-            o.add("roll", roll);
-        }
-        JsonObject counts = new JsonObject();
-        for (PolicyParticipant.Counter c : PolicyParticipant.Counter.values()) {
-            counts.addProperty(c.name().toLowerCase(Locale.ROOT), party.counts[c.ordinal()]);
+        register.voters().storeIds().forEach((name, expected) -> {
+            JsonObject voter = new JsonObject();
+            boolean isThis = name.equals(participant.name);
+            String observed = isThis ? storeId : participant.observedStoreIds().get(name);
+            voter.addProperty("name", name);
+            voter.addProperty("mark", expected);
+            if (observed != null && !observed.equals(expected) && register.revision() > 0) {
+                voter.addProperty("answers_as", observed);
+            }
+            Double heardAt = isThis ? Double.valueOf(now) : voterHeardAt.get(name);
+            if (heardAt != null) voter.addProperty("heard_ms_ago", Math.round(now - heardAt));
+            voters.add(voter);
+        });
+        return voters;
+    }
+
+    private static JsonArray registrationStatus(PolicyRegister register) {
+        JsonArray registrations = new JsonArray();
+        register.registrations().forEach((name, registration) -> {
+            JsonObject director = new JsonObject();
+            director.addProperty("name", name);
+            director.addProperty("life", registration.incarnation());
+            director.addProperty("at", registration.host() + ":" + registration.port());
+            director.addProperty("left_out", registration.excluded());
+            registrations.add(director);
+        });
+        return registrations;
+    }
+
+    private JsonObject counters() {
+        JsonObject counters = new JsonObject();
+        for (PolicyParticipant.Counter counter : PolicyParticipant.Counter.values()) {
+            counters.addProperty(counter.name().toLowerCase(Locale.ROOT), participant.counts[counter.ordinal()]);
         }
-        counts.addProperty("unread", unread);
-        counts.addProperty("crowded_out", crowded);
-        counts.addProperty("unwritten", unwritten);
-        o.add("counts", counts);
-        return new GsonBuilder().setPrettyPrinting().create().toJson(o);
+        counters.addProperty("unread", undecodableMessages);
+        counters.addProperty("crowded_out", droppedTasks);
+        counters.addProperty("unwritten", failedWrites);
+        return counters;
     }
 
-    /** It has stopped deciding; says so, for a while, until it is off the roll. */
+    /** Stops deciding lookups and waits for a while to be removed from the register. */
     public void leave() throws InterruptedException {
-        later(() -> party.leave(now()));
-        double until = now() + LEAVE_MS;
-        while (!party.hasLeft() && now() < until) Thread.sleep(5);
+        enqueue(() -> participant.leave(now()));
+        double until = now() + LEAVE_TIMEOUT_MS;
+        while (!participant.hasLeft() && now() < until) Thread.sleep(WAIT_POLL_MS);
     }
 
     @Override public void close() {
--- a/src/main/java/mothcross/policy/net/PolicyStore.java
+++ b/src/main/java/mothcross/policy/net/PolicyStore.java
@@ -23,132 +23,144 @@
 import mothcross.policy.Voter;
 
 /**
- * What one director keeps of the policy: a folder with what it promised as a voter, the last book, and the texts by
- * digest. Each file is replaced whole and synced, the folder too; a line with a checksum leads it. Owns the folder;
- * must never give out what does not fit its checksum, nor what another fleet's or another name's director kept there.
+ * One director's directory of policy files: its voter's state, the last decided register, and the texts by digest. Each
+ * file is replaced atomically and synced, and so is the directory. A JSON file begins with a line that has its
+ * checksum; a file that does not match it is never used, nor is a directory of another fleet or of another director.
  */
 final class PolicyStore {
-    /** The folder can't be used as it is; nothing is guessed. */
-    static final class Unusable extends IOException {
+    /** The directory can't be used as it is; an operator has to decide what to do with it. */
+    static final class UnusableStoreException extends IOException {
         private static final long serialVersionUID = 1;
 
-        Unusable(Path file, String why) {
-            super(file + ": " + why);
+        UnusableStoreException(Path file, String reason) {
+            super(file + ": " + reason);
         }
     }
 
-    private record Whose(String fleet, String name) { }
-
-    private static final Pattern TEXT = Pattern.compile("text-([0-9a-f]{64})\\.json");
-    private final Path dir;
-    private final Whose whose;
-
-    PolicyStore(Path dir, String fleet, String name) throws IOException {
-        this.dir = dir;
-        this.whose = new Whose(fleet, name);
-        Files.createDirectories(dir);
-        Whose before = read("whose.json", Whose.class);
-        if (before == null) write("whose.json", whose);
-        else if (!before.equals(whose)) {
-            throw new Unusable(dir.resolve("whose.json"), "is of " + before.name() + " in " + before.fleet()
-                + ", this is " + whose.name() + " in " + whose.fleet());
+    private record Owner(String fleet, String name) { }
+
+    private static final String OWNER_FILE = "whose.json";
+    private static final String VOTER_FILE = "voter.json";
+    private static final String REGISTER_FILE = "book.json";
+    private static final Pattern TEXT_FILE = Pattern.compile("text-([0-9a-f]{64})\\.json");
+
+    private final Path directory;
+
+    PolicyStore(Path directory, String fleet, String name) throws IOException {
+        this.directory = directory;
+        Owner owner = new Owner(fleet, name);
+        Files.createDirectories(directory);
+        Owner former = read(OWNER_FILE, Owner.class);
+        if (former == null) {
+            write(OWNER_FILE, owner);
+        } else if (!former.equals(owner)) {
+            throw new UnusableStoreException(directory.resolve(OWNER_FILE), "belongs to director " + former.name()
+                + " of fleet " + former.fleet() + ", but this is " + name + " of " + fleet);
         }
     }
 
-    /** Null where there is none: a new disk. */
-    Voter.State voter() throws IOException {
-        return read("voter.json", Voter.State.class);
+    /** The voter's state; null on a new disk. */
+    Voter.State readVoterState() throws IOException {
+        return read(VOTER_FILE, Voter.State.class);
     }
 
-    PolicyRegister book() throws IOException {
-        return read("book.json", PolicyRegister.class);
+    /** The last decided register; null where none was written. */
+    PolicyRegister readRegister() throws IOException {
+        return read(REGISTER_FILE, PolicyRegister.class);
     }
 
-    /** Those that still have their digest; others are as if they were not there, and are fetched again. */
-    Map<String, byte[]> texts() throws IOException {
-        Map<String, byte[]> all = new LinkedHashMap<>();
-        try (Stream<Path> files = Files.list(dir)) {
-            for (Path f : files.sorted().toList()) {
-                Matcher m = TEXT.matcher(f.getFileName().toString());
-                if (!m.matches()) continue;
-                byte[] b = Files.readAllBytes(f);
-                if (digest(b).equals(m.group(1))) all.put(m.group(1), b);
+    /** The texts by digest. A file that does not match its digest is left out, so that its text is fetched again. */
+    Map<String, byte[]> readTexts() throws IOException {
+        Map<String, byte[]> texts = new LinkedHashMap<>();
+        try (Stream<Path> files = Files.list(directory)) {
+            for (Path file : files.sorted().toList()) {
+                Matcher matcher = TEXT_FILE.matcher(file.getFileName().toString());
+                if (!matcher.matches()) continue;
+                byte[] bytes = Files.readAllBytes(file);
+                if (digest(bytes).equals(matcher.group(1))) texts.put(matcher.group(1), bytes);
             }
         }
-        return all;
+        return texts;
     }
 
-    void voter(Voter.State s) throws IOException {
-        write("voter.json", s);
+    void writeVoterState(Voter.State state) throws IOException {
+        write(VOTER_FILE, state);
     }
 
-    void book(PolicyRegister b) throws IOException {
-        write("book.json", b);
+    void writeRegister(PolicyRegister register) throws IOException {
+        write(REGISTER_FILE, register);
     }
 
-    void text(String digest, byte[] bytes) throws IOException {
-        replace(text(digest), bytes);
+    void writeText(String digest, byte[] bytes) throws IOException {
+        replace(textFile(digest), bytes);
     }
 
-    void drop(String digest) throws IOException {
-        Files.deleteIfExists(dir.resolve(text(digest)));
+    void deleteText(String digest) throws IOException {
+        Files.deleteIfExists(directory.resolve(textFile(digest)));
     }
 
-    private static String text(String digest) {
+    private static String textFile(String digest) {
         return "text-" + digest + ".json";
     }
 
-    static String digest(byte[] b) {
+    /** The SHA-256 of a text, in hexadecimal. */
+    static String digest(byte[] bytes) {
         try {
-            return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(b));
+            return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);             // every JDK has it
+            throw new IllegalStateException(e);             // each JDK has to provide SHA-256
         }
     }
 
     private <T> T read(String file, Class<T> type) throws IOException {
-        String all;
+        Path path = directory.resolve(file);
+        String content;
         try {
-            all = Files.readString(dir.resolve(file), StandardCharsets.UTF_8);
+            content = Files.readString(path, StandardCharsets.UTF_8);
         } catch (NoSuchFileException e) {
             return null;
         }
-        int nl = all.indexOf('\n');
-        if (nl < 0 || !all.substring(0, nl).equals(checksum(all.substring(nl + 1)))) {
-            throw new Unusable(dir.resolve(file), "its checksum does not fit: not written by this program, or damaged");
+        int lineEnd = content.indexOf('\n');
+        if (lineEnd < 0 || !content.substring(0, lineEnd).equals(checksum(content.substring(lineEnd + 1)))) {
+            throw new UnusableStoreException(path,
+                "the checksum does not match: the file is damaged, or was not written by this program");
         }
         try {
-            T t = PolicyMessageCodec.GSON.fromJson(all.substring(nl + 1), type);
-            if (t == null) throw new Unusable(dir.resolve(file), "is empty");
-            return t;
+            T value = PolicyMessageCodec.GSON.fromJson(content.substring(lineEnd + 1), type);
+            if (value == null) throw new UnusableStoreException(path, "the file is empty");
+            return value;
         } catch (JsonParseException | NullPointerException e) {
-            throw new Unusable(dir.resolve(file), "can't be read: " + e.getMessage());
+            throw new UnusableStoreException(path, "can't be parsed: " + e.getMessage());
         }
     }
 
-    private void write(String file, Object o) throws IOException {
-        String json = PolicyMessageCodec.GSON.toJson(o);
+    private void write(String file, Object value) throws IOException {
+        String json = PolicyMessageCodec.GSON.toJson(value);
         replace(file, (checksum(json) + "\n" + json).getBytes(StandardCharsets.UTF_8));
     }
 
-    /** When it returns, the new one is there whatever happens; before, the old one or the new one, never a part. */
+    /**
+     * Replaces a file. Once this returns the new content survives a crash; a crash before leaves the old or the new
+     * content, never a part of it.
+     */
     private void replace(String file, byte[] bytes) throws IOException {
-        Path anew = dir.resolve(file + ".new");
-        try (FileChannel c = FileChannel.open(anew, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+        Path temporary = directory.resolve(file + ".new");
+        try (FileChannel channel = FileChannel.open(temporary, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
             StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer b = ByteBuffer.wrap(bytes);
-            while (b.hasRemaining()) c.write(b);
-            c.force(true);
+            ByteBuffer buffer = ByteBuffer.wrap(bytes);
+            while (buffer.hasRemaining()) channel.write(buffer);
+            channel.force(true);
         }
-        Files.move(anew, dir.resolve(file), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        try (FileChannel d = FileChannel.open(dir, StandardOpenOption.READ)) {
-            d.force(true);
+        Files.move(temporary, directory.resolve(file), StandardCopyOption.ATOMIC_MOVE,
+            StandardCopyOption.REPLACE_EXISTING);
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
+            channel.force(true);
         }
     }
 
-    private static String checksum(String s) {
-        CRC32C c = new CRC32C();
-        c.update(s.getBytes(StandardCharsets.UTF_8));
-        return String.format("%08x", c.getValue());
+    private static String checksum(String text) {
+        CRC32C checksum = new CRC32C();
+        checksum.update(text.getBytes(StandardCharsets.UTF_8));
+        return String.format("%08x", checksum.getValue());
     }
 }
--- a/src/test/java/mothcross/policy/net/PolicyMessageCodecTest.java
+++ b/src/test/java/mothcross/policy/net/PolicyMessageCodecTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The JSON of every kind of message and of the voter's file: directors of other builds read and write the same. */
+/** Pins the JSON of each kind of message and of the voter's file, which directors of other builds read and write. */
 public class PolicyMessageCodecTest {
     private static final ProposalNumber NUMBER = new ProposalNumber(3, "d1", 1_700_000_000_001L);
     private static final String NUMBER_JSON = "{\"round\":3,\"by\":\"d1\",\"life\":1700000000001}";
@@ -78,19 +78,19 @@
                 "{\"Words\":{\"since\":7,\"of\":{\"d1\":" + REPORT_JSON + "}}}"}};
     }
 
-    @Test(dataProvider = "messages") public void messageIsWrittenAsEverAndReadBack(PolicyMessage message, String json) {
+    @Test(dataProvider = "messages") public void messageHasFixedJsonAndIsReadBack(PolicyMessage message, String json) {
         assertEquals(new String(PolicyMessageCodec.encode(message), StandardCharsets.UTF_8), json);
         PolicyMessage read = PolicyMessageCodec.decode(json.getBytes(StandardCharsets.UTF_8));
         assertEquals(read, message);
         assertEquals(PolicyMessageCodec.encode(read), PolicyMessageCodec.encode(message));
     }
 
-    @Test public void everyKindIsCompared() {
-        Set<Class<?>> compared = Arrays.stream(messages()).map(m -> m[0].getClass()).collect(Collectors.toSet());
-        assertEquals(compared, Set.of(PolicyMessage.class.getPermittedSubclasses()));
+    @Test public void everyMessageKindIsCovered() {
+        Set<Class<?>> covered = Arrays.stream(messages()).map(m -> m[0].getClass()).collect(Collectors.toSet());
+        assertEquals(covered, Set.of(PolicyMessage.class.getPermittedSubclasses()));
     }
 
-    @Test public void voterStateIsWrittenAsEverAndReadBack() {
+    @Test public void voterStateHasFixedJsonAndIsReadBack() {
         Voter.State state = new Voter.State("m1", NUMBER, ProposalNumber.NONE, REGISTER);
         String json = "{\"mark\":\"m1\",\"promised\":" + NUMBER_JSON
             + ",\"acceptedAt\":{\"round\":0,\"by\":\"\",\"life\":0},\"accepted\":" + REGISTER_JSON + "}";
