--- a/src/main/java/mothcross/policy/PolicyParticipant.java
+++ b/src/main/java/mothcross/policy/PolicyParticipant.java
@@ -66,7 +66,8 @@
     private static final int MAX_OUTCOMES = 64;
     private static final int MAX_TEXT_SOURCES = 16;
 
-    private static final double NEVER = Double.NEGATIVE_INFINITY;
+    /** Initial value of times: what is due from then on is due at once. */
+    private static final double LONG_AGO = Double.NEGATIVE_INFINITY;
 
     public final String name;
     private final String host;
@@ -87,17 +88,17 @@
     private PolicyRegister completeRegister;
     private boolean leaving;
     private boolean left;
-    private double nextTickAt = NEVER;
+    private double nextTickAt = LONG_AGO;
     private double proposerSentAt;
-    private double nextProposalAt = NEVER;
-    private double nextLearnAt = NEVER;
-    private double nextJoinAt = NEVER;
-    private double nextPollAt = NEVER;
-    private double nextFetchAt = NEVER;
-    private double lastReportAt = NEVER;
-    private double nextLeaveAt = NEVER;
+    private double nextProposalAt = LONG_AGO;
+    private double nextLearnAt = LONG_AGO;
+    private double nextJoinAt = LONG_AGO;
+    private double nextPollAt = LONG_AGO;
+    private double nextFetchAt = LONG_AGO;
+    private double lastReportAt = LONG_AGO;
+    private double nextLeaveAt = LONG_AGO;
     // When another director was last seen to coordinate the change, or the change moved on.
-    private double otherCoordinatedAt = NEVER;
+    private double otherCoordinatedAt = LONG_AGO;
     private boolean coordinating;
     // Since when this voter has held a proposal that may be decided, and that is later than the known register.
     private double undecidedSince = Double.NaN;
@@ -143,7 +144,7 @@
             texts.add(digest, bytes);
             replica.setTextAvailable(digest, true);
         });
-        coordinator.learn(replica.register(), Double.NEGATIVE_INFINITY);
+        coordinator.learn(replica.register(), LONG_AGO);
     }
 
     public PolicyReplica replica() {
@@ -421,7 +422,7 @@
             && register.isRegistered(entry.getKey(), entry.getValue().incarnation()));
         leaveRequests.entrySet().removeIf(entry -> register.complete()
             && register.registration(entry.getKey(), entry.getValue()) == null);
-        nextFetchAt = NEVER;
+        nextFetchAt = LONG_AGO;
         activatePlan();
         requestTexts(now);
         reportProgress(now, true);
--- a/src/main/java/mothcross/policy/PolicyTexts.java
+++ b/src/main/java/mothcross/policy/PolicyTexts.java
@@ -18,7 +18,7 @@
     static final int MAX_TEXT_BYTES = 1 << 20;
 
     private static final class PartialText {
-        // -1 until the first chunk says it.
+        // Of the complete text; -1 until the first chunk is in.
         int size = -1;
         final ByteArrayOutputStream received = new ByteArrayOutputStream();
     }
--- a/src/main/java/mothcross/policy/net/PolicyNode.java
+++ b/src/main/java/mothcross/policy/net/PolicyNode.java
@@ -298,7 +298,7 @@
 
     // ---- requests of operators ----
 
-    /** {@code request} is a word and its arguments; the answer is JSON. */
+    /** Answers a request, a word followed by its arguments, in JSON; {@code body} is its attachment. */
     @Override public String onAdminRequest(String request, byte[] body) {
         String[] answer = new String[1];
         Object lock = new Object();
