--- a/src/main/java/mothcross/fleet/FleetCounters.java
+++ b/src/main/java/mothcross/fleet/FleetCounters.java
@@ -6,8 +6,8 @@
 
 /** How often what happened, and each move of a member's judgement; read by nobody who decides. */
 public final class FleetCounters {
-    public enum Event { PHASE, LATE, NEW_LIFE, NOT_OURS, OLD_LIFE, WANTS, STEPPED_BACK, ACCUSED, CLEARED, REFUTED,
-        APART, TOGETHER, PROPOSED, VIEW, ALONE }
+    public enum Event { PHASE_CHANGED, LOCAL_DELAY, NEW_INCARNATION, MISADDRESSED, STALE_INCARNATION, VIEW_REQUESTED, SUPERSEDED, ACCUSED, CLEARED, REFUTED,
+        PARTITIONED, PARTITION_HEALED, PROPOSED, VIEW_CHANGED, RESTARTED_ALONE }
 
     private final EnumMap<Event, Long> moves = new EnumMap<>(Event.class);
     private final long[][] judged = new long[MemberHealth.values().length][MemberHealth.values().length];
@@ -20,12 +20,12 @@
         judged[from.ordinal()][to.ordinal()]++;
     }
 
-    public long of(Event m) {
+    public long count(Event m) {
         return moves.getOrDefault(m, 0L);
     }
 
     /** By name, what is not 0. */
-    public Map<String, Long> all() {
+    public Map<String, Long> nonZero() {
         Map<String, Long> all = new TreeMap<>();
         moves.forEach((m, n) -> all.put(m.name().toLowerCase(java.util.Locale.ROOT), n));
         for (MemberHealth a : MemberHealth.values()) {
--- a/src/main/java/mothcross/fleet/MemberHealth.java
+++ b/src/main/java/mothcross/fleet/MemberHealth.java
@@ -13,12 +13,12 @@
  * it: that is the view's.
  */
 public enum MemberHealth {
-    FINE, DOUBTED, UNSTABLE, SILENT;
+    FINE, SUSPECTED, UNSTABLE, SILENT;
 
     MemberHealth next(int accusing, int low, int high) {
         if (accusing >= high) return SILENT;
         if (accusing == 0) return FINE;
-        if (accusing < low) return DOUBTED;
+        if (accusing < low) return SUSPECTED;
         return this == SILENT ? SILENT : UNSTABLE;
     }
 }
--- a/src/main/java/mothcross/fleet/MemberRecord.java
+++ b/src/main/java/mothcross/fleet/MemberRecord.java
@@ -7,7 +7,7 @@
  */
 public record MemberRecord(String name, long incarnation, String host, int port, Status status, int evictions) {
     /** In this order one stands over another of the same incarnation. */
-    public enum Status { IN, OUT, LEFT }
+    public enum Status { IN, EVICTED, LEFT }
 
     boolean over(MemberRecord other) {
         if (other == null || incarnation != other.incarnation) return other == null || incarnation > other.incarnation;
