--- a/src/main/java/mothcross/cli/FleetCommand.java
+++ b/src/main/java/mothcross/cli/FleetCommand.java
@@ -95,7 +95,8 @@
             if (d == null) throw new IOException("the file has no part fleet");
             InetSocketAddress to = socket(at == null ? d.listen() : at);
             try {
-                return JsonParser.parseString(AdminClient.ask(to, d.fleet(), keys(d), what, body)).getAsJsonObject();
+                String answer = AdminClient.request(to, d.fleet(), keys(d), what, body);
+                return JsonParser.parseString(answer).getAsJsonObject();
             } catch (IOException e) {
                 throw new IOException("no answer from " + to + ": " + e.getMessage(), e);
             }
--- a/src/main/java/mothcross/fleet/FleetCounters.java
+++ b/src/main/java/mothcross/fleet/FleetCounters.java
@@ -1,39 +1,66 @@
 package mothcross.fleet;
 
 import java.util.EnumMap;
+import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 
-/** How often what happened, and each move of a member's judgement; read by nobody who decides. */
+/** Counts a member's events and the transitions of other members' health. For metrics only: no decision reads it. */
 public final class FleetCounters {
-    public enum Event { PHASE, LATE, NEW_LIFE, NOT_OURS, OLD_LIFE, WANTS, STEPPED_BACK, ACCUSED, CLEARED, REFUTED,
-        APART, TOGETHER, PROPOSED, VIEW, ALONE }
+    /** Events that are counted, each under its label. */
+    public enum Event {
+        PHASE_CHANGED("phase"),
+        /** A tick came late: a pause of the process, a starved CPU or a step of the clock. */
+        LOCAL_DELAY("late"),
+        NEW_INCARNATION("new_life"),
+        /** A message that is meant for another member. */
+        MISADDRESSED("not_ours"),
+        /** A message from an incarnation older than the known one. */
+        STALE_INCARNATION("old_life"),
+        VIEW_REQUESTED("wants"),
+        SUPERSEDED("stepped_back"),
+        ACCUSED("accused"),
+        CLEARED("cleared"),
+        REFUTED("refuted"),
+        PARTITIONED("apart"),
+        PARTITION_HEALED("together"),
+        PROPOSED("proposed"),
+        VIEW_CHANGED("view"),
+        RESTARTED_ALONE("alone");
 
-    private final EnumMap<Event, Long> moves = new EnumMap<>(Event.class);
-    private final long[][] judged = new long[MemberHealth.values().length][MemberHealth.values().length];
+        private final String label;
 
-    void add(Event m) {
-        moves.merge(m, 1L, Long::sum);
+        Event(String label) {
+            this.label = label;
+        }
+    }
+
+    private final EnumMap<Event, Long> events = new EnumMap<>(Event.class);
+    /** By ordinal of the health before and of the health after. */
+    private final long[][] healthTransitions = new long[MemberHealth.values().length][MemberHealth.values().length];
+
+    void add(Event event) {
+        events.merge(event, 1L, Long::sum);
     }
 
-    void moved(MemberHealth from, MemberHealth to) {
-        judged[from.ordinal()][to.ordinal()]++;
+    void addTransition(MemberHealth from, MemberHealth to) {
+        healthTransitions[from.ordinal()][to.ordinal()]++;
     }
 
-    public long of(Event m) {
-        return moves.getOrDefault(m, 0L);
+    public long count(Event event) {
+        return events.getOrDefault(event, 0L);
     }
 
-    /** By name, what is not 0. */
-    public Map<String, Long> all() {
-        Map<String, Long> all = new TreeMap<>();
-        moves.forEach((m, n) -> all.put(m.name().toLowerCase(java.util.Locale.ROOT), n));
-        for (MemberHealth a : MemberHealth.values()) {
-            for (MemberHealth b : MemberHealth.values()) {
-                long n = judged[a.ordinal()][b.ordinal()];
-                if (n > 0) all.put((a + "_to_" + b).toLowerCase(java.util.Locale.ROOT), n);
+    /** All counters that are not 0, by their names in the status. */
+    public Map<String, Long> nonZero() {
+        Map<String, Long> counts = new TreeMap<>();
+        events.forEach((event, count) -> counts.put(event.label, count));
+        for (MemberHealth from : MemberHealth.values()) {
+            for (MemberHealth to : MemberHealth.values()) {
+                long count = healthTransitions[from.ordinal()][to.ordinal()];
+                if (count > 0) counts.put((from + "_to_" + to).toLowerCase(Locale.ROOT), count);
             }
         }
-        return all;
+        return counts;
     }
 }
--- a/src/main/java/mothcross/fleet/FleetMember.java
+++ b/src/main/java/mothcross/fleet/FleetMember.java
@@ -29,21 +29,64 @@
 public final class FleetMember {
     /** What the one beside it wants to know. */
     public interface MemberListener {
-        void view(View v, boolean apart, ViewCause cause);
+        void onViewChange(View v, boolean apart, ViewCause cause);
 
         /** It agrees to a change of the view with this digest. */
-        void votes(long base, int round);
+        void onVote(long base, int round);
 
-        void judged(String name, MemberHealth from, MemberHealth to, int accusing);
+        void onHealthChange(String name, MemberHealth from, MemberHealth to, int accusing);
 
-        void self(Phase p, long life);
+        void onPhaseChange(Phase p, long life);
     }
 
-    /** VOTED by more than half, MERGED with another's, TOLD by one whose view it takes, the rest change no members. */
-    public enum ViewCause { BEGINS, VOTED, MERGED, TOLD, NUMBERED, APART }
+    /** Why a view is reported. {@code RENUMBERED} and {@code PARTITION_CHANGED} leave the members as they were. */
+    public enum ViewCause {
+        /** The member's own view, on which it is alone. */
+        STARTED("BEGINS"),
+        /** A proposal that more than half of the previous view voted for. */
+        VOTED("VOTED"),
+        /** The own view merged with a differing one of another member. */
+        MERGED("MERGED"),
+        /** The view of another member, taken over as it is. */
+        RECEIVED("TOLD"),
+        RENUMBERED("NUMBERED"),
+        PARTITION_CHANGED("APART");
 
-    /** JOINING: not in the view, or in it with an older life. OUT: it was put out and waits until it is steady. */
-    public enum Phase { JOINING, IN, OUT, STEPPED_BACK, LEFT }
+        private final String label;
+
+        ViewCause(String label) {
+            this.label = label;
+        }
+
+        /** The name in logs and histories. */
+        @Override public String toString() {
+            return label;
+        }
+    }
+
+    /** What part this member takes in the fleet. */
+    public enum Phase {
+        /** Not in the view, or in it only with an older incarnation. */
+        JOINING("JOINING"),
+        IN("IN"),
+        /** Evicted; waits for a time of stability before it asks to join again. */
+        EVICTED("OUT"),
+        /** Another process holds this name; terminal. */
+        SUPERSEDED("STEPPED_BACK"),
+        /** Announced that it leaves; terminal. */
+        LEFT("LEFT");
+
+        private final String label;
+
+        Phase(String label) {
+            this.label = label;
+        }
+
+        /** The name in logs, in the status and in histories. */
+        @Override public String toString() {
+            return label;
+        }
+    }
 
     public record Address(String host, int port) { }
 
@@ -145,7 +188,7 @@
     }
 
     private boolean over() {
-        return phase == Phase.LEFT || phase == Phase.STEPPED_BACK;
+        return phase == Phase.LEFT || phase == Phase.SUPERSEDED;
     }
 
     private void begin(double now) {
@@ -155,7 +198,7 @@
         view = shared.apply(new View(1, List.of(own), pace.rings()));
         ballot = new Ballot(view);
         become(Phase.IN);
-        news.view(view, false, ViewCause.BEGINS);
+        news.onViewChange(view, false, ViewCause.STARTED);
     }
 
     private MemberRecord own() {
@@ -167,13 +210,13 @@
     private void become(Phase p) {
         if (phase == p) return;
         phase = p;
-        counters.add(FleetCounters.Event.PHASE);
-        news.self(p, incarnation);
+        counters.add(FleetCounters.Event.PHASE_CHANGED);
+        news.onPhaseChange(p, incarnation);
     }
 
     /** A pause, a starved core or a step of the clock: what was not heard meanwhile is nobody's fault. */
     private void overslept(double now, double late) {
-        counters.add(FleetCounters.Event.LATE);
+        counters.add(FleetCounters.Event.LOCAL_DELAY);
         steadyAt = now + 2 * pace.probePeriodMs();
         health = Math.min(MOST_HEALTH, health + 2);
         for (LinkMonitor w : watches.values()) w.silentRounds = 0;
@@ -209,8 +252,8 @@
             send(f.host(), f.port(), Kind.PING, w.name, w.asked, "", false);
         }
         seeWhetherApart(now);
-        if (phase != Phase.IN && !view.has(name) && now - viewHeardAt > ALONE_AGAIN) beginAnew(now);
-        if (phase == Phase.OUT) steady(now);
+        if (phase != Phase.IN && !view.contains(name) && now - viewHeardAt > ALONE_AGAIN) beginAnew(now);
+        if (phase == Phase.EVICTED) steady(now);
         if (phase != Phase.IN || view.size() == 1) knock();
         else if (chance.nextInt(4) == 0) reach();
         if (rival != null && now - rivalAt > WHO_WAITS) takeOver();
@@ -247,7 +290,7 @@
     private void reach() {
         List<MemberRecord> gone = new ArrayList<>();
         for (PeerState p : peers.values()) {
-            if (p.fact != null && p.fact.status() == MemberRecord.Status.OUT) gone.add(p.latest());
+            if (p.fact != null && p.fact.status() == MemberRecord.Status.EVICTED) gone.add(p.latest());
         }
         Address a = someone(false);
         if (!gone.isEmpty() && (a == null || chance.nextBoolean())) {
@@ -258,7 +301,7 @@
     }
 
     private Address someone(boolean inView) {
-        if ((inView || contacts.isEmpty()) && (view.size() > 1 || !view.has(name))) {
+        if ((inView || contacts.isEmpty()) && (view.size() > 1 || !view.contains(name))) {
             MemberRecord f = view.member(chance.nextInt(view.size()));
             return f.name().equals(name) ? null : new Address(f.host(), f.port());
         }
@@ -279,7 +322,7 @@
 
     /** Nobody of the view that it wants to be in is to be heard any more: it is its own again, and looks for others. */
     private void beginAnew(double now) {
-        counters.add(FleetCounters.Event.ALONE);
+        counters.add(FleetCounters.Event.RESTARTED_ALONE);
         for (Map.Entry<String, PeerState> e : peers.entrySet()) {
             MemberRecord f = e.getValue().fact;
             if (f == null || e.getKey().equals(name)) continue;
@@ -293,14 +336,14 @@
         self.candidate = null;
         self.fact = own();
         viewHeardAt = now;
-        adopt(viewOf(view.number + 1), ViewCause.BEGINS, now);
+        adopt(viewOf(view.number + 1), ViewCause.STARTED, now);
     }
 
     private void anew(long to) {
         incarnation = to;
-        counters.add(FleetCounters.Event.NEW_LIFE);
+        counters.add(FleetCounters.Event.NEW_INCARNATION);
         candidate(own());
-        phase = Phase.OUT;
+        phase = Phase.EVICTED;
         become(Phase.JOINING);
     }
 
@@ -343,18 +386,18 @@
         if (over() || view == null) return out;
         if (!m.to().isEmpty() && !m.to().equals(name) || m.from().equals(name) && m.kind() != Kind.NAME_REPLY
             && m.kind() != Kind.NAME_QUERY) {
-            counters.add(FleetCounters.Event.NOT_OURS);
+            counters.add(FleetCounters.Event.MISADDRESSED);
             return out;
         }
         PeerState from = peers.get(m.from());
         if (from != null && from.fact != null && m.incarnation() < from.life() && m.kind() != Kind.NAME_QUERY) {
-            counters.add(FleetCounters.Event.OLD_LIFE);
+            counters.add(FleetCounters.Event.STALE_INCARNATION);
             tellOfLater(m, from.latest(), now);
             return out;
         }
         LinkMonitor w = watches.get(m.from());
         if (w != null) w.inWorked = now;
-        if (view.has(m.from())) viewHeardAt = now;
+        if (view.contains(m.from())) viewHeardAt = now;
         for (GossipItem i : m.items()) absorb(i, now);
         switch (m.kind()) {
             case PING, JOIN -> reply(m, Kind.ACK, "", false);
@@ -441,18 +484,18 @@
         if (m.viewDigest() == view.digest) {
             if (m.viewNumber() > view.number) {
                 view = view.numbered(m.viewNumber());
-                news.view(view, apart, ViewCause.NUMBERED);
+                news.onViewChange(view, apart, ViewCause.RENUMBERED);
             }
             return;
         }
         boolean lonely = view.size() == 1 || phase != Phase.IN;
-        if (m.viewNumber() < view.number && !lonely && peers.containsKey(m.from()) && view.has(m.from())) return;
+        if (m.viewNumber() < view.number && !lonely && peers.containsKey(m.from()) && view.contains(m.from())) return;
         if (Double.isNaN(mismatchSince)) mismatchSince = now;
         if (!lonely && now - mismatchSince < 3 * pace.probePeriodMs() || now - wantedAt < 2 * pace.probePeriodMs()) {
             return;
         }
         wantedAt = now;
-        counters.add(FleetCounters.Event.WANTS);
+        counters.add(FleetCounters.Event.VIEW_REQUESTED);
         out.add(new Send(m.host(), m.port(), message(Kind.VIEW_REQUEST, m.from(), ++seq, "", false, null)));
     }
 
@@ -469,9 +512,9 @@
         int in = 0;
         for (MemberRecord f : told) {
             if (f.in()) in++;
-            if (f.in() && view.has(f.name()) && !f.name().equals(name)) strangers = false;
+            if (f.in() && view.contains(f.name()) && !f.name().equals(name)) strangers = false;
         }
-        if (view.size() == 1 && view.has(name) && told.stream().noneMatch(f -> f.name().equals(name) && f.in())
+        if (view.size() == 1 && view.contains(name) && told.stream().noneMatch(f -> f.name().equals(name) && f.in())
             || strangers) {
             if (strangers && !joins(in, m.viewDigest())) return;
             adoptOthers(told, m.viewNumber(), now);
@@ -491,13 +534,13 @@
         if (over()) return;
         View v = viewOf(Math.max(view.number, m.viewNumber()));
         if (v.digest == m.viewDigest()) {
-            if (v.digest != view.digest) adopt(v, ViewCause.TOLD, now);
+            if (v.digest != view.digest) adopt(v, ViewCause.RECEIVED, now);
         } else if (v.digest != view.digest) {
             adopt(v.numbered(v.number + 1), ViewCause.MERGED, now);
         } else if (!changed && m.viewNumber() >= view.number) {
             // All that is told there is known here, and more: under a higher number the other will ask for it.
             view = view.numbered(m.viewNumber() + 1);
-            news.view(view, apart, ViewCause.NUMBERED);
+            news.onViewChange(view, apart, ViewCause.RENUMBERED);
         }
     }
 
@@ -518,7 +561,7 @@
             peer(f.name()).fact = MemberRecord.merge(peer(f.name()).fact, f);
         }
         candidate(own());
-        adopt(viewOf(Math.max(number, view.number)), ViewCause.TOLD, now);
+        adopt(viewOf(Math.max(number, view.number)), ViewCause.RECEIVED, now);
     }
 
     private View viewOf(long number) {
@@ -546,8 +589,8 @@
             takeOver();
             return;
         }
-        counters.add(FleetCounters.Event.STEPPED_BACK);
-        become(Phase.STEPPED_BACK);
+        counters.add(FleetCounters.Event.SUPERSEDED);
+        become(Phase.SUPERSEDED);
     }
 
     // ---- what rides on messages ----
@@ -665,8 +708,8 @@
         p.refusals = refusals + (said >= low ? beside : 0);
         p.confirming = accusing - high;
         if (next == p.judged) return;
-        counters.moved(p.judged, next);
-        news.judged(of, p.judged, next, accusing);
+        counters.addTransition(p.judged, next);
+        news.onHealthChange(of, p.judged, next, accusing);
         if (next == MemberHealth.SILENT) p.silentSince = now;
         if (next == MemberHealth.UNSTABLE) p.unstableSince = now;
         p.judged = next;
@@ -692,19 +735,20 @@
         double lately = 3 * pace.probePeriodMs() * (1 + health / 4.0);
         for (LinkMonitor w : watches.values()) if (now - w.roundTrip < lately) works++;
         for (String n : accused) if (peers.get(n).judged == MemberHealth.SILENT) silent++;
-        boolean is = view.size() > 1 && phase != Phase.OUT && (2 * works < watches.size() || 2 * silent >= view.size());
+        boolean is = view.size() > 1 && phase != Phase.EVICTED
+            && (2 * works < watches.size() || 2 * silent >= view.size());
         if (is == apart) return;
         apart = is;
         // What it could not hear while it was apart, others may have heard: silence counts from now.
         if (!is) for (String n : accused) peers.get(n).silentSince = now;
-        counters.add(is ? FleetCounters.Event.APART : FleetCounters.Event.TOGETHER);
-        news.view(view, apart, ViewCause.APART);
+        counters.add(is ? FleetCounters.Event.PARTITIONED : FleetCounters.Event.PARTITION_HEALED);
+        news.onViewChange(view, apart, ViewCause.PARTITION_CHANGED);
     }
 
     // ---- changes of view ----
 
     private void propose(double now) {
-        if (phase != Phase.IN && !view.has(name) || apart || now < steadyAt) return;
+        if (phase != Phase.IN && !view.contains(name) || apart || now < steadyAt) return;
         ballot.expire(now);
         for (Proposal p : ballot.open()) vote(p, now);
         BitSet gone = new BitSet();
@@ -791,7 +835,7 @@
         int self = view.place(name);
         if (self >= 0 && ballot.mayVote(p) && agrees(p, now)) {
             voted = ballot.votes(p, self, now);
-            news.votes(p.baseDigest(), p.round());
+            news.onVote(p.baseDigest(), p.round());
             rumours.tell(voted);
         }
         if (ballot.isCarried(voted)) apply(voted, now);
@@ -825,7 +869,7 @@
             MemberRecord f = view.member(i);
             PeerState s = peers.get(f.name());
             boolean left = s.candidate != null && s.candidate.status() == MemberRecord.Status.LEFT;
-            s.fact = left ? s.candidate : f.with(MemberRecord.Status.OUT, f.evictions() + 1);
+            s.fact = left ? s.candidate : f.with(MemberRecord.Status.EVICTED, f.evictions() + 1);
             s.ended = left || s.refusals >= pace.high(view.watchers(i).length);
             s.outAt = now;
         }
@@ -834,7 +878,7 @@
             s.fact = MemberRecord.merge(s.fact, s.candidate);
             s.ended = false;
         }
-        counters.add(FleetCounters.Event.VIEW);
+        counters.add(FleetCounters.Event.VIEW_CHANGED);
         adopt(viewOf(Math.max(p.baseNumber(), view.number) + 1), ViewCause.VOTED, now);
     }
 
@@ -856,13 +900,13 @@
         if (in) become(Phase.IN);
         else if (own != null && !own.in() && own.incarnation() == incarnation) {
             outSteadySince = Double.NaN;
-            become(Phase.OUT);
-        } else if (phase != Phase.OUT) {
+            become(Phase.EVICTED);
+        } else if (phase != Phase.EVICTED) {
             if (peer(name).candidate == null || peer(name).candidate.incarnation() != incarnation) candidate(own());
             become(Phase.JOINING);
         }
         rewatch(now);
-        news.view(view, apart, cause);
+        news.onViewChange(view, apart, cause);
     }
 
     private void rewatch(double now) {
@@ -886,7 +930,7 @@
         if (chance.nextInt(64) != 0) return;
         peers.entrySet().removeIf(e -> {
             PeerState p = e.getValue();
-            if (view.has(e.getKey()) || e.getKey().equals(name)) return false;
+            if (view.contains(e.getKey()) || e.getKey().equals(name)) return false;
             if (p.knownAt == 0) p.knownAt = now;
             return now - Math.max(p.knownAt, p.outAt) > pace.forgetAfterMs();
         });
--- a/src/main/java/mothcross/fleet/LinkMonitor.java
+++ b/src/main/java/mothcross/fleet/LinkMonitor.java
@@ -6,7 +6,7 @@
  */
 final class LinkMonitor {
     /** What is known of the two directions. */
-    enum Way { BOTH, OUT_CUT, IN_CUT, UNCLEAR, NONE }
+    enum DirectionStatus { BOTH, OUT_CUT, IN_CUT, UNCLEAR, NONE }
 
     final String name;
     int asked;                                          // the number of the question that is out
@@ -48,12 +48,12 @@
         return silentRounds >= doubts ? GossipItem.LinkStatus.SILENT : GossipItem.LinkStatus.FINE;
     }
 
-    Way way(double now, double lately) {
+    DirectionStatus way(double now, double lately) {
         boolean in = now - inWorked < lately;
         boolean out = now - outWorked < lately && outWorked >= outFailed;
-        if (in && out) return Way.BOTH;
-        if (now - roundTrip >= lately) return in ? Way.OUT_CUT : Way.NONE;
-        if (out) return Way.IN_CUT;
-        return in ? Way.OUT_CUT : Way.UNCLEAR;
+        if (in && out) return DirectionStatus.BOTH;
+        if (now - roundTrip >= lately) return in ? DirectionStatus.OUT_CUT : DirectionStatus.NONE;
+        if (out) return DirectionStatus.IN_CUT;
+        return in ? DirectionStatus.OUT_CUT : DirectionStatus.UNCLEAR;
     }
 }
--- a/src/main/java/mothcross/fleet/MemberHealth.java
+++ b/src/main/java/mothcross/fleet/MemberHealth.java
@@ -13,12 +13,23 @@
  * it: that is the view's.
  */
 public enum MemberHealth {
-    FINE, DOUBTED, UNSTABLE, SILENT;
+    FINE("FINE"), SUSPECTED("DOUBTED"), UNSTABLE("UNSTABLE"), SILENT("SILENT");
+
+    private final String label;
+
+    MemberHealth(String label) {
+        this.label = label;
+    }
+
+    /** The name in logs, counters and the status. */
+    @Override public String toString() {
+        return label;
+    }
 
     MemberHealth next(int accusing, int low, int high) {
         if (accusing >= high) return SILENT;
         if (accusing == 0) return FINE;
-        if (accusing < low) return DOUBTED;
+        if (accusing < low) return SUSPECTED;
         return this == SILENT ? SILENT : UNSTABLE;
     }
 }
--- a/src/main/java/mothcross/fleet/MemberRecord.java
+++ b/src/main/java/mothcross/fleet/MemberRecord.java
@@ -6,8 +6,21 @@
  * {@code evictions} counts how often the name was taken out.
  */
 public record MemberRecord(String name, long incarnation, String host, int port, Status status, int evictions) {
-    /** In this order one stands over another of the same incarnation. */
-    public enum Status { IN, OUT, LEFT }
+    /** Of two records of the same incarnation the one with the later status supersedes the other. */
+    public enum Status {
+        IN("IN"), EVICTED("OUT"), LEFT("LEFT");
+
+        private final String label;
+
+        Status(String label) {
+            this.label = label;
+        }
+
+        /** The name in {@code fleet explain}. */
+        @Override public String toString() {
+            return label;
+        }
+    }
 
     boolean over(MemberRecord other) {
         if (other == null || incarnation != other.incarnation) return other == null || incarnation > other.incarnation;
--- a/src/main/java/mothcross/fleet/View.java
+++ b/src/main/java/mothcross/fleet/View.java
@@ -74,7 +74,7 @@
                 // The nearest before it on this ring that does not watch it yet.
                 for (int back = 1; back < n; back++) {
                     int w = ring[(k - back + n) % n];
-                    if (has(by[subject], r, w)) continue;
+                    if (contains(by[subject], r, w)) continue;
                     by[subject][r] = w;
                     most[w]++;
                     break;
@@ -89,7 +89,7 @@
         for (int s = 0; s < n; s++) for (int w : by[s]) watched[w][fill[w]++] = s;
     }
 
-    private static boolean has(int[] in, int upTo, int x) {
+    private static boolean contains(int[] in, int upTo, int x) {
         for (int i = 0; i < upTo; i++) if (in[i] == x) return true;
         return false;
     }
@@ -112,7 +112,7 @@
         return i == null ? -1 : i;
     }
 
-    public boolean has(String name) {
+    public boolean contains(String name) {
         return at.containsKey(name);
     }
 
--- a/src/main/java/mothcross/fleet/net/AdminClient.java
+++ b/src/main/java/mothcross/fleet/net/AdminClient.java
@@ -16,13 +16,13 @@
 
     private AdminClient() { }
 
-    public static String ask(InetSocketAddress at, String fleet, List<FleetMessageCodec.Key> keys, String what)
+    public static String request(InetSocketAddress at, String fleet, List<FleetMessageCodec.Key> keys, String what)
         throws IOException {
-        return ask(at, fleet, keys, what, new byte[0]);
+        return request(at, fleet, keys, what, new byte[0]);
     }
 
     /** {@code body} goes along with the question, to whom it is for. */
-    public static String ask(InetSocketAddress at, String fleet, List<FleetMessageCodec.Key> keys, String what,
+    public static String request(InetSocketAddress at, String fleet, List<FleetMessageCodec.Key> keys, String what,
         byte[] body) throws IOException {
         String from = "operator-" + Long.toHexString(new SplittableRandom().nextLong());
         Message m = new Message(Message.Kind.ADMIN, from, System.currentTimeMillis(), "127.0.0.1", 0, "", 0, what,
--- a/src/main/java/mothcross/fleet/net/FleetNode.java
+++ b/src/main/java/mothcross/fleet/net/FleetNode.java
@@ -397,7 +397,7 @@
 
     // ---- news ----
 
-    @Override public void view(View v, boolean apart, FleetMember.ViewCause cause) {
+    @Override public void onViewChange(View v, boolean apart, FleetMember.ViewCause cause) {
         List<String> names = new ArrayList<>();
         for (MemberRecord f : v.members()) names.add(f.name() + "@" + f.incarnation());
         inView = v.members().stream().map(MemberRecord::name).toList();
@@ -407,16 +407,16 @@
                 ? names.subList(0, 64) : names).log("fleet: view");
     }
 
-    @Override public void votes(long base, int round) {
+    @Override public void onVote(long base, int round) {
         LOG.atInfo().addKeyValue("base", Long.toHexString(base)).addKeyValue("round", round).log("fleet: votes");
     }
 
-    @Override public void judged(String of, MemberHealth from, MemberHealth to, int accusing) {
+    @Override public void onHealthChange(String of, MemberHealth from, MemberHealth to, int accusing) {
         LOG.atInfo().addKeyValue("name", of).addKeyValue("from", from).addKeyValue("to", to).addKeyValue("accusing",
             accusing).log("fleet: judged");
     }
 
-    @Override public void self(FleetMember.Phase p, long life) {
+    @Override public void onPhaseChange(FleetMember.Phase p, long life) {
         LOG.atInfo().addKeyValue("phase", p).addKeyValue("life", life).log("fleet: this director");
         if (keptView != null) keep();
     }
@@ -464,7 +464,7 @@
         }
         o.add("members", all);
         JsonObject counts = new JsonObject();
-        member.counters.all().forEach(counts::addProperty);
+        member.counters.nonZero().forEach(counts::addProperty);
         for (FleetMessageCodec.Dropped d : FleetMessageCodec.Dropped.values()) {
             if (wire.dropped[d.ordinal()] > 0) {
                 counts.addProperty("dropped_" + d.name().toLowerCase(java.util.Locale.ROOT), wire.dropped[d.ordinal()]);
--- a/src/main/java/mothcross/rig/Real.java
+++ b/src/main/java/mothcross/rig/Real.java
@@ -684,7 +684,7 @@
     }
 
     private static JsonObject ask(Proc p, String what, byte[] body) throws IOException {
-        JsonObject o = JsonParser.parseString(AdminClient.ask(new InetSocketAddress(HERE, p.port), "rig",
+        JsonObject o = JsonParser.parseString(AdminClient.request(new InetSocketAddress(HERE, p.port), "rig",
             List.of(new FleetMessageCodec.Key(1,
                 "of this play and no other".getBytes(java.nio.charset.StandardCharsets.UTF_8))),
             what, body)).getAsJsonObject();
--- a/src/main/java/mothcross/rig/Virtual.java
+++ b/src/main/java/mothcross/rig/Virtual.java
@@ -81,7 +81,7 @@
         private void partOfLimits() {
             double t = parts.multiplier(now, member.phase() == FleetMember.Phase.IN, member.incarnation(),
                 member.isUpToDate(now), member.view().size(), member.endedCount());
-            if (member.phase() == FleetMember.Phase.STEPPED_BACK) t = 0;
+            if (member.phase() == FleetMember.Phase.SUPERSEDED) t = 0;
             if (t == times) return;
             times = t;
             double sum = 0;
@@ -109,37 +109,37 @@
             sendAll(this, member.onMessage(now, h));
         }
 
-        @Override public void votes(long base, int round) {
+        @Override public void onVote(long base, int round) {
             if (watching) history.votes(now, id, name, member.incarnation(), base);
         }
 
-        @Override public void view(View v, boolean apart, FleetMember.ViewCause cause) {
+        @Override public void onViewChange(View v, boolean apart, FleetMember.ViewCause cause) {
             if (cause == FleetMember.ViewCause.VOTED || cause == FleetMember.ViewCause.MERGED) {
                 for (Proc p : procs) {
                     if (p.dead || now < FORMED) continue;
-                    if (v.has(p.name)) outNow.remove(p.name);
+                    if (v.contains(p.name)) outNow.remove(p.name);
                     else if (outNow.add(p.name)) putOut.add(p.name);
                 }
             }
             if (cause == FleetMember.ViewCause.VOTED || cause == FleetMember.ViewCause.MERGED
-                || cause == FleetMember.ViewCause.TOLD) {
+                || cause == FleetMember.ViewCause.RECEIVED) {
                 viewChanges++;
             }
-            for (String n : died.keySet()) if (!v.has(n)) knownOut.get(n).putIfAbsent(index, now);
+            for (String n : died.keySet()) if (!v.contains(n)) knownOut.get(n).putIfAbsent(index, now);
             if (!watching) return;
             List<String> names = new ArrayList<>();
             v.members().forEach(f -> names.add(f.name() + "@" + f.incarnation()));
             history.view(now, id, name, member == null ? 0 : member.incarnation(), v.number, v.digest, apart, names,
-                cause.name());
+                cause.toString());
         }
 
-        @Override public void judged(String of, MemberHealth from, MemberHealth to, int accusing) {
+        @Override public void onHealthChange(String of, MemberHealth from, MemberHealth to, int accusing) {
             if (to == MemberHealth.SILENT) silences++;
             if (to == MemberHealth.SILENT && died.containsKey(of)) knownSilent.get(of).putIfAbsent(index, now);
         }
 
-        @Override public void self(FleetMember.Phase p, long life) {
-            if (p == FleetMember.Phase.STEPPED_BACK) history.add(now, History.Kind.STEPPED_BACK, id, name, life);
+        @Override public void onPhaseChange(FleetMember.Phase p, long life) {
+            if (p == FleetMember.Phase.SUPERSEDED) history.add(now, History.Kind.STEPPED_BACK, id, name, life);
         }
     }
 
--- a/src/test/java/mothcross/fleet/net/WireTest.java
+++ b/src/test/java/mothcross/fleet/net/WireTest.java
@@ -33,7 +33,7 @@
     @Test public void whatIsWrittenIsRead() {
         FleetMessageCodec a = new FleetMessageCodec("f", List.of(NEW)), b = new FleetMessageCodec("f", List.of(NEW));
         for (List<MemberRecord> state : Arrays.asList(null, List.<MemberRecord>of(),
-            List.of(new MemberRecord("x", -1, "10.0.0.1", 1, MemberRecord.Status.OUT, 2)))) {
+            List.of(new MemberRecord("x", -1, "10.0.0.1", 1, MemberRecord.Status.EVICTED, 2)))) {
             byte[] bytes = a.encode(message(3, state));
             assertEquals(b.decode(bytes, bytes.length, false), message(3, state));
         }
