--- a/src/main/java/mothcross/fleet/Ballot.java
+++ b/src/main/java/mothcross/fleet/Ballot.java
@@ -1,6 +1,7 @@
 package mothcross.fleet;
 
 import java.util.BitSet;
+import java.util.Comparator;
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
@@ -8,76 +9,79 @@
 import mothcross.fleet.GossipItem.Proposal;
 
 /**
- * The proposals to change one view, and the votes on them. A proposal is open for {@link #LASTS_MS} from when it was
- * first heard of here; what is passed on of a round that is closed opens nothing again. This member has one vote a
- * round, so of two proposals of a round at most one gets more than half. Owns the rounds and the own vote; must never
- * judge whether a proposal is right.
+ * The proposals to change one view, and the votes on them. A proposal is open for {@link #PROPOSAL_TTL_MS} from when
+ * this member first received it; gossip about a closed round does not open it again. A member has one vote a round, so
+ * at most one proposal of a round gets a majority. Whether a proposal is right is for the caller to decide.
  */
 final class Ballot {
-    static final double LASTS_MS = 2500;
+    static final double PROPOSAL_TTL_MS = 2500;
 
-    private record Open(Proposal proposal, double since) { }
+    private record OpenProposal(Proposal proposal, double since) { }
 
     private final View view;
-    private final Map<Object, Open> open = new TreeMap<>(java.util.Comparator.comparing(Object::toString));
-    private int round, votedIn, closed;
+    private final Map<Object, OpenProposal> openProposals = new TreeMap<>(Comparator.comparing(Object::toString));
+    private int lastRound;
+    private int votedRound;
+    private int closedRound;
 
     Ballot(View view) {
         this.view = view;
     }
 
-    /** Whether it is about this view, by one of its members, in a round that is not over. */
-    boolean concerns(Proposal p) {
-        return p.baseDigest() == view.digest && p.round() > closed && view.place(p.proposer()) >= 0;
+    /** Whether the proposal is about this view, made by one of its members, in a round that is not closed. */
+    boolean accepts(Proposal proposal) {
+        return proposal.baseDigest() == view.digest && proposal.round() > closedRound
+            && view.indexOf(proposal.proposer()) >= 0;
     }
 
-    List<Proposal> open() {
-        return open.values().stream().map(Open::proposal).toList();
+    List<Proposal> openProposals() {
+        return openProposals.values().stream().map(OpenProposal::proposal).toList();
     }
 
+    /** Closes the proposals whose time is over, and their rounds. */
     void expire(double now) {
-        for (Iterator<Open> i = open.values().iterator(); i.hasNext();) {
-            Open o = i.next();
-            if (now - o.since <= LASTS_MS) continue;
-            closed = Math.max(closed, o.proposal.round());
+        for (Iterator<OpenProposal> i = openProposals.values().iterator(); i.hasNext();) {
+            OpenProposal open = i.next();
+            if (now - open.since <= PROPOSAL_TTL_MS) continue;
+            closedRound = Math.max(closedRound, open.proposal.round());
             i.remove();
         }
     }
 
     int nextRound() {
-        return ++round;
+        return ++lastRound;
     }
 
-    /** With all votes heard of so far; the same object as is known already where there is nothing new. */
-    Proposal heard(Proposal p, double now) {
-        Open known = open.get(p.key());
-        round = Math.max(round, p.round());
+    /** The proposal with all votes received so far; the known object itself where there is no new vote. */
+    Proposal merge(Proposal proposal, double now) {
+        OpenProposal known = openProposals.get(proposal.key());
+        lastRound = Math.max(lastRound, proposal.round());
         BitSet votes = known == null ? new BitSet() : (BitSet) known.proposal.votes().clone();
-        votes.or(p.votes());
+        votes.or(proposal.votes());
         votes.clear(view.size(), Math.max(view.size(), votes.length()));
         if (known != null && votes.equals(known.proposal.votes())) return known.proposal;
-        return put(p.with(votes), known == null ? now : known.since);
+        return put(proposal.with(votes), known == null ? now : known.since);
     }
 
-    private Proposal put(Proposal p, double since) {
-        open.put(p.key(), new Open(p, since));
-        return p;
+    private Proposal put(Proposal proposal, double since) {
+        openProposals.put(proposal.key(), new OpenProposal(proposal, since));
+        return proposal;
     }
 
-    boolean mayVote(Proposal p) {
-        return p.round() > votedIn;
+    boolean mayVote(Proposal proposal) {
+        return proposal.round() > votedRound;
     }
 
-    /** The own vote, the only one of this round. */
-    Proposal votes(Proposal p, int self, double now) {
-        votedIn = p.round();
-        BitSet votes = (BitSet) p.votes().clone();
-        votes.set(self);
-        Open known = open.get(p.key());
-        return put(p.with(votes), known == null ? now : known.since);
+    /** Casts this member's only vote of the round; the proposal with it. */
+    Proposal addOwnVote(Proposal proposal, int ownIndex, double now) {
+        votedRound = proposal.round();
+        BitSet votes = (BitSet) proposal.votes().clone();
+        votes.set(ownIndex);
+        OpenProposal known = openProposals.get(proposal.key());
+        return put(proposal.with(votes), known == null ? now : known.since);
     }
 
-    boolean isCarried(Proposal p) {
-        return 2 * p.votes().cardinality() > view.size();
+    boolean hasMajority(Proposal proposal) {
+        return 2 * proposal.votes().cardinality() > view.size();
     }
 }
--- a/src/main/java/mothcross/fleet/FleetMember.java
+++ b/src/main/java/mothcross/fleet/FleetMember.java
@@ -11,6 +11,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import java.util.TreeSet;
 import java.util.function.UnaryOperator;
 import mothcross.fleet.GossipItem.Accusation;
 import mothcross.fleet.GossipItem.Candidate;
@@ -21,22 +22,27 @@
 import mothcross.fleet.Message.Send;
 
 /**
- * One director's part in the fleet. Time, chance and messages are passed in, what is to be sent comes back; nothing
- * else leaves it but news. Owns what is held of every name, the view, and the own edges. Must never put out a member
- * on fewer than HIGH of its watchers' word, change a view without more than half of it, or accuse while it is late
- * itself. docs/design/fleet.md has the promises by number.
+ * The membership protocol of one director: SWIM-style probing with suspicion and refutation, cut detection on the
+ * reports of the monitoring rings, and numbered views that change by a majority vote.
+ *
+ * <p>It does no I/O: time, messages and the random generator are passed in, messages to send are returned, and events
+ * go to a {@link MemberListener}. It is not thread-safe. Three invariants hold: no member is evicted on the reports of
+ * fewer watchers than the high watermark; no view changes by proposal without the votes of more than half of it; and a
+ * member that is delayed itself accuses nobody. docs/design/fleet.md numbers all guarantees.
  */
 public final class FleetMember {
-    /** What the one beside it wants to know. */
+    /** Receives the events of one member. */
     public interface MemberListener {
-        void onViewChange(View v, boolean apart, ViewCause cause);
+        /** The view, its number, or whether this member is partitioned has changed. */
+        void onViewChange(View view, boolean partitioned, ViewCause cause);
 
-        /** It agrees to a change of the view with this digest. */
+        /** This member votes for a change of the view with digest {@code base}. */
         void onVote(long base, int round);
 
+        /** The health of another member has changed; {@code accusing} watchers count against it. */
         void onHealthChange(String name, MemberHealth from, MemberHealth to, int accusing);
 
-        void onPhaseChange(Phase p, long life);
+        void onPhaseChange(Phase phase, long incarnation);
     }
 
     /** Why a view is reported. {@code RENUMBERED} and {@code PARTITION_CHANGED} leave the members as they were. */
@@ -88,64 +94,110 @@
         }
     }
 
+    /** Where a member is reached. */
     public record Address(String host, int port) { }
 
-    private static final double UNSTABLE_HOLDS_UP = 3000, SAY_AGAIN = 10_000, AGREES_AT = 0.8,
-        SAID_HOLDS = 40_000, ALONE_AGAIN = 10_000, NEWCOMER = 10_000,
-        WHO_WAITS = 3000;
-    private static final int MOST_IN_A_BATCH = 100, MOST_HEALTH = 8, MOST_DOUBLINGS = 5, JOIN_AT = 3, FAREWELLS = 8,
-        MOST_CONTACTS = 256;
+    /** How long an unstable member holds up a view change that evicts others. */
+    private static final double UNSTABLE_BLOCKS_VIEW_MS = 3000;
+    private static final double RESEND_ACCUSATION_MS = 10_000;
+    /** Share of the eviction timeout after which a member votes for an eviction that another has proposed. */
+    private static final double AGREEMENT_DELAY_SHARE = 0.8;
+    private static final double ACCUSATION_TTL_MS = 40_000;
+    /** A member outside the view that hears nobody of it for so long starts over with a view of its own. */
+    private static final double ISOLATION_TIMEOUT_MS = 10_000;
+    /** For so long after its start a member claims a conflicting name instead of giving way. */
+    private static final double NEWCOMER_GRACE_MS = 10_000;
+    private static final double NAME_QUERY_TIMEOUT_MS = 3000;
+    private static final int MAX_JOINS_PER_PROPOSAL = 100;
+    private static final int MAX_LOCAL_DEGRADATION = 8;
+    private static final int MAX_BACKOFF_DOUBLINGS = 5;
+    private static final int MAX_PROPOSER_RANK = 30;
+    private static final int MAX_REMEMBERED_PINGS = 64;
+    /** Contacts that a join request goes to in each round. */
+    private static final int JOIN_CONTACTS = 3;
+    /** Members, besides those monitored, that are told of a departure directly. */
+    private static final int LEAVE_ANNOUNCEMENTS = 8;
+    private static final int MAX_CONTACTS = 256;
 
     public final String name;
     private final String host;
     private final int port;
-    private final FailureDetectorSettings pace;
-    private final SplittableRandom chance;
-    private final MemberListener news;
-    private final UnaryOperator<View> shared;
+    private final FailureDetectorSettings settings;
+    private final SplittableRandom random;
+    private final MemberListener listener;
+    private final UnaryOperator<View> viewInterner;
     private final List<Address> contacts = new ArrayList<>();
     private final Map<String, PeerState> peers = new HashMap<>();
-    private final Map<String, LinkMonitor> watches = new LinkedHashMap<>();
-    private final Set<String> accused = new HashSet<>(), candidates = new java.util.TreeSet<>();
-    private final GossipQueue rumours = new GossipQueue();
-    private final List<Send> out = new ArrayList<>();
+    private final Map<String, LinkMonitor> monitors = new LinkedHashMap<>();
+    private final Set<String> accusedNames = new HashSet<>();
+    private final Set<String> candidateNames = new TreeSet<>();
+    private final GossipQueue gossip = new GossipQueue();
+    private final List<Send> outbox = new ArrayList<>();
     public final FleetCounters counters = new FleetCounters();
     private long incarnation;
     private Phase phase = Phase.JOINING;
     private View view;
-    private boolean apart;
+    private boolean partitioned;
     private Ballot ballot;
-    private int seq, refutals, health, tries;
-    private double startedAt = Double.NaN, due, roundAt, askAt = Double.POSITIVE_INFINITY, roundSince, steadyAt;
-    private double proposeJitter, proposableSince = Double.NaN, mismatchSince = Double.NaN;
-    private double wantedAt = Double.NEGATIVE_INFINITY;
-    private double outSteadySince = Double.NaN, outHeardAt = Double.NEGATIVE_INFINITY;
-    private double lastAnswer = Double.NEGATIVE_INFINITY, viewHeardAt, toldOfLater = Double.NEGATIVE_INFINITY;
-    private MemberRecord rival;
-    private double rivalAt;
+    private int seq;
+    private int refutationCount;
+    /** Lifeguard's local health score: grows with missed acks, refutations and delays, and lengthens the timeouts. */
+    private int localDegradation;
+    /** Proposals made since the view last changed. */
+    private int proposalAttempts;
+    private double startedAt = Double.NaN;
+    private double tickDueAt;
+    private double nextRoundAt;
+    private double indirectProbeAt = Double.POSITIVE_INFINITY;
+    private double roundStartedAt;
+    /** After a local delay: until then this member neither accuses nor proposes nor votes. */
+    private double stableAt;
+    private double proposeJitter;
+    private double proposableSince = Double.NaN;
+    private double viewMismatchSince = Double.NaN;
+    private double viewRequestedAt = Double.NEGATIVE_INFINITY;
+    private double evictedStableSince = Double.NaN;
+    private double lastAckAt = Double.NEGATIVE_INFINITY;
+    private double lastSameViewAckAt = Double.NEGATIVE_INFINITY;
+    private double viewMemberHeardAt;
+    private double newerRecordSentAt = Double.NEGATIVE_INFINITY;
+    /** A process elsewhere that was announced under this member's name with a higher incarnation. */
+    private MemberRecord conflictingHolder;
+    private double conflictSince;
+    /** Sequence number of the last direct ping, by watcher. */
+    private final Map<String, Integer> lastPing = new LinkedHashMap<>() {
+        private static final long serialVersionUID = 1;
+
+        @Override protected boolean removeEldestEntry(Map.Entry<String, Integer> e) {
+            return size() > MAX_REMEMBERED_PINGS;
+        }
+    };
 
     /**
-     * {@code incarnation} is this start's incarnation, higher than any before; {@code contacts} are the seeds and the
-     * addresses kept. {@code shared} may give back an equal view that exists already.
+     * Creates a member; its first {@link #tick} starts it.
+     *
+     * @param incarnation higher than that of any earlier process of this name
+     * @param contacts the configured seeds and the addresses kept from the previous run
+     * @param viewInterner may return an equal view that exists already
      */
     public FleetMember(String name, long incarnation, String host, int port, Collection<Address> contacts,
-                       FailureDetectorSettings pace, SplittableRandom chance, MemberListener news,
-                       UnaryOperator<View> shared) {
+                       FailureDetectorSettings settings, SplittableRandom random, MemberListener listener,
+                       UnaryOperator<View> viewInterner) {
         this.name = name;
         this.incarnation = incarnation;
         this.host = host;
         this.port = port;
-        this.pace = pace;
-        this.chance = chance;
-        this.news = news;
-        this.shared = shared;
-        for (Address a : contacts) if (!a.equals(new Address(host, port))) this.contacts.add(a);
-        this.seq = chance.nextInt(1 << 20);
+        this.settings = settings;
+        this.random = random;
+        this.listener = listener;
+        this.viewInterner = viewInterner;
+        for (Address address : contacts) if (!address.equals(new Address(host, port))) this.contacts.add(address);
+        this.seq = random.nextInt(1 << 20);
     }
 
-    /** When it wants to be told the time again at the latest. */
+    /** The latest time for the next {@link #tick}. */
     public double nextTickAt() {
-        return Math.min(askAt, roundAt);
+        return Math.min(indirectProbeAt, nextRoundAt);
     }
 
     public View view() {
@@ -160,859 +212,948 @@
         return incarnation;
     }
 
-    /** It sees too little of the view to change it: it puts nobody out, and knows that it may be the one cut off. */
+    /** Whether this member reaches too little of the view: it may be the one cut off, and evicts nobody. */
     public boolean isPartitioned() {
-        return apart;
+        return partitioned;
     }
 
-    public MemberHealth healthOf(String of) {
-        PeerState p = peers.get(of);
-        return p == null ? MemberHealth.FINE : p.judged;
+    /** The health of a member as seen from here; {@code FINE} for an unknown name. */
+    public MemberHealth healthOf(String memberName) {
+        PeerState peer = peers.get(memberName);
+        return peer == null ? MemberHealth.FINE : peer.health;
     }
 
     // ---- time ----
 
+    /** Runs what is due at {@code now}; the messages to send. The list is reused by the next call. */
     public List<Send> tick(double now) {
-        out.clear();
-        if (over()) return out;
-        if (Double.isNaN(startedAt)) begin(now);
-        if (now < nextTickAt()) return out;
-        double late = now - due;
-        if (late > pace.probePeriodMs()) overslept(now, late);
-        if (now >= askAt) askHelpers();
-        if (now >= roundAt) round(now);
-        judgeAll(now);
+        outbox.clear();
+        if (isTerminated()) return outbox;
+        if (Double.isNaN(startedAt)) start(now);
+        if (now < nextTickAt()) return outbox;
+        double delayMs = now - tickDueAt;
+        if (delayMs > settings.probePeriodMs()) handleLocalDelay(now, delayMs);
+        if (now >= indirectProbeAt) sendIndirectProbes();
+        if (now >= nextRoundAt) runProbeRound(now);
+        updateHealth(now);
         propose(now);
-        due = nextTickAt();
-        return out;
+        tickDueAt = nextTickAt();
+        return outbox;
     }
 
-    private boolean over() {
+    private boolean isTerminated() {
         return phase == Phase.LEFT || phase == Phase.SUPERSEDED;
     }
 
-    private void begin(double now) {
-        startedAt = due = roundAt = roundSince = viewHeardAt = now;
-        MemberRecord own = own();
-        peer(name).fact = own;
-        view = shared.apply(new View(1, List.of(own), pace.rings()));
+    private void start(double now) {
+        startedAt = now;
+        tickDueAt = now;
+        nextRoundAt = now;
+        roundStartedAt = now;
+        viewMemberHeardAt = now;
+        MemberRecord ownRecord = ownRecord();
+        peer(name).record = ownRecord;
+        view = viewInterner.apply(new View(1, List.of(ownRecord), settings.rings()));
         ballot = new Ballot(view);
-        become(Phase.IN);
-        news.onViewChange(view, false, ViewCause.STARTED);
+        enterPhase(Phase.IN);
+        listener.onViewChange(view, false, ViewCause.STARTED);
     }
 
-    private MemberRecord own() {
-        PeerState p = peers.get(name);
-        return new MemberRecord(name, incarnation, host, port, MemberRecord.Status.IN, p == null || p.fact == null ? 0
-            : p.fact.evictions());
+    private MemberRecord ownRecord() {
+        PeerState self = peers.get(name);
+        int evictions = self == null || self.record == null ? 0 : self.record.evictions();
+        return new MemberRecord(name, incarnation, host, port, MemberRecord.Status.IN, evictions);
     }
 
-    private void become(Phase p) {
-        if (phase == p) return;
-        phase = p;
+    private void enterPhase(Phase next) {
+        if (phase == next) return;
+        phase = next;
         counters.add(FleetCounters.Event.PHASE_CHANGED);
-        news.onPhaseChange(p, incarnation);
+        listener.onPhaseChange(next, incarnation);
     }
 
-    /** A pause, a starved core or a step of the clock: what was not heard meanwhile is nobody's fault. */
-    private void overslept(double now, double late) {
+    /**
+     * Handles a late tick: a pause of the process, CPU starvation or a step of the clock. Messages missed meanwhile are
+     * not held against other members.
+     */
+    private void handleLocalDelay(double now, double delayMs) {
         counters.add(FleetCounters.Event.LOCAL_DELAY);
-        steadyAt = now + 2 * pace.probePeriodMs();
-        health = Math.min(MOST_HEALTH, health + 2);
-        for (LinkMonitor w : watches.values()) w.silentRounds = 0;
-        for (String n : accused) peers.get(n).late(late);
-        viewHeardAt += late;
-        askAt = Double.POSITIVE_INFINITY;
-        roundSince = roundAt = now;
-    }
-
-    private void round(double now) {
-        int good = 0, bad = 0;
-        if (now >= steadyAt && roundSince > startedAt) {
-            for (LinkMonitor w : watches.values()) {
-                if (w.roundTrip >= roundSince) good++;
-                else bad++;
-                boolean changes = w.judge(roundSince, pace.suspicionRounds() + health / 2);
-                // Taking a word back may get lost like any other: that, too, is said again, while it may still hold.
-                boolean again = now - w.toldAt > SAY_AGAIN && (w.told != LinkStatus.FINE
-                    || now - w.clearedAt < SAID_HOLDS);
-                if (changes || again) accuse(w, now);
+        stableAt = now + 2 * settings.probePeriodMs();
+        localDegradation = Math.min(MAX_LOCAL_DEGRADATION, localDegradation + 2);
+        for (LinkMonitor monitor : monitors.values()) monitor.silentRounds = 0;
+        for (String accused : accusedNames) peers.get(accused).extendTimers(delayMs);
+        viewMemberHeardAt += delayMs;
+        indirectProbeAt = Double.POSITIVE_INFINITY;
+        nextRoundAt = now;
+        roundStartedAt = now;
+    }
+
+    /** Evaluates the finished probe round and starts the next one. */
+    private void runProbeRound(double now) {
+        int answered = 0;
+        int unanswered = 0;
+        if (now >= stableAt && roundStartedAt > startedAt) {
+            for (LinkMonitor monitor : monitors.values()) {
+                if (monitor.lastRoundTripAt >= roundStartedAt) answered++;
+                else unanswered++;
+                boolean changed = monitor.endRound(roundStartedAt, settings.suspicionRounds() + localDegradation / 2);
+                // A withdrawal can be lost as well: it is resent for as long as the accusation may still be valid.
+                boolean resend = now - monitor.announcedAt > RESEND_ACCUSATION_MS
+                    && (monitor.announced != LinkStatus.FINE || now - monitor.clearedAt < ACCUSATION_TTL_MS);
+                if (changed || resend) announceLink(monitor, now);
+            }
+            if (unanswered * 2 > answered + unanswered) {
+                localDegradation = Math.min(MAX_LOCAL_DEGRADATION, localDegradation + 1);
+            } else if (unanswered == 0) {
+                localDegradation = Math.max(0, localDegradation - 1);
             }
-            if (bad * 2 > good + bad) health = Math.min(MOST_HEALTH, health + 1);
-            else if (bad == 0) health = Math.max(0, health - 1);
-        }
-        roundSince = now;
-        double period = pace.probePeriodMs() * (1 + health / 4.0);
-        roundAt = now + period;
-        askAt = watches.isEmpty() ? Double.POSITIVE_INFINITY : now + Math.min(pace.ackTimeoutMs() * (1 + health),
-            0.6 * period);
-        for (LinkMonitor w : watches.values()) {
-            MemberRecord f = peers.get(w.name).latest();
-            w.asked = ++seq;
-            send(f.host(), f.port(), Kind.PING, w.name, w.asked, "", false);
-        }
-        seeWhetherApart(now);
-        if (phase != Phase.IN && !view.contains(name) && now - viewHeardAt > ALONE_AGAIN) beginAnew(now);
-        if (phase == Phase.EVICTED) steady(now);
-        if (phase != Phase.IN || view.size() == 1) knock();
-        else if (chance.nextInt(4) == 0) reach();
-        if (rival != null && now - rivalAt > WHO_WAITS) takeOver();
-        forget(now);
-    }
-
-    /** Those that have not answered yet are asked through others. */
-    private void askHelpers() {
-        askAt = Double.POSITIVE_INFINITY;
-        for (LinkMonitor w : watches.values()) {
-            if (w.roundTrip >= roundSince) continue;
-            for (int i = 0, tries = 0; i < pace.indirectProbes() && tries < 4 * pace.indirectProbes(); tries++) {
-                MemberRecord h = view.member(chance.nextInt(view.size()));
-                if (h.name().equals(name) || h.name().equals(w.name)) continue;
-                if (peers.get(h.name()).judged == MemberHealth.SILENT) continue;
-                i++;
-                MemberRecord to = peers.get(h.name()).latest();
-                send(to.host(), to.port(), Kind.PING_REQUEST, h.name(), w.asked, w.name, false);
+        }
+        roundStartedAt = now;
+        double periodMs = settings.probePeriodMs() * (1 + localDegradation / 4.0);
+        nextRoundAt = now + periodMs;
+        indirectProbeAt = monitors.isEmpty() ? Double.POSITIVE_INFINITY
+            : now + Math.min(settings.ackTimeoutMs() * (1 + localDegradation), 0.6 * periodMs);
+        for (LinkMonitor monitor : monitors.values()) {
+            MemberRecord record = peers.get(monitor.name).latestRecord();
+            monitor.lastPingSeq = ++seq;
+            send(record.host(), record.port(), Kind.PING, monitor.name, monitor.lastPingSeq, "", false);
+        }
+        updatePartitioned(now);
+        if (phase != Phase.IN && !view.contains(name) && now - viewMemberHeardAt > ISOLATION_TIMEOUT_MS) {
+            restartAlone(now);
+        }
+        if (phase == Phase.EVICTED) waitForStability(now);
+        if (phase != Phase.IN || view.size() == 1) sendJoinRequests();
+        else if (random.nextInt(4) == 0) discoverOtherPartition();
+        if (conflictingHolder != null && now - conflictSince > NAME_QUERY_TIMEOUT_MS) claimName();
+        forgetOldPeers(now);
+    }
+
+    /** Probes the members that have not acknowledged this round's ping through other members. */
+    private void sendIndirectProbes() {
+        indirectProbeAt = Double.POSITIVE_INFINITY;
+        for (LinkMonitor monitor : monitors.values()) {
+            if (monitor.lastRoundTripAt >= roundStartedAt) continue;
+            int maxAttempts = 4 * settings.indirectProbes();
+            for (int sent = 0, attempts = 0; sent < settings.indirectProbes() && attempts < maxAttempts; attempts++) {
+                MemberRecord helper = view.member(random.nextInt(view.size()));
+                if (helper.name().equals(name) || helper.name().equals(monitor.name)) continue;
+                if (peers.get(helper.name()).health == MemberHealth.SILENT) continue;
+                sent++;
+                MemberRecord target = peers.get(helper.name()).latestRecord();
+                send(target.host(), target.port(), Kind.PING_REQUEST, helper.name(), monitor.lastPingSeq, monitor.name,
+                    false);
             }
         }
     }
 
-    // ---- one that is not in ----
+    // ---- joining ----
 
-    private void knock() {
-        for (int i = 0; i < JOIN_AT; i++) {
-            Address a = someone(phase != Phase.IN && chance.nextBoolean());
-            if (a == null) return;
-            send(a.host, a.port, Kind.JOIN, "", ++seq, "", false);
+    private void sendJoinRequests() {
+        for (int i = 0; i < JOIN_CONTACTS; i++) {
+            Address contact = pickContact(phase != Phase.IN && random.nextBoolean());
+            if (contact == null) return;
+            send(contact.host, contact.port, Kind.JOIN, "", ++seq, "", false);
         }
     }
 
-    /** One that is known and not in the view: how two parts of a fleet find each other again. */
-    private void reach() {
-        List<MemberRecord> gone = new ArrayList<>();
-        for (PeerState p : peers.values()) {
-            if (p.fact != null && p.fact.status() == MemberRecord.Status.EVICTED) gone.add(p.latest());
+    /** Probes an evicted member or a contact, so that the parts of a split fleet find each other again. */
+    private void discoverOtherPartition() {
+        List<MemberRecord> removed = new ArrayList<>();
+        for (PeerState peer : peers.values()) {
+            if (peer.record != null && peer.record.status() == MemberRecord.Status.EVICTED) {
+                removed.add(peer.latestRecord());
+            }
         }
-        Address a = someone(false);
-        if (!gone.isEmpty() && (a == null || chance.nextBoolean())) {
-            MemberRecord f = gone.get(chance.nextInt(gone.size()));
-            a = new Address(f.host(), f.port());
+        Address contact = pickContact(false);
+        if (!removed.isEmpty() && (contact == null || random.nextBoolean())) {
+            MemberRecord record = removed.get(random.nextInt(removed.size()));
+            contact = new Address(record.host(), record.port());
         }
-        if (a != null) send(a.host, a.port, Kind.JOIN, "", ++seq, "", false);
+        if (contact != null) send(contact.host, contact.port, Kind.JOIN, "", ++seq, "", false);
     }
 
-    private Address someone(boolean inView) {
+    /** A random member of the view or a random contact; null where there is none. */
+    private Address pickContact(boolean inView) {
         if ((inView || contacts.isEmpty()) && (view.size() > 1 || !view.contains(name))) {
-            MemberRecord f = view.member(chance.nextInt(view.size()));
-            return f.name().equals(name) ? null : new Address(f.host(), f.port());
+            MemberRecord record = view.member(random.nextInt(view.size()));
+            return record.name().equals(name) ? null : new Address(record.host(), record.port());
         }
-        return contacts.isEmpty() ? null : contacts.get(chance.nextInt(contacts.size()));
+        return contacts.isEmpty() ? null : contacts.get(random.nextInt(contacts.size()));
     }
 
-    /** It was put out: only after a steady time, longer with each turn, does it ask to be let in, in a new life. */
-    private void steady(double now) {
-        if (now - outHeardAt > 2 * pace.probePeriodMs()) outSteadySince = Double.NaN;
-        else if (Double.isNaN(outSteadySince)) outSteadySince = now;
-        if (Double.isNaN(outSteadySince) || now - outSteadySince < hold(peer(name).fact.evictions())) return;
-        anew(incarnation + 1);
+    /** After an eviction: rejoins in a new incarnation once acks have come without a gap for the rejoin delay. */
+    private void waitForStability(double now) {
+        if (now - lastAckAt > 2 * settings.probePeriodMs()) evictedStableSince = Double.NaN;
+        else if (Double.isNaN(evictedStableSince)) evictedStableSince = now;
+        if (Double.isNaN(evictedStableSince)) return;
+        if (now - evictedStableSince < rejoinDelay(peer(name).record.evictions())) return;
+        startNewIncarnation(incarnation + 1);
     }
 
-    private double hold(int turn) {
-        return turn <= 0 ? 0 : pace.rejoinDelayMs() * (1 << Math.min(turn - 1, MOST_DOUBLINGS));
+    /** The delay before rejoining in ms; it doubles with each eviction. */
+    private double rejoinDelay(int evictions) {
+        return evictions <= 0 ? 0 : settings.rejoinDelayMs() * (1 << Math.min(evictions - 1, MAX_BACKOFF_DOUBLINGS));
     }
 
-    /** Nobody of the view that it wants to be in is to be heard any more: it is its own again, and looks for others. */
-    private void beginAnew(double now) {
+    /** Starts over with a view of its own, as nobody of the view that it wants to join is heard any more. */
+    private void restartAlone(double now) {
         counters.add(FleetCounters.Event.RESTARTED_ALONE);
-        for (Map.Entry<String, PeerState> e : peers.entrySet()) {
-            MemberRecord f = e.getValue().fact;
-            if (f == null || e.getKey().equals(name)) continue;
-            Address a = new Address(f.host(), f.port());
-            if (f.in() && contacts.size() < MOST_CONTACTS && !contacts.contains(a)) contacts.add(a);
-            e.getValue().fact = null;
-            e.getValue().candidate = null;
+        for (Map.Entry<String, PeerState> entry : peers.entrySet()) {
+            MemberRecord record = entry.getValue().record;
+            if (record == null || entry.getKey().equals(name)) continue;
+            Address address = new Address(record.host(), record.port());
+            if (record.isIn() && contacts.size() < MAX_CONTACTS && !contacts.contains(address)) contacts.add(address);
+            entry.getValue().record = null;
+            entry.getValue().candidate = null;
         }
         PeerState self = peer(name);
-        if (self.fact != null && !self.fact.in()) incarnation++;
+        if (self.record != null && !self.record.isIn()) incarnation++;
         self.candidate = null;
-        self.fact = own();
-        viewHeardAt = now;
-        adopt(viewOf(view.number + 1), ViewCause.STARTED, now);
+        self.record = ownRecord();
+        viewMemberHeardAt = now;
+        adopt(viewFromRecords(view.number + 1), ViewCause.STARTED, now);
     }
 
-    private void anew(long to) {
-        incarnation = to;
+    private void startNewIncarnation(long newIncarnation) {
+        incarnation = newIncarnation;
         counters.add(FleetCounters.Event.NEW_INCARNATION);
-        candidate(own());
+        announceCandidate(ownRecord());
         phase = Phase.EVICTED;
-        become(Phase.JOINING);
+        enterPhase(Phase.JOINING);
     }
 
-    private void candidate(MemberRecord f) {
-        peer(f.name()).candidate = f;
-        candidates.add(f.name());
-        rumours.tell(new Candidate(f));
+    private void announceCandidate(MemberRecord record) {
+        peer(record.name()).candidate = record;
+        candidateNames.add(record.name());
+        gossip.add(new Candidate(record));
     }
 
-    /** Two processes by this name: the later one stays. This one has not been heard of by the other, or it is gone. */
-    private void takeOver() {
-        long above = rival.incarnation() + 1;
-        rival = null;
-        if (above > incarnation) anew(above);
+    /**
+     * Takes the name with an incarnation above the conflicting holder's: of two processes of one name the later keeps
+     * it. Either the holder has not answered, or this process has just started.
+     */
+    private void claimName() {
+        long next = conflictingHolder.incarnation() + 1;
+        conflictingHolder = null;
+        if (next > incarnation) startNewIncarnation(next);
     }
 
+    /** Announces that this member leaves and ends its part in the protocol; the messages to send. */
     public List<Send> leave(double now) {
-        out.clear();
-        if (over() || view == null) return out;
+        outbox.clear();
+        if (isTerminated() || view == null) return outbox;
         if (phase == Phase.IN) {
-            MemberRecord f = own().with(MemberRecord.Status.LEFT, own().evictions());
-            rumours.tell(new Candidate(f));
-            for (int i = 0; i < FAREWELLS && view.size() > 1; i++) {
-                MemberRecord to = view.member((view.place(name) + 1 + i) % view.size());
-                if (!to.name().equals(name)) send(to.host(), to.port(), Kind.PING, to.name(), ++seq, "", false);
+            MemberRecord record = ownRecord().with(MemberRecord.Status.LEFT, ownRecord().evictions());
+            gossip.add(new Candidate(record));
+            for (int i = 0; i < LEAVE_ANNOUNCEMENTS && view.size() > 1; i++) {
+                MemberRecord target = view.member((view.indexOf(name) + 1 + i) % view.size());
+                if (target.name().equals(name)) continue;
+                send(target.host(), target.port(), Kind.PING, target.name(), ++seq, "", false);
             }
-            for (LinkMonitor w : watches.values()) {
-                MemberRecord to = peers.get(w.name).latest();
-                send(to.host(), to.port(), Kind.PING, w.name, ++seq, "", false);
+            for (LinkMonitor monitor : monitors.values()) {
+                MemberRecord target = peers.get(monitor.name).latestRecord();
+                send(target.host(), target.port(), Kind.PING, monitor.name, ++seq, "", false);
             }
         }
-        become(Phase.LEFT);
-        return out;
+        enterPhase(Phase.LEFT);
+        return outbox;
     }
 
     // ---- messages ----
 
-    public List<Send> onMessage(double now, Message m) {
-        out.clear();
-        if (over() || view == null) return out;
-        if (!m.to().isEmpty() && !m.to().equals(name) || m.from().equals(name) && m.kind() != Kind.NAME_REPLY
-            && m.kind() != Kind.NAME_QUERY) {
+    /** Handles a received message; the messages to send. */
+    public List<Send> onMessage(double now, Message message) {
+        outbox.clear();
+        if (isTerminated() || view == null) return outbox;
+        if (!message.to().isEmpty() && !message.to().equals(name) || message.from().equals(name)
+            && message.kind() != Kind.NAME_REPLY && message.kind() != Kind.NAME_QUERY) {
             counters.add(FleetCounters.Event.MISADDRESSED);
-            return out;
+            return outbox;
         }
-        PeerState from = peers.get(m.from());
-        if (from != null && from.fact != null && m.incarnation() < from.life() && m.kind() != Kind.NAME_QUERY) {
+        PeerState from = peers.get(message.from());
+        if (from != null && from.record != null && message.incarnation() < from.incarnation()
+            && message.kind() != Kind.NAME_QUERY) {
             counters.add(FleetCounters.Event.STALE_INCARNATION);
-            tellOfLater(m, from.latest(), now);
-            return out;
-        }
-        LinkMonitor w = watches.get(m.from());
-        if (w != null) w.inWorked = now;
-        if (view.contains(m.from())) viewHeardAt = now;
-        for (GossipItem i : m.items()) absorb(i, now);
-        switch (m.kind()) {
-            case PING, JOIN -> reply(m, Kind.ACK, "", false);
+            sendNewerRecord(message, from.latestRecord(), now);
+            return outbox;
+        }
+        LinkMonitor monitor = monitors.get(message.from());
+        if (monitor != null) monitor.inboundOkAt = now;
+        if (view.contains(message.from())) viewMemberHeardAt = now;
+        for (GossipItem item : message.items()) receiveItem(item, now);
+        switch (message.kind()) {
+            case PING, JOIN -> reply(message, Kind.ACK, "", false);
             case ACK -> {
-                if (w != null && current(w, m.seq())) w.answered(now, true, true);
-                if (m.viewDigest() == view.digest) lastAnswer = now;
-                outHeardAt = now;
+                if (monitor != null && isRecentPing(monitor, message.seq())) monitor.onAck(now, true, true);
+                if (message.viewDigest() == view.digest) lastSameViewAckAt = now;
+                lastAckAt = now;
             }
             case PING_REQUEST -> {
-                PeerState p = peers.get(m.subject());
-                if (p == null || p.fact == null) break;
-                MemberRecord f = p.latest();
-                send(f.host(), f.port(), Kind.PROXY_PING, m.subject(), m.seq(), m.from(), false);
+                PeerState peer = peers.get(message.subject());
+                if (peer == null || peer.record == null) break;
+                MemberRecord record = peer.latestRecord();
+                send(record.host(), record.port(), Kind.PROXY_PING, message.subject(), message.seq(), message.from(),
+                    false);
             }
-            case PROXY_PING -> reply(m, Kind.PROXY_ACK, m.subject(), hadPing(m.subject(), m.seq()));
+            case PROXY_PING -> reply(message, Kind.PROXY_ACK, message.subject(),
+                receivedPing(message.subject(), message.seq()));
             case PROXY_ACK -> {
-                PeerState p = peers.get(m.subject());
-                if (p == null || p.fact == null) break;
-                MemberRecord f = p.latest();
-                send(f.host(), f.port(), Kind.PING_REQUEST_ACK, m.subject(), m.seq(), m.from(), m.pingReceived());
+                PeerState peer = peers.get(message.subject());
+                if (peer == null || peer.record == null) break;
+                MemberRecord record = peer.latestRecord();
+                send(record.host(), record.port(), Kind.PING_REQUEST_ACK, message.subject(), message.seq(),
+                    message.from(), message.pingReceived());
             }
             case PING_REQUEST_ACK -> {
-                LinkMonitor about = watches.get(m.subject());
-                if (about != null && current(about, m.seq())) about.answered(now, false, m.pingReceived());
+                LinkMonitor aboutMonitor = monitors.get(message.subject());
+                if (aboutMonitor != null && isRecentPing(aboutMonitor, message.seq())) {
+                    aboutMonitor.onAck(now, false, message.pingReceived());
+                }
             }
-            case VIEW_REQUEST -> out.add(new Send(m.host(), m.port(), message(Kind.VIEW, m.from(), m.seq(), "", false,
-                facts())));
-            case VIEW -> merge(m, now);
+            case VIEW_REQUEST -> outbox.add(new Send(message.host(), message.port(),
+                message(Kind.VIEW, message.from(), message.seq(), "", false, knownRecords())));
+            case VIEW -> mergeView(message, now);
             case NAME_QUERY -> {
-                if (m.seq() == 0) reply(m, Kind.NAME_REPLY, "", false);
+                if (message.seq() == 0) reply(message, Kind.NAME_REPLY, "", false);
             }
-            case ADMIN, POLICY -> { }                    // the edge's
+            case ADMIN, POLICY -> { }                    // handled by the transport
             case NAME_REPLY -> {
-                if (rival != null && m.incarnation() == rival.incarnation()) rivalAnswers(now);
+                if (conflictingHolder != null && message.incarnation() == conflictingHolder.incarnation()) {
+                    onConflictConfirmed(now);
+                }
             }
         }
-        if (m.kind() == Kind.PING) lastPing.put(m.from(), m.seq());
-        if (!over() && m.kind() != Kind.VIEW && m.kind() != Kind.NAME_QUERY && m.kind() != Kind.NAME_REPLY) {
-            compare(m, now);
+        if (message.kind() == Kind.PING) lastPing.put(message.from(), message.seq());
+        if (!isTerminated() && message.kind() != Kind.VIEW && message.kind() != Kind.NAME_QUERY
+            && message.kind() != Kind.NAME_REPLY) {
+            compareViews(message, now);
         }
-        return out;
+        return outbox;
     }
 
     /**
-     * One that runs under a name that another has taken since has to hear of it, and one whose clock went back and that
-     * kept nothing that there were later lives of its own; seldom, as it may be an echo, which harms nobody.
+     * Tells the sender of a stale message about the newer incarnation of its name. The sender is either superseded by
+     * another process, or restarted without its state file after its clock was set back. Sent at most once a probe
+     * period, as the message may just have been delayed.
      */
-    private void tellOfLater(Message m, MemberRecord later, double now) {
-        if (now - toldOfLater < pace.probePeriodMs()) return;
-        toldOfLater = now;
-        out.add(new Send(m.host(), m.port(), new Message(Kind.ACK, name, incarnation, host, port, m.from(), 0, "",
-            false, view.number, view.digest, List.of(new Candidate(later)), null)));
+    private void sendNewerRecord(Message message, MemberRecord newer, double now) {
+        if (now - newerRecordSentAt < settings.probePeriodMs()) return;
+        newerRecordSentAt = now;
+        Message ack = new Message(Kind.ACK, name, incarnation, host, port, message.from(), 0, "", false, view.number,
+            view.digest, List.of(new Candidate(newer)), null);
+        outbox.add(new Send(message.host(), message.port(), ack));
     }
 
-    /** By watcher, the number of its last question that came straight. */
-    private final Map<String, Integer> lastPing = new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1;
-
-        @Override protected boolean removeEldestEntry(Map.Entry<String, Integer> e) {
-            return size() > 64;
-        }
-    };
-
-    private boolean hadPing(String from, int number) {
-        Integer n = lastPing.get(from);
-        return n != null && n == number;
+    private boolean receivedPing(String from, int pingSeq) {
+        Integer last = lastPing.get(from);
+        return last != null && last == pingSeq;
     }
 
-    /** An answer to this round's question, or to one of the last few. */
-    private boolean current(LinkMonitor w, int number) {
-        return number == w.asked || number > w.asked - 4 * (watches.size() + 4) && number < w.asked;
+    /** Whether the number is that of this round's ping or of one of the last few rounds. */
+    private boolean isRecentPing(LinkMonitor monitor, int pingSeq) {
+        return pingSeq == monitor.lastPingSeq || pingSeq > monitor.lastPingSeq - 4 * (monitors.size() + 4)
+            && pingSeq < monitor.lastPingSeq;
     }
 
-    /** The system says that nobody holds that port. */
-    public void onConnectionRefused(String atHost, int atPort) {
-        for (LinkMonitor w : watches.values()) {
-            MemberRecord f = peers.get(w.name).latest();
-            if (f.port() == atPort && f.host().equals(atHost)) w.refused = true;
+    /** The operating system reports that no process listens at this address. */
+    public void onConnectionRefused(String refusedHost, int refusedPort) {
+        for (LinkMonitor monitor : monitors.values()) {
+            MemberRecord record = peers.get(monitor.name).latestRecord();
+            if (record.port() == refusedPort && record.host().equals(refusedHost)) monitor.refusedThisRound = true;
         }
     }
 
-    /** Another view under a number as high as ours, for longer than a change takes to spread: it is asked for. */
-    private void compare(Message m, double now) {
-        if (m.viewDigest() == view.digest) {
-            if (m.viewNumber() > view.number) {
-                view = view.numbered(m.viewNumber());
-                news.onViewChange(view, apart, ViewCause.RENUMBERED);
+    /** Requests the sender's view where it has differed for longer than a view change takes to spread. */
+    private void compareViews(Message message, double now) {
+        if (message.viewDigest() == view.digest) {
+            if (message.viewNumber() > view.number) {
+                view = view.withNumber(message.viewNumber());
+                listener.onViewChange(view, partitioned, ViewCause.RENUMBERED);
             }
             return;
         }
-        boolean lonely = view.size() == 1 || phase != Phase.IN;
-        if (m.viewNumber() < view.number && !lonely && peers.containsKey(m.from()) && view.contains(m.from())) return;
-        if (Double.isNaN(mismatchSince)) mismatchSince = now;
-        if (!lonely && now - mismatchSince < 3 * pace.probePeriodMs() || now - wantedAt < 2 * pace.probePeriodMs()) {
-            return;
-        }
-        wantedAt = now;
+        boolean needsView = view.size() == 1 || phase != Phase.IN;
+        if (message.viewNumber() < view.number && !needsView && peers.containsKey(message.from())
+            && view.contains(message.from())) return;
+        if (Double.isNaN(viewMismatchSince)) viewMismatchSince = now;
+        if (!needsView && now - viewMismatchSince < 3 * settings.probePeriodMs()) return;
+        if (now - viewRequestedAt < 2 * settings.probePeriodMs()) return;
+        viewRequestedAt = now;
         counters.add(FleetCounters.Event.VIEW_REQUESTED);
-        out.add(new Send(m.host(), m.port(), message(Kind.VIEW_REQUEST, m.from(), ++seq, "", false, null)));
+        outbox.add(new Send(message.host(), message.port(),
+            message(Kind.VIEW_REQUEST, message.from(), ++seq, "", false, null)));
     }
 
-    private List<MemberRecord> facts() {
-        List<MemberRecord> all = new ArrayList<>(peers.size());
-        for (PeerState p : peers.values()) if (p.fact != null) all.add(p.fact);
-        return all;
+    private List<MemberRecord> knownRecords() {
+        List<MemberRecord> records = new ArrayList<>(peers.size());
+        for (PeerState peer : peers.values()) if (peer.record != null) records.add(peer.record);
+        return records;
     }
 
-    private void merge(Message m, double now) {
-        List<MemberRecord> told = m.viewMembers();
-        if (told == null) return;
-        boolean strangers = true;
-        int in = 0;
-        for (MemberRecord f : told) {
-            if (f.in()) in++;
-            if (f.in() && view.contains(f.name()) && !f.name().equals(name)) strangers = false;
+    /** Merges a received view with the own one, or joins it where the two share no member. */
+    private void mergeView(Message message, double now) {
+        List<MemberRecord> received = message.viewMembers();
+        if (received == null) return;
+        boolean disjoint = true;
+        int receivedSize = 0;
+        for (MemberRecord record : received) {
+            if (record.isIn()) receivedSize++;
+            if (record.isIn() && view.contains(record.name()) && !record.name().equals(name)) disjoint = false;
         }
-        if (view.size() == 1 && view.contains(name) && told.stream().noneMatch(f -> f.name().equals(name) && f.in())
-            || strangers) {
-            if (strangers && !joins(in, m.viewDigest())) return;
-            adoptOthers(told, m.viewNumber(), now);
+        if (view.size() == 1 && view.contains(name)
+            && received.stream().noneMatch(record -> record.name().equals(name) && record.isIn()) || disjoint) {
+            if (disjoint && !shouldJoin(receivedSize, message.viewDigest())) return;
+            joinOtherView(received, message.viewNumber(), now);
             return;
         }
         boolean changed = false;
-        for (MemberRecord f : told) {
-            if (f.name().equals(name) && !fits(f, now)) continue;
-            PeerState p = peer(f.name());
-            MemberRecord merged = MemberRecord.merge(p.fact, f);
-            if (merged.equals(p.fact)) continue;
+        for (MemberRecord record : received) {
+            if (record.name().equals(name) && !checkOwnName(record, now)) continue;
+            PeerState peer = peer(record.name());
+            MemberRecord merged = MemberRecord.merge(peer.record, record);
+            if (merged.equals(peer.record)) continue;
             changed = true;
-            p.ended = false;
-            if (!merged.in()) p.outAt = now;
-            p.fact = merged;
+            peer.ended = false;
+            if (!merged.isIn()) peer.removedAt = now;
+            peer.record = merged;
         }
-        if (over()) return;
-        View v = viewOf(Math.max(view.number, m.viewNumber()));
-        if (v.digest == m.viewDigest()) {
-            if (v.digest != view.digest) adopt(v, ViewCause.RECEIVED, now);
-        } else if (v.digest != view.digest) {
-            adopt(v.numbered(v.number + 1), ViewCause.MERGED, now);
-        } else if (!changed && m.viewNumber() >= view.number) {
-            // All that is told there is known here, and more: under a higher number the other will ask for it.
-            view = view.numbered(m.viewNumber() + 1);
-            news.onViewChange(view, apart, ViewCause.RENUMBERED);
+        if (isTerminated()) return;
+        View mergedView = viewFromRecords(Math.max(view.number, message.viewNumber()));
+        if (mergedView.digest == message.viewDigest()) {
+            if (mergedView.digest != view.digest) adopt(mergedView, ViewCause.RECEIVED, now);
+        } else if (mergedView.digest != view.digest) {
+            adopt(mergedView.withNumber(mergedView.number + 1), ViewCause.MERGED, now);
+        } else if (!changed && message.viewNumber() >= view.number) {
+            // The sender knows less than this member: a higher view number makes it request this view.
+            view = view.withNumber(message.viewNumber() + 1);
+            listener.onViewChange(view, partitioned, ViewCause.RENUMBERED);
         }
     }
 
-    /** Of two views that share nobody the smaller asks to join the larger, of equals the one of lower digest. */
-    private boolean joins(int theirSize, long theirDigest) {
-        return theirSize != view.size() ? theirSize > view.size() : Long.compareUnsigned(view.digest, theirDigest) < 0;
+    /** Of two disjoint views the smaller joins the larger; of two of one size, the one with the lower digest. */
+    private boolean shouldJoin(int otherSize, long otherDigest) {
+        return otherSize != view.size() ? otherSize > view.size() : Long.compareUnsigned(view.digest, otherDigest) < 0;
     }
 
-    private void adoptOthers(List<MemberRecord> told, long number, double now) {
-        List<MemberRecord> ours = view.members();
-        for (MemberRecord f : ours) {
-            PeerState p = peer(f.name());
-            if (p.candidate == null || f.over(p.candidate)) candidate(f);
-            p.fact = null;
+    /** Takes the received view over; the members of the own view become candidates to join it. */
+    private void joinOtherView(List<MemberRecord> received, long number, double now) {
+        List<MemberRecord> previousMembers = view.members();
+        for (MemberRecord record : previousMembers) {
+            PeerState peer = peer(record.name());
+            if (peer.candidate == null || record.supersedes(peer.candidate)) announceCandidate(record);
+            peer.record = null;
         }
-        for (MemberRecord f : told) {
-            if (f.name().equals(name) && f.incarnation() >= incarnation) incarnation = f.incarnation() + 1;
-            peer(f.name()).fact = MemberRecord.merge(peer(f.name()).fact, f);
+        for (MemberRecord record : received) {
+            if (record.name().equals(name) && record.incarnation() >= incarnation) {
+                incarnation = record.incarnation() + 1;
+            }
+            peer(record.name()).record = MemberRecord.merge(peer(record.name()).record, record);
         }
-        candidate(own());
-        adopt(viewOf(Math.max(number, view.number)), ViewCause.RECEIVED, now);
+        announceCandidate(ownRecord());
+        adopt(viewFromRecords(Math.max(number, view.number)), ViewCause.RECEIVED, now);
     }
 
-    private View viewOf(long number) {
-        List<MemberRecord> in = new ArrayList<>();
-        for (PeerState p : peers.values()) if (p.fact != null && p.fact.in()) in.add(p.fact);
-        return new View(number, in, pace.rings());
+    private View viewFromRecords(long number) {
+        List<MemberRecord> members = new ArrayList<>();
+        for (PeerState peer : peers.values()) {
+            if (peer.record != null && peer.record.isIn()) members.add(peer.record);
+        }
+        return new View(number, members, settings.rings());
     }
 
-    /** What is told of this name; false where it must not be taken as it is. */
-    private boolean fits(MemberRecord f, double now) {
-        if (f.incarnation() > incarnation) {
-            if (f.host().equals(host) && f.port() == port) anew(f.incarnation() + 1);
-            else if (rival == null || f.incarnation() > rival.incarnation()) {
-                rival = f;
-                rivalAt = now;
-                out.add(new Send(f.host(), f.port(), message(Kind.NAME_QUERY, "", 0, "", false, null)));
+    /**
+     * Checks a received record of this member's own name; false where it is newer and must not be taken over. One with
+     * this member's address is from an earlier process; another address means a conflicting holder, which is queried.
+     */
+    private boolean checkOwnName(MemberRecord record, double now) {
+        if (record.incarnation() > incarnation) {
+            if (record.host().equals(host) && record.port() == port) startNewIncarnation(record.incarnation() + 1);
+            else if (conflictingHolder == null || record.incarnation() > conflictingHolder.incarnation()) {
+                conflictingHolder = record;
+                conflictSince = now;
+                outbox.add(new Send(record.host(), record.port(), message(Kind.NAME_QUERY, "", 0, "", false, null)));
             }
             return false;
         }
         return true;
     }
 
-    private void rivalAnswers(double now) {
-        if (now - startedAt < NEWCOMER) {
-            takeOver();
+    /** The conflicting holder answers: a member that has just started claims the name, any other gives way. */
+    private void onConflictConfirmed(double now) {
+        if (now - startedAt < NEWCOMER_GRACE_MS) {
+            claimName();
             return;
         }
         counters.add(FleetCounters.Event.SUPERSEDED);
-        become(Phase.SUPERSEDED);
+        enterPhase(Phase.SUPERSEDED);
     }
 
-    // ---- what rides on messages ----
+    // ---- gossip ----
 
-    private void absorb(GossipItem item, double now) {
-        if (item instanceof Accusation a) accusation(a, now);
-        else if (item instanceof Refutation r) refutal(r, now);
-        else if (item instanceof Candidate c) candidate(c.member(), now);
-        else if (item instanceof Proposal p) proposal(p, now);
+    private void receiveItem(GossipItem item, double now) {
+        if (item instanceof Accusation a) receiveAccusation(a, now);
+        else if (item instanceof Refutation r) receiveRefutation(r, now);
+        else if (item instanceof Candidate c) receiveCandidate(c.member(), now);
+        else if (item instanceof Proposal p) receiveProposal(p, now);
     }
 
-    private void accuse(LinkMonitor w, double now) {
-        PeerState p = peers.get(w.name);
-        LinkStatus before = w.told;
-        w.told = w.should(pace.suspicionRounds() + health / 2);
-        if (w.told == LinkStatus.FINE && before != LinkStatus.FINE) w.clearedAt = now;
-        counters.add(w.told == LinkStatus.FINE ? FleetCounters.Event.CLEARED : FleetCounters.Event.ACCUSED);
-        Accusation a = new Accusation(name, incarnation, w.name, p.life(), ++w.seq, w.told);
-        take(a, p, now);
+    /** Spreads the current status of a monitored link, as an accusation or its withdrawal. */
+    private void announceLink(LinkMonitor monitor, double now) {
+        PeerState peer = peers.get(monitor.name);
+        LinkStatus previous = monitor.announced;
+        monitor.announced = monitor.currentStatus(settings.suspicionRounds() + localDegradation / 2);
+        if (monitor.announced == LinkStatus.FINE && previous != LinkStatus.FINE) monitor.clearedAt = now;
+        counters.add(monitor.announced == LinkStatus.FINE ? FleetCounters.Event.CLEARED : FleetCounters.Event.ACCUSED);
+        Accusation accusation = new Accusation(name, incarnation, monitor.name, peer.incarnation(),
+            ++monitor.accusationSeq, monitor.announced);
+        storeAccusation(accusation, peer, now);
     }
 
-    private void take(Accusation a, PeerState p, double now) {
-        p.accuse(a, now);
-        accused.add(a.subject());
-        rumours.tell(a);
+    private void storeAccusation(Accusation accusation, PeerState peer, double now) {
+        peer.recordAccusation(accusation, now);
+        accusedNames.add(accusation.subject());
+        gossip.add(accusation);
     }
 
-    private void accusation(Accusation a, double now) {
-        if (a.watcher().equals(name)) return;
-        if (a.subject().equals(name)) {
-            // Only what is newer than the last word against it has to be answered.
+    private void receiveAccusation(Accusation accusation, double now) {
+        if (accusation.watcher().equals(name)) return;
+        if (accusation.subject().equals(name)) {
+            // Only an accusation newer than the watcher's last one has to be refuted.
             PeerState self = peer(name);
-            Accusation before = self.accusation(a.watcher());
-            boolean known = before != null && before.watcherIncarnation() == a.watcherIncarnation()
-                && before.seq() >= a.seq();
-            if (known || a.incarnation() != incarnation) return;
-            self.accuse(a, now);
-            if (a.linkStatus() != LinkStatus.FINE) refute();
+            Accusation previous = self.accusation(accusation.watcher());
+            boolean known = previous != null && previous.watcherIncarnation() == accusation.watcherIncarnation()
+                && previous.seq() >= accusation.seq();
+            if (known || accusation.incarnation() != incarnation) return;
+            self.recordAccusation(accusation, now);
+            if (accusation.linkStatus() != LinkStatus.FINE) refute();
             return;
         }
-        PeerState p = peers.get(a.subject());
-        if (p == null || p.fact == null || a.incarnation() != p.life()) return;
-        Accusation before = p.accusation(a.watcher());
-        if (before != null && (before.watcherIncarnation() > a.watcherIncarnation()
-            || before.watcherIncarnation() == a.watcherIncarnation() && before.seq() >= a.seq())) return;
-        take(a, p, now);
+        PeerState peer = peers.get(accusation.subject());
+        if (peer == null || peer.record == null || accusation.incarnation() != peer.incarnation()) return;
+        Accusation previous = peer.accusation(accusation.watcher());
+        if (previous != null && (previous.watcherIncarnation() > accusation.watcherIncarnation()
+            || previous.watcherIncarnation() == accusation.watcherIncarnation()
+            && previous.seq() >= accusation.seq())) return;
+        storeAccusation(accusation, peer, now);
     }
 
     private void refute() {
         counters.add(FleetCounters.Event.REFUTED);
-        health = Math.min(MOST_HEALTH, health + 1);
-        rumours.tell(new Refutation(name, incarnation, ++refutals));
+        localDegradation = Math.min(MAX_LOCAL_DEGRADATION, localDegradation + 1);
+        gossip.add(new Refutation(name, incarnation, ++refutationCount));
     }
 
-    private void refutal(Refutation r, double now) {
-        PeerState p = peers.get(r.name());
-        if (p == null || p.fact == null || r.name().equals(name) || r.incarnation() != p.life()) return;
-        if (p.refutal != null && p.refutal.incarnation() == r.incarnation() && p.refutal.count() >= r.count()) return;
-        p.refutal = r;
-        p.refutedAt = now;
-        rumours.tell(r);
+    private void receiveRefutation(Refutation refutation, double now) {
+        PeerState peer = peers.get(refutation.name());
+        if (peer == null || peer.record == null || refutation.name().equals(name)) return;
+        if (refutation.incarnation() != peer.incarnation()) return;
+        Refutation previous = peer.refutation;
+        if (previous != null && previous.incarnation() == refutation.incarnation()
+            && previous.count() >= refutation.count()) return;
+        peer.refutation = refutation;
+        peer.refutedAt = now;
+        gossip.add(refutation);
     }
 
-    private void candidate(MemberRecord f, double now) {
-        if (f.name().equals(name)) {
-            fits(f, now);
+    private void receiveCandidate(MemberRecord record, double now) {
+        if (record.name().equals(name)) {
+            checkOwnName(record, now);
             return;
         }
-        PeerState p = peer(f.name());
-        if (p.fact != null && !f.over(p.fact) || p.candidate != null && !f.over(p.candidate)) return;
-        p.candidate = f;
-        candidates.add(f.name());
-        rumours.tell(new Candidate(f));
-        LinkMonitor w = watches.get(f.name());
-        if (w != null) w.silentRounds = 0;
+        PeerState peer = peer(record.name());
+        if (peer.record != null && !record.supersedes(peer.record)) return;
+        if (peer.candidate != null && !record.supersedes(peer.candidate)) return;
+        peer.candidate = record;
+        candidateNames.add(record.name());
+        gossip.add(new Candidate(record));
+        LinkMonitor monitor = monitors.get(record.name());
+        if (monitor != null) monitor.silentRounds = 0;
     }
 
-    // ---- judging ----
+    // ---- cut detection ----
 
-    private PeerState peer(String of) {
-        return peers.computeIfAbsent(of, k -> new PeerState());
+    private PeerState peer(String memberName) {
+        return peers.computeIfAbsent(memberName, k -> new PeerState());
     }
 
-    private void judgeAll(double now) {
-        accused.removeIf(n -> {
-            PeerState p = peers.get(n);
-            int place = view.place(n);
-            if (p == null || place < 0) return true;
-            judge(n, p, place, now);
-            return p.judged == MemberHealth.FINE && p.accusing == 0;
+    private void updateHealth(double now) {
+        accusedNames.removeIf(accused -> {
+            PeerState peer = peers.get(accused);
+            int index = view.indexOf(accused);
+            if (peer == null || index < 0) return true;
+            updateHealthOf(accused, peer, index, now);
+            return peer.health == MemberHealth.FINE && peer.accuserCount == 0;
         });
     }
 
-    /** By the word of its watchers; beyond LOW of them a watcher that is doubtful itself counts as one, too. */
-    private void judge(String of, PeerState p, int place, double now) {
-        int[] by = view.watchers(place);
-        int said = 0, refusals = 0, beside = 0;
-        for (int w : by) {
-            MemberRecord watcher = view.member(w);
-            Accusation a = p.accusation(watcher.name());
-            PeerState wp = peers.get(watcher.name());
-            boolean counts = a != null && a.linkStatus() != LinkStatus.FINE && a.incarnation() == p.life()
-                && now - p.saidAt(watcher.name()) < SAID_HOLDS
-                && (a.watcherIncarnation() == wp.life() || a.watcherIncarnation() == watcher.incarnation());
-            // The word of one that is silent itself is not news any more: it may never be taken back.
-            boolean silent = wp.judged == MemberHealth.SILENT;
-            if (counts && !silent) said++;
-            if (counts && !silent && a.linkStatus() == LinkStatus.REFUSED) refusals++;
-            if (silent || !counts && wp.judged == MemberHealth.UNSTABLE) beside++;
-        }
-        int low = pace.low(by.length), high = pace.high(by.length);
-        int accusing = said >= low ? said + beside : said;
-        MemberHealth next = p.judged.next(accusing, low, high);
-        p.accusing = accusing;
-        p.refusals = refusals + (said >= low ? beside : 0);
-        p.confirming = accusing - high;
-        if (next == p.judged) return;
-        counters.addTransition(p.judged, next);
-        news.onHealthChange(of, p.judged, next, accusing);
-        if (next == MemberHealth.SILENT) p.silentSince = now;
-        if (next == MemberHealth.UNSTABLE) p.unstableSince = now;
-        p.judged = next;
-    }
-
-    /** It has answered this very director lately: whatever others say, there is a way to it and back. */
-    private boolean answersHere(String of, double now) {
-        LinkMonitor w = watches.get(of);
-        return w != null && now - w.roundTrip < pace.suspicionRounds() * pace.probePeriodMs();
-    }
-
-    /** Silent for long enough, or this share of it, without a word of its own: it may be put out. */
-    private boolean ripe(PeerState p, int watchers, double share, double now) {
-        if (p.judged != MemberHealth.SILENT) return false;
-        double since = now - Math.max(p.silentSince, p.refutedAt);
-        if (p.refusals >= pace.high(watchers)) return since >= pace.proposalDelayMs();
-        int high = pace.high(watchers);
-        return since >= share * pace.silentFor(view.size(), p.confirming, watchers - high);
-    }
-
-    private void seeWhetherApart(double now) {
-        int works = 0, silent = 0;
-        double lately = 3 * pace.probePeriodMs() * (1 + health / 4.0);
-        for (LinkMonitor w : watches.values()) if (now - w.roundTrip < lately) works++;
-        for (String n : accused) if (peers.get(n).judged == MemberHealth.SILENT) silent++;
-        boolean is = view.size() > 1 && phase != Phase.EVICTED
-            && (2 * works < watches.size() || 2 * silent >= view.size());
-        if (is == apart) return;
-        apart = is;
-        // What it could not hear while it was apart, others may have heard: silence counts from now.
-        if (!is) for (String n : accused) peers.get(n).silentSince = now;
-        counters.add(is ? FleetCounters.Event.PARTITIONED : FleetCounters.Event.PARTITION_HEALED);
-        news.onViewChange(view, apart, ViewCause.PARTITION_CHANGED);
-    }
-
-    // ---- changes of view ----
+    /**
+     * Updates the health of a member from its watchers' accusations. From the low watermark on, watchers that are
+     * silent, or unstable and do not accuse, count as accusers too.
+     */
+    private void updateHealthOf(String subject, PeerState peer, int index, double now) {
+        int[] watchers = view.watchers(index);
+        int accusers = 0;
+        int refusedBy = 0;
+        int unreliable = 0;
+        for (int watcherIndex : watchers) {
+            MemberRecord watcher = view.member(watcherIndex);
+            Accusation accusation = peer.accusation(watcher.name());
+            PeerState watcherState = peers.get(watcher.name());
+            boolean counts = accusation != null && accusation.linkStatus() != LinkStatus.FINE
+                && accusation.incarnation() == peer.incarnation()
+                && now - peer.accusedAt(watcher.name()) < ACCUSATION_TTL_MS
+                && (accusation.watcherIncarnation() == watcherState.incarnation()
+                || accusation.watcherIncarnation() == watcher.incarnation());
+            // The accusation of a silent watcher is outdated: it may never be withdrawn.
+            boolean silent = watcherState.health == MemberHealth.SILENT;
+            if (counts && !silent) accusers++;
+            if (counts && !silent && accusation.linkStatus() == LinkStatus.REFUSED) refusedBy++;
+            if (silent || !counts && watcherState.health == MemberHealth.UNSTABLE) unreliable++;
+        }
+        int low = settings.lowWatermark(watchers.length);
+        int high = settings.highWatermark(watchers.length);
+        int accusing = accusers >= low ? accusers + unreliable : accusers;
+        MemberHealth next = peer.health.next(accusing, low, high);
+        peer.accuserCount = accusing;
+        peer.refusalCount = refusedBy + (accusers >= low ? unreliable : 0);
+        peer.extraAccusers = accusing - high;
+        if (next == peer.health) return;
+        counters.addTransition(peer.health, next);
+        listener.onHealthChange(subject, peer.health, next, accusing);
+        if (next == MemberHealth.SILENT) peer.silentSince = now;
+        if (next == MemberHealth.UNSTABLE) peer.unstableSince = now;
+        peer.health = next;
+    }
+
+    /** Whether the member has recently acknowledged a ping of this one: it is reachable, whatever others report. */
+    private boolean answersDirectly(String subject, double now) {
+        LinkMonitor monitor = monitors.get(subject);
+        return monitor != null && now - monitor.lastRoundTripAt < settings.suspicionRounds() * settings.probePeriodMs();
+    }
+
+    /** Whether the member was silent, without a refutation, for this share of the eviction timeout. */
+    private boolean mayBeEvicted(PeerState peer, int watchers, double share, double now) {
+        if (peer.health != MemberHealth.SILENT) return false;
+        double silentMs = now - Math.max(peer.silentSince, peer.refutedAt);
+        if (peer.refusalCount >= settings.highWatermark(watchers)) return silentMs >= settings.proposalDelayMs();
+        int high = settings.highWatermark(watchers);
+        return silentMs >= share * settings.evictionTimeoutMs(view.size(), peer.extraAccusers, watchers - high);
+    }
 
+    /**
+     * This member is partitioned where fewer than half of its monitored links work, or half of the view is silent.
+     */
+    private void updatePartitioned(double now) {
+        int working = 0;
+        int silent = 0;
+        double recentMs = 3 * settings.probePeriodMs() * (1 + localDegradation / 4.0);
+        for (LinkMonitor monitor : monitors.values()) if (now - monitor.lastRoundTripAt < recentMs) working++;
+        for (String accused : accusedNames) if (peers.get(accused).health == MemberHealth.SILENT) silent++;
+        boolean nowPartitioned = view.size() > 1 && phase != Phase.EVICTED
+            && (2 * working < monitors.size() || 2 * silent >= view.size());
+        if (nowPartitioned == partitioned) return;
+        partitioned = nowPartitioned;
+        // Others may have heard refutations that this member missed during the partition: silence counts from now.
+        if (!nowPartitioned) for (String accused : accusedNames) peers.get(accused).silentSince = now;
+        counters.add(nowPartitioned ? FleetCounters.Event.PARTITIONED : FleetCounters.Event.PARTITION_HEALED);
+        listener.onViewChange(view, partitioned, ViewCause.PARTITION_CHANGED);
+    }
+
+    // ---- view changes ----
+
+    /** Votes on the open proposals; proposes a view change of its own where one is due and it is this member's turn. */
     private void propose(double now) {
-        if (phase != Phase.IN && !view.contains(name) || apart || now < steadyAt) return;
+        if (phase != Phase.IN && !view.contains(name) || partitioned || now < stableAt) return;
         ballot.expire(now);
-        for (Proposal p : ballot.open()) vote(p, now);
-        BitSet gone = new BitSet();
+        for (Proposal open : ballot.openProposals()) vote(open, now);
+        BitSet leaving = new BitSet();
         boolean unstable = false;
-        for (String n : accused) {
-            PeerState p = peers.get(n);
-            int place = view.place(n);
-            if (place < 0) continue;
-            if (!answersHere(n, now) && ripe(p, view.watchers(place).length, 1, now)) gone.set(place);
-            unstable |= p.judged == MemberHealth.UNSTABLE && now - p.unstableSince < UNSTABLE_HOLDS_UP;
-        }
-        List<Long> in = new ArrayList<>();
-        List<MemberRecord> named = new ArrayList<>();
-        for (Map.Entry<String, PeerState> e : waiting().entrySet()) {
-            PeerState p = e.getValue();
-            int place = view.place(e.getKey());
-            if (p.candidate.status() == MemberRecord.Status.LEFT) {
-                if (place >= 0) gone.set(place);
-            } else if (in.size() < MOST_IN_A_BATCH && now - p.outAt >= hold(p.candidate.evictions()) / 2) {
-                in.add(p.candidate.mark());
-                named.add(p.candidate);
-                if (place >= 0) gone.clear(place);
+        for (String accused : accusedNames) {
+            PeerState peer = peers.get(accused);
+            int index = view.indexOf(accused);
+            if (index < 0) continue;
+            if (!answersDirectly(accused, now) && mayBeEvicted(peer, view.watchers(index).length, 1, now)) {
+                leaving.set(index);
             }
+            unstable |= peer.health == MemberHealth.UNSTABLE && now - peer.unstableSince < UNSTABLE_BLOCKS_VIEW_MS;
         }
-        // While one is open nobody's turn runs: else all whose turn has passed would propose at once when it ends.
-        if (!ballot.open().isEmpty() || gone.isEmpty() && in.isEmpty() || unstable && !gone.isEmpty()) {
+        List<Long> joining = new ArrayList<>();
+        List<MemberRecord> joiningRecords = new ArrayList<>();
+        for (Map.Entry<String, PeerState> entry : pendingCandidates().entrySet()) {
+            PeerState peer = entry.getValue();
+            int index = view.indexOf(entry.getKey());
+            if (peer.candidate.status() == MemberRecord.Status.LEFT) {
+                if (index >= 0) leaving.set(index);
+            } else if (joining.size() < MAX_JOINS_PER_PROPOSAL
+                && now - peer.removedAt >= rejoinDelay(peer.candidate.evictions()) / 2) {
+                joining.add(peer.candidate.memberId());
+                joiningRecords.add(peer.candidate);
+                if (index >= 0) leaving.clear(index);
+            }
+        }
+        // The wait for the own turn starts over while a proposal is open: otherwise all members whose turn has passed
+        // would propose at once when it ends.
+        if (!ballot.openProposals().isEmpty() || leaving.isEmpty() && joining.isEmpty()
+            || unstable && !leaving.isEmpty()) {
             proposableSince = Double.NaN;
             return;
         }
         if (Double.isNaN(proposableSince)) {
             proposableSince = now;
-            // Wider with each try that came to nothing: two whose turns fall together do not stay in step.
-            proposeJitter = chance.nextDouble() * pace.probePeriodMs() * (1 << Math.min(tries, MOST_DOUBLINGS));
+            // The jitter doubles with each failed attempt, so that two members whose turns coincide get out of step.
+            proposeJitter = random.nextDouble() * settings.probePeriodMs()
+                * (1 << Math.min(proposalAttempts, MAX_BACKOFF_DOUBLINGS));
         }
-        if (now - proposableSince < pace.proposalDelayMs() + turnToPropose() * 2 * pace.probePeriodMs()
+        if (now - proposableSince < settings.proposalDelayMs() + proposerRank() * 2 * settings.probePeriodMs()
             + proposeJitter) return;
         proposableSince = Double.NaN;
-        tries++;
+        proposalAttempts++;
         counters.add(FleetCounters.Event.PROPOSED);
-        for (MemberRecord f : named) rumours.tell(new Candidate(f));     // who does not know them can't agree
-        proposal(new Proposal(view.digest, view.number, ballot.nextRound(), name, gone, List.copyOf(in), new BitSet()),
-            now);
-    }
-
-    /** Candidates that stand over what the view has. */
-    private Map<String, PeerState> waiting() {
-        Map<String, PeerState> all = new TreeMap<>();
-        candidates.removeIf(n -> {
-            PeerState p = peers.get(n);
-            if (p == null || p.candidate == null) return true;
-            if (p.candidate.over(p.fact)) {
-                all.put(n, p);
+        // A member can only agree to candidates that it knows.
+        for (MemberRecord record : joiningRecords) gossip.add(new Candidate(record));
+        receiveProposal(new Proposal(view.digest, view.number, ballot.nextRound(), name, leaving,
+            List.copyOf(joining), new BitSet()), now);
+    }
+
+    /** By name, the candidates that supersede the record in the view; drops the others. */
+    private Map<String, PeerState> pendingCandidates() {
+        Map<String, PeerState> pending = new TreeMap<>();
+        candidateNames.removeIf(candidate -> {
+            PeerState peer = peers.get(candidate);
+            if (peer == null || peer.candidate == null) return true;
+            if (peer.candidate.supersedes(peer.record)) {
+                pending.put(candidate, peer);
                 return false;
             }
-            p.candidate = null;
+            peer.candidate = null;
             return true;
         });
-        return all;
+        return pending;
     }
 
-    /** Who is to make the next change, by an order that all with this view share: the others wait for it. */
-    private int turnToPropose() {
-        long mine = View.mix(View.hash(name) ^ view.digest);
-        int before = 0;
-        for (MemberRecord f : view.members()) {
-            if (peers.get(f.name()).judged == MemberHealth.SILENT) continue;
-            if (Long.compareUnsigned(View.mix(View.hash(f.name()) ^ view.digest), mine) < 0) before++;
+    /** This member's position in the order of proposers, which is the same for all members with this view. */
+    private int proposerRank() {
+        long ownHash = View.mix(View.hash(name) ^ view.digest);
+        int rank = 0;
+        for (MemberRecord record : view.members()) {
+            if (peers.get(record.name()).health == MemberHealth.SILENT) continue;
+            if (Long.compareUnsigned(View.mix(View.hash(record.name()) ^ view.digest), ownHash) < 0) rank++;
         }
-        return Math.min(before, 30);
+        return Math.min(rank, MAX_PROPOSER_RANK);
     }
 
-    private void proposal(Proposal p, double now) {
-        if (!ballot.concerns(p)) return;
-        int before = ballot.open().stream().filter(o -> o.key().equals(p.key())).mapToInt(o -> o.votes().cardinality())
-            .findAny().orElse(-1);
-        Proposal known = ballot.heard(p, now);
-        if (known.votes().cardinality() > Math.max(0, before)) rumours.tell(known);
+    private void receiveProposal(Proposal proposal, double now) {
+        if (!ballot.accepts(proposal)) return;
+        int votesBefore = ballot.openProposals().stream().filter(open -> open.key().equals(proposal.key()))
+            .mapToInt(open -> open.votes().cardinality()).findAny().orElse(-1);
+        Proposal known = ballot.merge(proposal, now);
+        if (known.votes().cardinality() > Math.max(0, votesBefore)) gossip.add(known);
         vote(known, now);
     }
 
-    private void vote(Proposal p, double now) {
-        if (!ballot.concerns(p)) return;                // it may have been carried, or closed, just before
-        Proposal voted = p;
-        int self = view.place(name);
-        if (self >= 0 && ballot.mayVote(p) && agrees(p, now)) {
-            voted = ballot.votes(p, self, now);
-            news.onVote(p.baseDigest(), p.round());
-            rumours.tell(voted);
+    private void vote(Proposal proposal, double now) {
+        if (!ballot.accepts(proposal)) return;          // it may have been applied or closed just before
+        Proposal voted = proposal;
+        int self = view.indexOf(name);
+        if (self >= 0 && ballot.mayVote(proposal) && agrees(proposal, now)) {
+            voted = ballot.addOwnVote(proposal, self, now);
+            listener.onVote(proposal.baseDigest(), proposal.round());
+            gossip.add(voted);
         }
-        if (ballot.isCarried(voted)) apply(voted, now);
+        if (ballot.hasMajority(voted)) apply(voted, now);
     }
 
-    private boolean agrees(Proposal p, double now) {
-        if (now < steadyAt) return false;
-        if (!p.joining().isEmpty()) {
+    /** Whether this member would make the same change by its own observations. */
+    private boolean agrees(Proposal proposal, double now) {
+        if (now < stableAt) return false;
+        if (!proposal.joining().isEmpty()) {
             Set<Long> known = new HashSet<>();
-            for (PeerState w : waiting().values()) known.add(w.candidate.mark());
-            if (!known.containsAll(p.joining())) return false;
+            for (PeerState pending : pendingCandidates().values()) known.add(pending.candidate.memberId());
+            if (!known.containsAll(proposal.joining())) return false;
         }
-        for (int i = p.leaving().nextSetBit(0); i >= 0; i = p.leaving().nextSetBit(i + 1)) {
+        for (int i = proposal.leaving().nextSetBit(0); i >= 0; i = proposal.leaving().nextSetBit(i + 1)) {
             if (i >= view.size()) return false;
-            String n = view.member(i).name();
-            PeerState s = peers.get(n);
-            boolean left = s.candidate != null && s.candidate.status() == MemberRecord.Status.LEFT;
-            // By its own books, a little sooner than it would propose it itself.
-            if (n.equals(name)) return false;
-            if (!left && (answersHere(n, now) || !ripe(s, view.watchers(i).length, AGREES_AT, now))) return false;
+            String leavingName = view.member(i).name();
+            PeerState peer = peers.get(leavingName);
+            boolean left = peer.candidate != null && peer.candidate.status() == MemberRecord.Status.LEFT;
+            if (leavingName.equals(name)) return false;
+            // This member's own observations decide, after a slightly shorter silence than for its own proposal.
+            if (!left && (answersDirectly(leavingName, now)
+                || !mayBeEvicted(peer, view.watchers(i).length, AGREEMENT_DELAY_SHARE, now))) return false;
         }
         return true;
     }
 
-    private void apply(Proposal p, double now) {
-        Map<Long, PeerState> byMark = new HashMap<>();
-        for (PeerState w : waiting().values()) byMark.put(w.candidate.mark(), w);
-        // Not all is known here yet: it comes, or is asked for.
-        if (!byMark.keySet().containsAll(p.joining())) return;
-        for (int i = p.leaving().nextSetBit(0); i >= 0; i = p.leaving().nextSetBit(i + 1)) {
-            MemberRecord f = view.member(i);
-            PeerState s = peers.get(f.name());
-            boolean left = s.candidate != null && s.candidate.status() == MemberRecord.Status.LEFT;
-            s.fact = left ? s.candidate : f.with(MemberRecord.Status.EVICTED, f.evictions() + 1);
-            s.ended = left || s.refusals >= pace.high(view.watchers(i).length);
-            s.outAt = now;
-        }
-        for (long mark : p.joining()) {
-            PeerState s = byMark.get(mark);
-            s.fact = MemberRecord.merge(s.fact, s.candidate);
-            s.ended = false;
+    /** Adopts the view that an accepted proposal leads to. */
+    private void apply(Proposal proposal, double now) {
+        Map<Long, PeerState> candidatesById = new HashMap<>();
+        for (PeerState pending : pendingCandidates().values()) {
+            candidatesById.put(pending.candidate.memberId(), pending);
+        }
+        // Some of the candidates are not known here yet: they come by gossip, or with a requested view.
+        if (!candidatesById.keySet().containsAll(proposal.joining())) return;
+        for (int i = proposal.leaving().nextSetBit(0); i >= 0; i = proposal.leaving().nextSetBit(i + 1)) {
+            MemberRecord record = view.member(i);
+            PeerState peer = peers.get(record.name());
+            boolean left = peer.candidate != null && peer.candidate.status() == MemberRecord.Status.LEFT;
+            peer.record = left ? peer.candidate : record.with(MemberRecord.Status.EVICTED, record.evictions() + 1);
+            peer.ended = left || peer.refusalCount >= settings.highWatermark(view.watchers(i).length);
+            peer.removedAt = now;
+        }
+        for (long memberId : proposal.joining()) {
+            PeerState peer = candidatesById.get(memberId);
+            peer.record = MemberRecord.merge(peer.record, peer.candidate);
+            peer.ended = false;
         }
         counters.add(FleetCounters.Event.VIEW_CHANGED);
-        adopt(viewOf(Math.max(p.baseNumber(), view.number) + 1), ViewCause.VOTED, now);
+        adopt(viewFromRecords(Math.max(proposal.baseNumber(), view.number) + 1), ViewCause.VOTED, now);
     }
 
-    private void adopt(View anew, ViewCause cause, double now) {
-        View before = view;
-        view = shared.apply(anew);
+    /** Makes {@code newView} the current view and resets what depends on it. */
+    private void adopt(View newView, ViewCause cause, double now) {
+        View previous = view;
+        view = viewInterner.apply(newView);
         ballot = new Ballot(view);
-        tries = 0;
-        mismatchSince = proposableSince = Double.NaN;
-        waiting();
-        for (String n : List.copyOf(accused)) {
-            if (view.of(n) != null && view.of(n).equals(before.of(n))) continue;
-            peers.get(n).nobodyAccuses();
-            accused.remove(n);
+        proposalAttempts = 0;
+        proposableSince = Double.NaN;
+        viewMismatchSince = Double.NaN;
+        pendingCandidates();
+        for (String accused : List.copyOf(accusedNames)) {
+            if (view.of(accused) != null && view.of(accused).equals(previous.of(accused))) continue;
+            peers.get(accused).clearAccusations();
+            accusedNames.remove(accused);
         }
         MemberRecord self = view.of(name);
         boolean in = self != null && self.incarnation() == incarnation;
-        MemberRecord own = peer(name).fact;
-        if (in) become(Phase.IN);
-        else if (own != null && !own.in() && own.incarnation() == incarnation) {
-            outSteadySince = Double.NaN;
-            become(Phase.EVICTED);
+        MemberRecord own = peer(name).record;
+        if (in) enterPhase(Phase.IN);
+        else if (own != null && !own.isIn() && own.incarnation() == incarnation) {
+            evictedStableSince = Double.NaN;
+            enterPhase(Phase.EVICTED);
         } else if (phase != Phase.EVICTED) {
-            if (peer(name).candidate == null || peer(name).candidate.incarnation() != incarnation) candidate(own());
-            become(Phase.JOINING);
+            MemberRecord candidate = peer(name).candidate;
+            if (candidate == null || candidate.incarnation() != incarnation) announceCandidate(ownRecord());
+            enterPhase(Phase.JOINING);
         }
-        rewatch(now);
-        news.onViewChange(view, apart, cause);
+        rebuildMonitors(now);
+        listener.onViewChange(view, partitioned, cause);
     }
 
-    private void rewatch(double now) {
-        Map<String, LinkMonitor> old = new HashMap<>(watches);
-        watches.clear();
-        int self = view.place(name);
+    /** Monitors the members that the view assigns to this one, keeping the state of those monitored before. */
+    private void rebuildMonitors(double now) {
+        Map<String, LinkMonitor> previous = new HashMap<>(monitors);
+        monitors.clear();
+        int self = view.indexOf(name);
         if (self < 0) return;
-        for (int s : view.watched(self)) {
-            String n = view.member(s).name();
-            LinkMonitor w = old.get(n);
-            if (w == null) {
-                w = new LinkMonitor(n);
-                w.roundTrip = now;                       // it begins with a round of grace
+        for (int subject : view.watched(self)) {
+            String subjectName = view.member(subject).name();
+            LinkMonitor monitor = previous.get(subjectName);
+            if (monitor == null) {
+                monitor = new LinkMonitor(subjectName);
+                monitor.lastRoundTripAt = now;          // the first round counts as answered
             }
-            watches.put(n, w);
+            monitors.put(subjectName, monitor);
         }
     }
 
-    /** Names that are gone for long; nothing grows with time. */
-    private void forget(double now) {
-        if (chance.nextInt(64) != 0) return;
-        peers.entrySet().removeIf(e -> {
-            PeerState p = e.getValue();
-            if (view.contains(e.getKey()) || e.getKey().equals(name)) return false;
-            if (p.knownAt == 0) p.knownAt = now;
-            return now - Math.max(p.knownAt, p.outAt) > pace.forgetAfterMs();
+    /** Drops names that left the view long ago, so that memory stays bounded. */
+    private void forgetOldPeers(double now) {
+        if (random.nextInt(64) != 0) return;
+        peers.entrySet().removeIf(entry -> {
+            PeerState peer = entry.getValue();
+            if (view.contains(entry.getKey()) || entry.getKey().equals(name)) return false;
+            if (peer.firstForgetCheckAt == 0) peer.firstForgetCheckAt = now;
+            return now - Math.max(peer.firstForgetCheckAt, peer.removedAt) > settings.forgetAfterMs();
         });
     }
 
     // ---- sending ----
 
-    private Message message(Kind k, String to, int number, String about, boolean heard, List<MemberRecord> state) {
-        int times = 3 + (int) (3 * Math.log(1 + view.size()));
-        List<GossipItem> items = k == Kind.VIEW || k == Kind.VIEW_REQUEST || k == Kind.NAME_QUERY
-            || k == Kind.NAME_REPLY ? List.of() : rumours.some(times);
-        if (phase == Phase.JOINING && k == Kind.JOIN) {
-            List<GossipItem> all = new ArrayList<>(items);
-            all.add(new Candidate(own()));
-            items = all;
+    private Message message(Kind kind, String to, int messageSeq, String subject, boolean pingReceived,
+                            List<MemberRecord> viewMembers) {
+        int maxSends = 3 + (int) (3 * Math.log(1 + view.size()));
+        List<GossipItem> items = kind == Kind.VIEW || kind == Kind.VIEW_REQUEST || kind == Kind.NAME_QUERY
+            || kind == Kind.NAME_REPLY ? List.of() : gossip.nextBatch(maxSends);
+        if (phase == Phase.JOINING && kind == Kind.JOIN) {
+            List<GossipItem> extended = new ArrayList<>(items);
+            extended.add(new Candidate(ownRecord()));
+            items = extended;
         }
-        return new Message(k, name, incarnation, host, port, to, number, about, heard, view.number, view.digest, items,
-            state);
+        return new Message(kind, name, incarnation, host, port, to, messageSeq, subject, pingReceived, view.number,
+            view.digest, items, viewMembers);
     }
 
-    private void send(String toHost, int toPort, Kind k, String to, int number, String about, boolean heard) {
-        out.add(new Send(toHost, toPort, message(k, to, number, about, heard, null)));
+    private void send(String toHost, int toPort, Kind kind, String to, int messageSeq, String subject,
+                      boolean pingReceived) {
+        outbox.add(new Send(toHost, toPort, message(kind, to, messageSeq, subject, pingReceived, null)));
     }
 
-    private void reply(Message m, Kind k, String about, boolean heard) {
-        send(m.host(), m.port(), k, m.from(), m.seq(), about, heard);
+    private void reply(Message request, Kind kind, String subject, boolean pingReceived) {
+        send(request.host(), request.port(), kind, request.from(), request.seq(), subject, pingReceived);
     }
 
-    // ---- for those who ask ----
+    // ---- status ----
 
     /**
-     * How many names took part and can no longer: they said so, or their watchers found nobody at their port. Who is
-     * merely silent may be cut off, and go on.
+     * The number of former members that certainly do not run any more: they announced that they leave, or their
+     * watchers found no process at their port. One that is only silent may be cut off and still run.
      */
     public int endedCount() {
-        int n = 0;
-        for (PeerState p : peers.values()) if (p.ended && p.fact != null && !p.fact.in() && p.candidate == null) n++;
-        return n;
+        int count = 0;
+        for (PeerState peer : peers.values()) {
+            if (peer.ended && peer.record != null && !peer.record.isIn() && peer.candidate == null) count++;
+        }
+        return count;
     }
 
-    /** It takes part, sees most of the fleet, and is not late: what the others decide reaches it. */
+    /** Whether this member is in the view, not partitioned and not delayed, so that decisions of the fleet reach it. */
     public boolean isUpToDate(double now) {
-        boolean hears = view.size() == 1 || now - lastAnswer < 3 * pace.probePeriodMs();
-        return phase == Phase.IN && !apart && now >= steadyAt && Double.isNaN(mismatchSince) && hears;
+        boolean connected = view.size() == 1 || now - lastSameViewAckAt < 3 * settings.probePeriodMs();
+        return phase == Phase.IN && !partitioned && now >= stableAt && Double.isNaN(viewMismatchSince) && connected;
     }
 
-    /** Where a name is reached, or was last; null where it is not known. */
-    public Address addressOf(String of) {
-        PeerState p = peers.get(of);
-        if (p == null || p.fact == null && p.candidate == null) return null;
-        MemberRecord f = p.latest();
-        return new Address(f.host(), f.port());
+    /** The last known address of a member; null for an unknown name. */
+    public Address addressOf(String memberName) {
+        PeerState peer = peers.get(memberName);
+        if (peer == null || peer.record == null && peer.candidate == null) return null;
+        MemberRecord record = peer.latestRecord();
+        return new Address(record.host(), record.port());
     }
 
-    /** Where each name of the view is reached, for the next start. */
+    /** The addresses of the other members of the view, to be kept as contacts for the next start. */
     public List<Address> addresses() {
-        List<Address> all = new ArrayList<>();
-        for (MemberRecord f : view.members()) if (!f.name().equals(name)) all.add(new Address(f.host(), f.port()));
-        return all;
-    }
-
-    /** One line for each edge and each watcher's word about a name. */
-    public List<String> explain(String of, double now) {
-        List<String> all = new ArrayList<>();
-        PeerState p = peers.get(of);
-        if (p == null || p.fact == null) return all;
-        MemberRecord f = p.latest();
-        all.add(of + " is " + p.fact.status() + " in life " + f.incarnation() + " at " + f.host() + ":" + f.port()
-            + ", judged " + p.judged + " by " + p.accusing + " of its watchers, taken out " + p.fact.evictions()
-            + " times");
-        int place = view.place(of);
-        if (place >= 0) for (int w : view.watchers(place)) {
-            String n = view.member(w).name();
-            Accusation a = p.accusation(n);
-            all.add("watched by " + n + ": " + (a == null ? LinkStatus.FINE : a.linkStatus())
-                + (peers.get(n).judged == MemberHealth.FINE ? "" : ", which is " + peers.get(n).judged + " itself"));
-        }
-        LinkMonitor own = watches.get(of);
-        if (own != null) all.add("watched from here: " + own.way(now, 4 * pace.probePeriodMs()) + ", "
+        List<Address> addresses = new ArrayList<>();
+        for (MemberRecord record : view.members()) {
+            if (!record.name().equals(name)) addresses.add(new Address(record.host(), record.port()));
+        }
+        return addresses;
+    }
+
+    /** Describes what is known of a member, for operators: its record, each watcher's report and the own link to it. */
+    public List<String> explain(String memberName, double now) {
+        List<String> lines = new ArrayList<>();
+        PeerState peer = peers.get(memberName);
+        if (peer == null || peer.record == null) return lines;
+        MemberRecord record = peer.latestRecord();
+        lines.add(memberName + " is " + peer.record.status() + " in life " + record.incarnation() + " at "
+            + record.host() + ":" + record.port() + ", judged " + peer.health + " by " + peer.accuserCount
+            + " of its watchers, taken out " + peer.record.evictions() + " times");
+        int index = view.indexOf(memberName);
+        if (index >= 0) for (int watcherIndex : view.watchers(index)) {
+            String watcherName = view.member(watcherIndex).name();
+            Accusation accusation = peer.accusation(watcherName);
+            MemberHealth watcherHealth = peers.get(watcherName).health;
+            lines.add("watched by " + watcherName + ": "
+                + (accusation == null ? LinkStatus.FINE : accusation.linkStatus())
+                + (watcherHealth == MemberHealth.FINE ? "" : ", which is " + watcherHealth + " itself"));
+        }
+        LinkMonitor own = monitors.get(memberName);
+        if (own != null) lines.add("watched from here: " + own.directionStatus(now, 4 * settings.probePeriodMs()) + ", "
             + own.silentRounds + " rounds without a word");
-        if (p.judged == MemberHealth.SILENT) all.add("silent for " + Math.round(now - p.silentSince) + " ms"
-            + (p.refutedAt > p.silentSince ? ", its own word " + Math.round(now - p.refutedAt) + " ms ago" : ""));
-        return all;
+        if (peer.health == MemberHealth.SILENT) lines.add("silent for " + Math.round(now - peer.silentSince) + " ms"
+            + (peer.refutedAt > peer.silentSince
+            ? ", its own word " + Math.round(now - peer.refutedAt) + " ms ago" : ""));
+        return lines;
     }
 }
--- a/src/main/java/mothcross/fleet/GossipItem.java
+++ b/src/main/java/mothcross/fleet/GossipItem.java
@@ -3,16 +3,17 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** What rides on messages until all have it. Each has a key: a newer one of the same key takes its place. */
+/** A piece of information that spreads with the messages between members. A newer item replaces one of equal key. */
 public sealed interface GossipItem {
     Object key();
 
-    /** About how many bytes it takes on the wire. */
+    /** The approximate size on the wire in bytes. */
     int size();
 
-    /** How a watcher sees the edge to one that it watches; {@code seq} grows with each change. */
+    /** The status of a monitored link as its watcher sees it. */
     enum LinkStatus { FINE, SILENT, REFUSED }
 
+    /** A watcher's report on a link, also when it is fine again; {@code seq} grows with each report on it. */
     record Accusation(String watcher, long watcherIncarnation, String subject, long incarnation, int seq,
         LinkStatus linkStatus) implements GossipItem {
         @Override public Object key() {
@@ -24,7 +25,7 @@
         }
     }
 
-    /** Its own word against accusations: it hears them and is heard. */
+    /** An accused member's own announcement that it is alive: it receives accusations and can send. */
     record Refutation(String name, long incarnation, int count) implements GossipItem {
         @Override public Object key() {
             return name;
@@ -35,7 +36,7 @@
         }
     }
 
-    /** A fact that is no part of the view yet: a newcomer, a new life, a farewell. */
+    /** A record that is not part of the view yet: a new member, a new incarnation or a leave announcement. */
     record Candidate(MemberRecord member) implements GossipItem {
         @Override public Object key() {
             return "c\n" + member.name();
@@ -47,8 +48,9 @@
     }
 
     /**
-     * A change of view put to the vote: out of the view with this digest go those at the places set, in come the
-     * candidates of these marks. A vote is the place of a member that agrees; sets only grow.
+     * A view change put to the vote: the members at the indexes {@code leaving} leave the view {@code baseDigest}, the
+     * candidates whose member ids are in {@code joining} join it. {@code votes} has the indexes of the members that
+     * agree; votes are only ever added.
      */
     record Proposal(long baseDigest, long baseNumber, int round, String proposer, BitSet leaving, List<Long> joining,
         BitSet votes) implements GossipItem {
@@ -60,8 +62,8 @@
             return 32 + proposer.length() + leaving.length() / 8 + votes.length() / 8 + 8 * joining.size();
         }
 
-        Proposal with(BitSet v) {
-            return new Proposal(baseDigest, baseNumber, round, proposer, leaving, joining, v);
+        Proposal with(BitSet newVotes) {
+            return new Proposal(baseDigest, baseNumber, round, proposer, leaving, joining, newVotes);
         }
     }
 }
--- a/src/main/java/mothcross/fleet/GossipQueue.java
+++ b/src/main/java/mothcross/fleet/GossipQueue.java
@@ -7,69 +7,73 @@
 import java.util.Map;
 
 /**
- * What is passed on with messages, each item so many times: least told first, newest first among equals. Owns the
- * counts; bounded, and what is told often enough is forgotten.
+ * The items to spread with outgoing messages, each a limited number of times: the least sent first, among those the
+ * newest first. Bounded; an item that was sent often enough is dropped.
  */
 final class GossipQueue {
-    private static final int MOST = 512, ROOM = 1000;
+    private static final int MAX_ITEMS = 512;
+    private static final int MAX_BATCH_BYTES = 1000;
+    /** With less room than this left in a batch no further item is tried. */
+    private static final int MIN_ROOM_BYTES = 100;
 
-    private static final class Rumour {
+    private static final class Entry {
         final GossipItem item;
-        final long order;
-        int told;
+        final long sequence;
+        int sendCount;
 
-        Rumour(GossipItem item, long order) {
+        Entry(GossipItem item, long sequence) {
             this.item = item;
-            this.order = order;
+            this.sequence = sequence;
         }
     }
 
-    private final Map<Object, Rumour> all = new HashMap<>();
-    private List<Rumour> sorted = new ArrayList<>();
+    private static final Comparator<Entry> SEND_ORDER = Comparator.<Entry>comparingInt(entry -> entry.sendCount)
+        .thenComparingLong(entry -> -entry.sequence);
+
+    private final Map<Object, Entry> entries = new HashMap<>();
+    private List<Entry> sorted = new ArrayList<>();
     private boolean stale;
-    private long orders;
+    private long nextSequence;
 
-    void tell(GossipItem item) {
-        all.put(item.key(), new Rumour(item, orders++));
+    /** Adds an item, replacing one of equal key; from a full queue drops the item that would be sent last. */
+    void add(GossipItem item) {
+        entries.put(item.key(), new Entry(item, nextSequence++));
         stale = true;
-        if (all.size() <= MOST) return;
-        Rumour most = null;
-        for (Rumour r : all.values()) if (most == null || ORDER.compare(r, most) > 0) most = r;
-        all.remove(most.item.key());
+        if (entries.size() <= MAX_ITEMS) return;
+        Entry last = null;
+        for (Entry entry : entries.values()) if (last == null || SEND_ORDER.compare(entry, last) > 0) last = entry;
+        entries.remove(last.item.key());
     }
 
-    private static final Comparator<Rumour> ORDER = Comparator.<Rumour>comparingInt(r -> r.told)
-        .thenComparingLong(r -> -r.order);
-
     int size() {
-        return all.size();
+        return entries.size();
     }
 
-    /** For one message: as many as fit; {@code times} is how often each is told in all. */
-    List<GossipItem> some(int times) {
-        if (all.isEmpty()) return List.of();
+    /** The items for one message, as many as fit; each item is sent {@code maxSends} times in all. */
+    List<GossipItem> nextBatch(int maxSends) {
+        if (entries.isEmpty()) return List.of();
         if (stale) {
-            sorted = new ArrayList<>(all.values());
+            sorted = new ArrayList<>(entries.values());
             stale = false;
         }
-        sorted.sort(ORDER);
-        List<GossipItem> out = new ArrayList<>();
-        int room = ROOM;
-        boolean over = false;
-        for (Rumour r : sorted) {
-            int size = r.item.size();
+        sorted.sort(SEND_ORDER);
+        List<GossipItem> batch = new ArrayList<>();
+        int room = MAX_BATCH_BYTES;
+        boolean anyDropped = false;
+        for (Entry entry : sorted) {
+            int size = entry.item.size();
             if (size > room) {
-                if (room < 100) break;
+                if (room < MIN_ROOM_BYTES) break;
                 continue;
             }
             room -= size;
-            out.add(r.item);
-            if (++r.told >= times) {
-                all.remove(r.item.key(), r);
-                over = true;
+            batch.add(entry.item);
+            if (++entry.sendCount >= maxSends) {
+                entries.remove(entry.item.key(), entry);
+                anyDropped = true;
             }
         }
-        if (over) sorted.removeIf(r -> r.told >= times);
-        return out;
+        if (anyDropped) sorted.removeIf(entry -> entry.sendCount >= maxSends);
+        return batch;
     }
 }
--- a/src/main/java/mothcross/fleet/MemberHealth.java
+++ b/src/main/java/mothcross/fleet/MemberHealth.java
@@ -1,16 +1,16 @@
 package mothcross.fleet;
 
 /**
- * How the fleet sees a member, from how many of its watchers accuse it:
+ * The health of a member by the number of its watchers that accuse it, against a low and a high watermark:
  * <pre>
- *            none accuse   under LOW    LOW..HIGH     HIGH or more
- * FINE       FINE          DOUBTED      UNSTABLE      SILENT
- * DOUBTED    FINE          DOUBTED      UNSTABLE      SILENT
- * UNSTABLE   FINE          DOUBTED      UNSTABLE      SILENT
- * SILENT     FINE          DOUBTED      SILENT        SILENT
+ *            none accuse   under low    low..high     high or more
+ * FINE       FINE          SUSPECTED    UNSTABLE      SILENT
+ * SUSPECTED  FINE          SUSPECTED    UNSTABLE      SILENT
+ * UNSTABLE   FINE          SUSPECTED    UNSTABLE      SILENT
+ * SILENT     FINE          SUSPECTED    SILENT        SILENT
  * </pre>
- * Between the marks SILENT stays what it is, so one watcher that comes and goes moves nothing. Being out is no state of
- * it: that is the view's.
+ * A silent member stays silent between the watermarks, so that one watcher whose reports alternate does not make the
+ * health flap. Eviction is not a health: it is recorded in the view.
  */
 public enum MemberHealth {
     FINE("FINE"), SUSPECTED("DOUBTED"), UNSTABLE("UNSTABLE"), SILENT("SILENT");
@@ -26,10 +26,10 @@
         return label;
     }
 
-    MemberHealth next(int accusing, int low, int high) {
-        if (accusing >= high) return SILENT;
+    MemberHealth next(int accusing, int lowWatermark, int highWatermark) {
+        if (accusing >= highWatermark) return SILENT;
         if (accusing == 0) return FINE;
-        if (accusing < low) return SUSPECTED;
+        if (accusing < lowWatermark) return SUSPECTED;
         return this == SILENT ? SILENT : UNSTABLE;
     }
 }
--- a/src/main/java/mothcross/fleet/MemberRecord.java
+++ b/src/main/java/mothcross/fleet/MemberRecord.java
@@ -1,9 +1,9 @@
 package mothcross.fleet;
 
 /**
- * What is held of one director: in which life it takes part, where it is reached, whether it is in. Of two facts about
- * a name the higher incarnation stands, then what ends over what begins; so any order of hearing gives the same.
- * {@code evictions} counts how often the name was taken out.
+ * What is recorded of one member: its incarnation, its address, whether it is in the view, and how often its name was
+ * evicted. Of two records of one name that with the higher incarnation supersedes the other, then that with the later
+ * status, so that records merge to the same result in any order.
  */
 public record MemberRecord(String name, long incarnation, String host, int port, Status status, int evictions) {
     /** Of two records of the same incarnation the one with the later status supersedes the other. */
@@ -22,29 +22,29 @@
         }
     }
 
-    boolean over(MemberRecord other) {
+    boolean supersedes(MemberRecord other) {
         if (other == null || incarnation != other.incarnation) return other == null || incarnation > other.incarnation;
         return status.compareTo(other.status) > 0;
     }
 
-    /** The one that stands, with the higher count of turns. */
-    static MemberRecord merge(MemberRecord a, MemberRecord b) {
-        if (a == null || b == null) return a == null ? b : a;
-        MemberRecord f = b.over(a) ? b : a;
-        int turn = Math.max(a.evictions, b.evictions);
-        return f.evictions == turn ? f : f.with(f.status, turn);
+    /** The record that supersedes the other, with the higher count of evictions; null only where both are. */
+    static MemberRecord merge(MemberRecord first, MemberRecord second) {
+        if (first == null || second == null) return first == null ? second : first;
+        MemberRecord newer = second.supersedes(first) ? second : first;
+        int evictions = Math.max(first.evictions, second.evictions);
+        return newer.evictions == evictions ? newer : newer.with(newer.status, evictions);
     }
 
-    MemberRecord with(Status s, int turns) {
-        return new MemberRecord(name, incarnation, host, port, s, turns);
+    MemberRecord with(Status newStatus, int newEvictions) {
+        return new MemberRecord(name, incarnation, host, port, newStatus, newEvictions);
     }
 
-    /** What stands for this name in this life where only few bytes can be told. */
-    long mark() {
+    /** A hash of name and incarnation: stands for this record in proposals, where few bytes are available. */
+    long memberId() {
         return View.mix(View.hash(name) + incarnation);
     }
 
-    boolean in() {
+    boolean isIn() {
         return status == Status.IN;
     }
 }
--- a/src/main/java/mothcross/fleet/Message.java
+++ b/src/main/java/mothcross/fleet/Message.java
@@ -3,31 +3,55 @@
 import java.util.List;
 
 /**
- * One message between two directors. {@code subject} names a third: whom a helper is to ask, or on whose behalf it
- * asks. {@code pingReceived} in an answer: the one asked has had the asker's own question. {@code viewNumber} and
- * {@code viewDigest} are the sender's view; {@code viewMembers} is set only where a whole view is told. {@code body}
- * is carried for others, unread.
+ * One message between two directors.
+ *
+ * @param to the name of the recipient; empty where only its address is known
+ * @param subject a third member: the target of a ping request, or in a proxied ping the member that requested it; the
+ *     request itself in an ADMIN message
+ * @param pingReceived in an indirect ack: whether the probed member has received the direct ping as well
+ * @param viewNumber the number of the sender's view
+ * @param viewDigest the digest of the sender's view
+ * @param viewMembers all records that the sender knows, in a VIEW message only; else null
+ * @param body the payload of the kinds ADMIN and POLICY, which members carry without reading it
  */
 public record Message(Kind kind, String from, long incarnation, String host, int port, String to, int seq,
                       String subject, boolean pingReceived, long viewNumber, long viewDigest, List<GossipItem> items,
                       List<MemberRecord> viewMembers, byte[] body) {
-    private static final byte[] NONE = {};
+    private static final byte[] NO_BODY = {};
 
+    /** A message without a body. */
     public Message(Kind kind, String from, long incarnation, String host, int port, String to, int seq, String subject,
                    boolean pingReceived, long viewNumber, long viewDigest, List<GossipItem> items,
                    List<MemberRecord> viewMembers) {
         this(kind, from, incarnation, host, port, to, seq, subject, pingReceived, viewNumber, viewDigest, items,
-            viewMembers, NONE);
+            viewMembers, NO_BODY);
     }
 
-    /**
-     * Asked and answered directly; through a helper: asked to help, the helper's question, its answer, and the answer
-     * passed on; one that is not in asks to be; a whole view asked for and told; a question to whoever holds a name;
-     * the operators' own; one of the policy's, which is no member's to read.
-     */
-    public enum Kind { PING, ACK, PING_REQUEST, PROXY_PING, PROXY_ACK, PING_REQUEST_ACK, JOIN, VIEW_REQUEST, VIEW,
-        NAME_QUERY, NAME_REPLY, ADMIN, POLICY }
+    /** The kinds of messages. The wire carries the ordinal, so the order is fixed. */
+    public enum Kind {
+        PING,
+        ACK,
+        /** Asks another member to probe the subject. */
+        PING_REQUEST,
+        /** The ping sent on a ping request. */
+        PROXY_PING,
+        /** The probed member's answer to a proxied ping. */
+        PROXY_ACK,
+        /** The answer to a ping request, once the proxied ping is acknowledged. */
+        PING_REQUEST_ACK,
+        /** Sent by a member that is not in the view, and to find other parts of a split fleet. */
+        JOIN,
+        VIEW_REQUEST,
+        VIEW,
+        /** Asks at an address whether the holder of a conflicting name runs there. */
+        NAME_QUERY,
+        NAME_REPLY,
+        /** A request of an operator. */
+        ADMIN,
+        /** A message of the policy component that shares the transport; not handled by the member. */
+        POLICY
+    }
 
-    /** To whom, and where it is reached. */
+    /** A message and the address that it goes to. */
     public record Send(String host, int port, Message message) { }
 }
--- a/src/main/java/mothcross/fleet/PeerState.java
+++ b/src/main/java/mothcross/fleet/PeerState.java
@@ -3,62 +3,75 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** All that one director holds of another name, apart from its own edge to it. */
+/** What a member knows of another one, except for its own link to it. */
 final class PeerState {
-    MemberRecord fact;                                          // what the view, or what came after it, has of it
-    MemberRecord candidate;                                     // stands over it, and is no part of the view yet
-    /** The newest word of a watcher, and when it came. */
-    private static final class Said {
-        final GossipItem.Accusation what;
+    /** An accusation and when it was received. */
+    private static final class ReceivedAccusation {
+        final GossipItem.Accusation accusation;
         double at;
 
-        Said(GossipItem.Accusation what, double at) {
-            this.what = what;
+        ReceivedAccusation(GossipItem.Accusation accusation, double at) {
+            this.accusation = accusation;
             this.at = at;
         }
     }
 
-    private Map<String, Said> accusations;              // by watcher
-    MemberHealth judged = MemberHealth.FINE;
-    double silentSince, unstableSince, outAt = Double.NEGATIVE_INFINITY, knownAt;
-    int refusals, accusing, confirming;
-    boolean ended;                                      // out, and it can't be running: it said so, or its port is free
-    GossipItem.Refutation refutal;
+    /** The record in the view, or the last one of a former member; null where only a candidate is known. */
+    MemberRecord record;
+    /** A newer record that is not part of the view yet; null where there is none. */
+    MemberRecord candidate;
+    /** The newest accusation of each watcher; null before the first. */
+    private Map<String, ReceivedAccusation> accusations;
+    MemberHealth health = MemberHealth.FINE;
+    double silentSince;
+    double unstableSince;
+    double removedAt = Double.NEGATIVE_INFINITY;
+    double firstForgetCheckAt;
+    int refusalCount;
+    int accuserCount;
+    /** Accusers beyond the high watermark. */
+    int extraAccusers;
+    /** Whether a former member certainly does not run: it announced that it leaves, or its port is free. */
+    boolean ended;
+    GossipItem.Refutation refutation;
     double refutedAt = Double.NEGATIVE_INFINITY;
 
+    /** The newest accusation of this watcher; null where there is none. */
     GossipItem.Accusation accusation(String watcher) {
-        Said s = accusations == null ? null : accusations.get(watcher);
-        return s == null ? null : s.what;
+        ReceivedAccusation received = accusations == null ? null : accusations.get(watcher);
+        return received == null ? null : received.accusation;
     }
 
-    double saidAt(String watcher) {
+    /** When the newest accusation of this watcher was received; there has to be one. */
+    double accusedAt(String watcher) {
         return accusations.get(watcher).at;
     }
 
-    void accuse(GossipItem.Accusation a, double now) {
+    void recordAccusation(GossipItem.Accusation accusation, double now) {
         if (accusations == null) accusations = new HashMap<>(4);
-        accusations.put(a.watcher(), new Said(a, now));
+        accusations.put(accusation.watcher(), new ReceivedAccusation(accusation, now));
     }
 
-    void nobodyAccuses() {
+    void clearAccusations() {
         accusations = null;
-        judged = MemberHealth.FINE;
-        accusing = refusals = 0;
+        health = MemberHealth.FINE;
+        refusalCount = 0;
+        accuserCount = 0;
     }
 
-    /** So long nothing was heard that could have been. */
-    void late(double by) {
-        silentSince += by;
-        if (accusations != null) for (Said s : accusations.values()) s.at += by;
+    /** Extends the running timers by a span in which this process could not receive anything. */
+    void extendTimers(double byMs) {
+        silentSince += byMs;
+        if (accusations != null) for (ReceivedAccusation received : accusations.values()) received.at += byMs;
     }
 
-    /** The life that it is known to be in. */
-    long life() {
-        return candidate != null && candidate.over(fact) ? candidate.incarnation() : fact.incarnation();
+    /** The latest known incarnation. */
+    long incarnation() {
+        return latestRecord().incarnation();
     }
 
-    /** Where it is reached in its latest life. */
-    MemberRecord latest() {
-        return candidate != null && candidate.over(fact) ? candidate : fact;
+    /** The record of the latest known incarnation: the candidate where it supersedes the record. */
+    MemberRecord latestRecord() {
+        return candidate != null && candidate.supersedes(record) ? candidate : record;
     }
 }
--- a/src/main/java/mothcross/fleet/View.java
+++ b/src/main/java/mothcross/fleet/View.java
@@ -9,88 +9,95 @@
 import java.util.Map;
 
 /**
- * Who takes part, as one number and one digest: equal digests are equal members in equal lives. Owns the order of the
- * members and who watches whom: on each of some rings, in an order of its own, a member is watched by the one before
- * it, so watchers are spread over the fleet and every member watches about as many as watch it. Never changes.
+ * The members of the fleet, under a number and a digest: equal digests mean equal members in equal incarnations. A view
+ * also defines who monitors whom: on each of several rings, which order the members differently, a member is watched
+ * by its predecessor. So the watchers are spread over the fleet, and a member watches about as many as watch it.
+ * Immutable.
  */
 public final class View {
-    public final long number, digest;
-    private final List<MemberRecord> members;                   // by name
-    private final Map<String, Integer> at = new HashMap<>();
+    public final long number;
+    public final long digest;
+    /** Sorted by name; a member's index is its position here. */
+    private final List<MemberRecord> members;
+    private final Map<String, Integer> indexByName = new HashMap<>();
     private final int rings;
-    private int[][] watchers, watched;                  // made when first asked for: many views are only compared
+    /** Computed on first use, as many views are only compared. */
+    private int[][] watchers;
+    private int[][] watched;
 
-    View(long number, Collection<MemberRecord> in, int rings) {
+    View(long number, Collection<MemberRecord> members, int rings) {
         this.number = number;
-        List<MemberRecord> sorted = new ArrayList<>(in);
+        List<MemberRecord> sorted = new ArrayList<>(members);
         sorted.sort(Comparator.comparing(MemberRecord::name));
-        members = List.copyOf(sorted);
-        long d = 0;
-        for (int i = 0; i < members.size(); i++) {
-            MemberRecord f = members.get(i);
-            at.put(f.name(), i);
-            d = mix(d ^ mix(hash(f.name()) + f.incarnation()));
+        this.members = List.copyOf(sorted);
+        long membersDigest = 0;
+        for (int i = 0; i < this.members.size(); i++) {
+            MemberRecord member = this.members.get(i);
+            indexByName.put(member.name(), i);
+            membersDigest = mix(membersDigest ^ mix(hash(member.name()) + member.incarnation()));
         }
-        digest = d;
-        this.rings = Math.min(rings, members.size() - 1);
+        digest = membersDigest;
+        this.rings = Math.min(rings, this.members.size() - 1);
     }
 
-    /** For those outside who compare. */
-    public static View of(long number, Collection<MemberRecord> in, int rings) {
-        return new View(number, in, rings);
+    /** Creates a view outside the protocol, for comparison. */
+    public static View of(long number, Collection<MemberRecord> members, int rings) {
+        return new View(number, members, rings);
     }
 
-    /** The same members under another number. */
     private View(View same, long number) {
         this.number = number;
         digest = same.digest;
         members = same.members;
-        at.putAll(same.at);
+        indexByName.putAll(same.indexByName);
         rings = same.rings;
         watchers = same.watchers;
         watched = same.watched;
     }
 
-    View numbered(long n) {
-        return n == number ? this : new View(this, n);
+    /** The same members under another number. */
+    View withNumber(long newNumber) {
+        return newNumber == number ? this : new View(this, newNumber);
     }
 
-    private void watch() {
+    private void assignWatchers() {
         if (watchers != null) return;
-        int n = members.size();
-        watchers = new int[n][];
-        watched = new int[n][];
-        long[] hash = new long[n];
-        for (int i = 0; i < n; i++) hash[i] = hash(members.get(i).name());
-        int[] most = new int[n];
-        int[][] by = new int[n][Math.max(0, rings)];
-        for (int r = 0; r < rings; r++) {
-            long salt = mix(r + 1);
-            Integer[] ring = new Integer[n];
-            for (int i = 0; i < n; i++) ring[i] = i;
-            Arrays.sort(ring, Comparator.comparingLong(i -> mix(hash[i] ^ salt)));
-            for (int k = 0; k < n; k++) {
-                int subject = ring[k];
-                // The nearest before it on this ring that does not watch it yet.
-                for (int back = 1; back < n; back++) {
-                    int w = ring[(k - back + n) % n];
-                    if (contains(by[subject], r, w)) continue;
-                    by[subject][r] = w;
-                    most[w]++;
+        int size = members.size();
+        watchers = new int[size][];
+        watched = new int[size][];
+        long[] hashes = new long[size];
+        for (int i = 0; i < size; i++) hashes[i] = hash(members.get(i).name());
+        int[] watchedCounts = new int[size];
+        int[][] watchersOf = new int[size][Math.max(0, rings)];
+        for (int ringIndex = 0; ringIndex < rings; ringIndex++) {
+            long salt = mix(ringIndex + 1);
+            Integer[] ring = new Integer[size];
+            for (int i = 0; i < size; i++) ring[i] = i;
+            Arrays.sort(ring, Comparator.comparingLong(i -> mix(hashes[i] ^ salt)));
+            for (int position = 0; position < size; position++) {
+                int subject = ring[position];
+                // The nearest predecessor on this ring that does not watch the subject yet.
+                for (int back = 1; back < size; back++) {
+                    int watcher = ring[(position - back + size) % size];
+                    if (contains(watchersOf[subject], ringIndex, watcher)) continue;
+                    watchersOf[subject][ringIndex] = watcher;
+                    watchedCounts[watcher]++;
                     break;
                 }
             }
         }
-        for (int i = 0; i < n; i++) {
-            watchers[i] = by[i];
-            watched[i] = new int[most[i]];
+        for (int i = 0; i < size; i++) {
+            watchers[i] = watchersOf[i];
+            watched[i] = new int[watchedCounts[i]];
+        }
+        int[] filled = new int[size];
+        for (int subject = 0; subject < size; subject++) {
+            for (int watcher : watchersOf[subject]) watched[watcher][filled[watcher]++] = subject;
         }
-        int[] fill = new int[n];
-        for (int s = 0; s < n; s++) for (int w : by[s]) watched[w][fill[w]++] = s;
     }
 
-    private static boolean contains(int[] in, int upTo, int x) {
-        for (int i = 0; i < upTo; i++) if (in[i] == x) return true;
+    private static boolean contains(int[] values, int length, int value) {
+        for (int i = 0; i < length; i++) if (values[i] == value) return true;
         return false;
     }
 
@@ -102,43 +109,47 @@
         return members;
     }
 
-    MemberRecord member(int i) {
-        return members.get(i);
+    MemberRecord member(int index) {
+        return members.get(index);
     }
 
-    /** Its place in the order of names, -1 where it is not in. */
-    int place(String name) {
-        Integer i = at.get(name);
-        return i == null ? -1 : i;
+    /** The index of a member; -1 where the name is not in the view. */
+    int indexOf(String name) {
+        Integer index = indexByName.get(name);
+        return index == null ? -1 : index;
     }
 
     public boolean contains(String name) {
-        return at.containsKey(name);
+        return indexByName.containsKey(name);
     }
 
+    /** The record of a member; null where the name is not in the view. */
     public MemberRecord of(String name) {
-        Integer i = at.get(name);
-        return i == null ? null : members.get(i);
+        Integer index = indexByName.get(name);
+        return index == null ? null : members.get(index);
     }
 
-    /** Those that watch the one at this place. */
-    int[] watchers(int place) {
-        watch();
-        return watchers[place];
+    /** The indexes of the members that watch the one at {@code index}. */
+    int[] watchers(int index) {
+        assignWatchers();
+        return watchers[index];
     }
 
-    int[] watched(int place) {
-        watch();
-        return watched[place];
+    /** The indexes of the members that the one at {@code index} watches. */
+    int[] watched(int index) {
+        assignWatchers();
+        return watched[index];
     }
 
-    static long hash(String s) {
-        long h = 0;
-        for (int i = 0; i < s.length(); i++) h = mix(h * 31 + s.charAt(i));
-        return h;
+    /** A 64-bit hash that is the same in every process. */
+    static long hash(String text) {
+        long hash = 0;
+        for (int i = 0; i < text.length(); i++) hash = mix(hash * 31 + text.charAt(i));
+        return hash;
     }
 
-    static long mix(long x) {                           // finalizer of a 64-bit mixing hash
+    /** The finalizer of a 64-bit mixing hash. */
+    static long mix(long x) {
         x = (x ^ (x >>> 30)) * 0xbf58476d1ce4e5b9L;
         x = (x ^ (x >>> 27)) * 0x94d049bb133111ebL;
         return x ^ (x >>> 31);
