--- a/src/main/java/mothcross/fleet/net/AdminClient.java
+++ b/src/main/java/mothcross/fleet/net/AdminClient.java
@@ -10,34 +10,37 @@
 import java.util.SplittableRandom;
 import mothcross.fleet.Message;
 
-/** An operator's question to a running director, under the fleet's key; the answer is JSON. */
+/** Sends an operator's request to a running director, signed with the fleet's key. The response is JSON. */
 public final class AdminClient {
-    private static final int PATIENCE_MS = 5000;
+    private static final int TIMEOUT_MS = 5000;
 
     private AdminClient() { }
 
-    public static String request(InetSocketAddress at, String fleet, List<FleetMessageCodec.Key> keys, String what)
+    /** Sends a request without a body; the response. */
+    public static String request(InetSocketAddress to, String fleet, List<FleetMessageCodec.Key> keys, String what)
         throws IOException {
-        return request(at, fleet, keys, what, new byte[0]);
+        return request(to, fleet, keys, what, new byte[0]);
     }
 
-    /** {@code body} goes along with the question, to whom it is for. */
-    public static String request(InetSocketAddress at, String fleet, List<FleetMessageCodec.Key> keys, String what,
+    /** Sends a request with a body; the response. */
+    public static String request(InetSocketAddress to, String fleet, List<FleetMessageCodec.Key> keys, String what,
         byte[] body) throws IOException {
         String from = "operator-" + Long.toHexString(new SplittableRandom().nextLong());
-        Message m = new Message(Message.Kind.ADMIN, from, System.currentTimeMillis(), "127.0.0.1", 0, "", 0, what,
+        Message request = new Message(Message.Kind.ADMIN, from, System.currentTimeMillis(), "127.0.0.1", 0, "", 0, what,
             false, 0, 0, List.of(), null, body);
-        byte[] b = new FleetMessageCodec(fleet, keys).encode(m);
-        try (Socket s = new Socket()) {
-            s.setSoTimeout(PATIENCE_MS);
-            s.connect(at, PATIENCE_MS);
-            DataOutputStream out = new DataOutputStream(s.getOutputStream());
-            out.writeInt(b.length);
-            out.write(b);
+        byte[] bytes = new FleetMessageCodec(fleet, keys).encode(request);
+        try (Socket socket = new Socket()) {
+            socket.setSoTimeout(TIMEOUT_MS);
+            socket.connect(to, TIMEOUT_MS);
+            DataOutputStream out = new DataOutputStream(socket.getOutputStream());
+            out.writeInt(bytes.length);
+            out.write(bytes);
             out.flush();
-            DataInputStream in = new DataInputStream(s.getInputStream());
+            DataInputStream in = new DataInputStream(socket.getInputStream());
             int length = in.readInt();
-            if (length < 0 || length > FleetMessageCodec.STREAM) throw new IOException("no answer that can be read");
+            if (length < 0 || length > FleetMessageCodec.MAX_STREAM_BYTES) {
+                throw new IOException("the response has an invalid length: " + length);
+            }
             return new String(in.readNBytes(length), StandardCharsets.UTF_8);
         }
     }
--- a/src/main/java/mothcross/fleet/net/FleetMessageCodec.java
+++ b/src/main/java/mothcross/fleet/net/FleetMessageCodec.java
@@ -22,270 +22,287 @@
 import mothcross.fleet.Message;
 
 /**
- * The form of a message on the wire, version 2, numbers big-endian, texts as a length of one byte and UTF-8:
+ * Encodes and decodes messages. Wire format, version 2; numbers are big-endian, texts are UTF-8 after a length byte:
  * <pre>
- * version:1 key:1 length:4 fleet count:8 kind:1 from life:8 host port:2 to seq:4 about heard:1 number:8 digest:8
- * items:2 each(type:1 ...) facts:4 each(name life:8 host port:2 standing:1 turn:2) body:4 bytes checksum:16
+ * version:1 keyId:1 length:4 fleet count:8 kind:1 from incarnation:8 host port:2 to seq:4 subject pingReceived:1
+ * viewNumber:8 viewDigest:8 items:2 each(type:1 ...)
+ * viewMembers:4 each(name incarnation:8 host port:2 status:1 evictions:2) body:4 bytes checksum:16
  * </pre>
- * The length counts all; the checksum is the first half of HMAC-SHA-256 over what stands before it. {@code count}
- * grows with each message of a life, and none is taken twice. Owns the keys and the windows; what does not fit is
- * counted by its reason and never answered. Used by one thread at a time.
+ * The length is that of the whole message; the checksum is the first half of the HMAC-SHA-256 of all bytes before it.
+ * The count grows with each message of an incarnation, and a message is accepted only once. Invalid messages are
+ * counted by reason and never answered. Not thread-safe.
  */
 public final class FleetMessageCodec {
+    /** Why a message was dropped; also the names of the counters. */
     public enum Dropped { SHORT, LONG, VERSION, LENGTH, KEY, CHECKSUM, FLEET, REPLAYED, MALFORMED }
 
-    /** At most so many bytes in a datagram; a whole view goes by a stream. */
-    static final int DATAGRAM = 1400, STREAM = 4 << 20;
-    private static final int CHECKSUM = 16, VERSION = 2, MOST_SENDERS = 4096, LEAST = 64;
+    /** Whole views are sent on a stream instead of a datagram. */
+    static final int MAX_DATAGRAM_BYTES = 1400;
+    static final int MAX_STREAM_BYTES = 4 << 20;
+    private static final int MIN_MESSAGE_BYTES = 64;
+    private static final int CHECKSUM_BYTES = 16;
+    private static final int LENGTH_OFFSET = 2;
+    private static final int VERSION = 2;
+    private static final int MAX_SENDERS = 4096;
+    private static final int MAX_TEXT_BYTES = 255;
+    private static final String MAC_ALGORITHM = "HmacSHA256";
     private static final Message.Kind[] KINDS = Message.Kind.values();
-    private static final MemberRecord.Status[] STANDINGS = MemberRecord.Status.values();
-    private static final GossipItem.LinkStatus[] EDGES = GossipItem.LinkStatus.values();
+    private static final MemberRecord.Status[] STATUSES = MemberRecord.Status.values();
+    private static final GossipItem.LinkStatus[] LINK_STATUSES = GossipItem.LinkStatus.values();
 
-    /** A key of the operators; the first given signs, any of them is taken. */
+    /** A shared key of the fleet: the first one configured signs, all of them verify. */
     public record Key(int id, byte[] secret) { }
 
-    /** The numbers of one sender's life that were taken lately. */
-    private static final class Window {
+    /** The message counts recently accepted from one incarnation of a sender, against replays. */
+    private static final class ReplayWindow {
         private static final int SIZE = 1024;
-        private long top;
-        private final BitSet taken = new BitSet(SIZE);
+        private long highest;
+        private final BitSet accepted = new BitSet(SIZE);
 
-        boolean takes(long n) {
-            if (n <= 0 || n <= top - SIZE) return false;
-            if (n > top) {
-                if (n - top >= SIZE) taken.clear();
-                else for (long i = top + 1; i <= n; i++) taken.clear((int) (i % SIZE));
-                top = n;
+        boolean accept(long count) {
+            if (count <= 0 || count <= highest - SIZE) return false;
+            if (count > highest) {
+                if (count - highest >= SIZE) accepted.clear();
+                else for (long i = highest + 1; i <= count; i++) accepted.clear((int) (i % SIZE));
+                highest = count;
             }
-            int at = (int) (n % SIZE);
-            if (taken.get(at)) return false;
-            taken.set(at);
+            int index = (int) (count % SIZE);
+            if (accepted.get(index)) return false;
+            accepted.set(index);
             return true;
         }
     }
 
     private final String fleet;
-    private final Map<Integer, Mac> keys = new LinkedHashMap<>();
-    private final int signs;
-    private final Map<String, Window> windows = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<Integer, Mac> macs = new LinkedHashMap<>();
+    private final int signingKeyId;
+    private final Map<String, ReplayWindow> windows = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
-        @Override protected boolean removeEldestEntry(Map.Entry<String, Window> e) {
-            return size() > MOST_SENDERS;
+        @Override protected boolean removeEldestEntry(Map.Entry<String, ReplayWindow> e) {
+            return size() > MAX_SENDERS;
         }
     };
-    private long count;
+    private long sentCount;
+    /** The number of dropped messages, by ordinal of the reason. */
     public final long[] dropped = new long[Dropped.values().length];
 
     public FleetMessageCodec(String fleet, List<Key> keys) {
         this.fleet = fleet;
-        this.signs = keys.get(0).id;
+        this.signingKeyId = keys.get(0).id;
         try {
-            for (Key k : keys) {
-                Mac m = Mac.getInstance("HmacSHA256");
-                m.init(new SecretKeySpec(k.secret, "HmacSHA256"));
-                this.keys.put(k.id, m);
+            for (Key key : keys) {
+                Mac mac = Mac.getInstance(MAC_ALGORITHM);
+                mac.init(new SecretKeySpec(key.secret, MAC_ALGORITHM));
+                macs.put(key.id, mac);
             }
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e);         // every JDK has it
+            throw new IllegalStateException(e);         // every JDK provides the algorithm
         }
     }
 
-    /** How many senders' numbers are remembered: bounded, whatever comes. */
-    int senders() {
+    /** The number of incarnations of senders whose replay windows are kept; bounded. */
+    int rememberedSenders() {
         return windows.size();
     }
 
-    // ---- out ----
+    // ---- encoding ----
 
-    public byte[] encode(Message m) {
-        ByteArrayOutputStream all = new ByteArrayOutputStream(256);
-        try (DataOutputStream out = new DataOutputStream(all)) {
+    public byte[] encode(Message message) {
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream(256);
+        try (DataOutputStream out = new DataOutputStream(buffer)) {
             out.writeByte(VERSION);
-            out.writeByte(signs);
-            out.writeInt(0);
-            text(out, fleet);
-            out.writeLong(++count);
-            out.writeByte(m.kind().ordinal());
-            text(out, m.from());
-            out.writeLong(m.incarnation());
-            text(out, m.host());
-            out.writeShort(m.port());
-            text(out, m.to());
-            out.writeInt(m.seq());
-            text(out, m.subject());
-            out.writeBoolean(m.pingReceived());
-            out.writeLong(m.viewNumber());
-            out.writeLong(m.viewDigest());
-            out.writeShort(m.items().size());
-            for (GossipItem i : m.items()) item(out, i);
-            out.writeInt(m.viewMembers() == null ? -1 : m.viewMembers().size());
-            if (m.viewMembers() != null) for (MemberRecord f : m.viewMembers()) fact(out, f);
-            out.writeInt(m.body().length);
-            out.write(m.body());
+            out.writeByte(signingKeyId);
+            out.writeInt(0);                            // the length, set below
+            writeText(out, fleet);
+            out.writeLong(++sentCount);
+            out.writeByte(message.kind().ordinal());
+            writeText(out, message.from());
+            out.writeLong(message.incarnation());
+            writeText(out, message.host());
+            out.writeShort(message.port());
+            writeText(out, message.to());
+            out.writeInt(message.seq());
+            writeText(out, message.subject());
+            out.writeBoolean(message.pingReceived());
+            out.writeLong(message.viewNumber());
+            out.writeLong(message.viewDigest());
+            out.writeShort(message.items().size());
+            for (GossipItem item : message.items()) writeItem(out, item);
+            out.writeInt(message.viewMembers() == null ? -1 : message.viewMembers().size());
+            if (message.viewMembers() != null) {
+                for (MemberRecord record : message.viewMembers()) writeRecord(out, record);
+            }
+            out.writeInt(message.body().length);
+            out.write(message.body());
         } catch (IOException e) {
-            throw new UncheckedIOException(e);          // memory only
+            throw new UncheckedIOException(e);          // cannot occur in memory
         }
-        byte[] bytes = Arrays.copyOf(all.toByteArray(), all.size() + CHECKSUM);
-        ByteBuffer.wrap(bytes).putInt(2, bytes.length);
-        Mac mac = keys.get(signs);
-        mac.update(bytes, 0, bytes.length - CHECKSUM);
-        System.arraycopy(mac.doFinal(), 0, bytes, bytes.length - CHECKSUM, CHECKSUM);
+        byte[] bytes = Arrays.copyOf(buffer.toByteArray(), buffer.size() + CHECKSUM_BYTES);
+        ByteBuffer.wrap(bytes).putInt(LENGTH_OFFSET, bytes.length);
+        Mac mac = macs.get(signingKeyId);
+        mac.update(bytes, 0, bytes.length - CHECKSUM_BYTES);
+        System.arraycopy(mac.doFinal(), 0, bytes, bytes.length - CHECKSUM_BYTES, CHECKSUM_BYTES);
         return bytes;
     }
 
-    private static void text(DataOutputStream out, String s) throws IOException {
-        byte[] b = s.getBytes(StandardCharsets.UTF_8);
-        out.writeByte(b.length);
-        out.write(b, 0, Math.min(255, b.length));
+    private static void writeText(DataOutputStream out, String text) throws IOException {
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+        out.writeByte(bytes.length);
+        out.write(bytes, 0, Math.min(MAX_TEXT_BYTES, bytes.length));
     }
 
-    private static void fact(DataOutputStream out, MemberRecord f) throws IOException {
-        text(out, f.name());
-        out.writeLong(f.incarnation());
-        text(out, f.host());
-        out.writeShort(f.port());
-        out.writeByte(f.status().ordinal());
-        out.writeShort(f.evictions());
+    private static void writeRecord(DataOutputStream out, MemberRecord record) throws IOException {
+        writeText(out, record.name());
+        out.writeLong(record.incarnation());
+        writeText(out, record.host());
+        out.writeShort(record.port());
+        out.writeByte(record.status().ordinal());
+        out.writeShort(record.evictions());
     }
 
-    private static void bits(DataOutputStream out, BitSet b) throws IOException {
-        byte[] bytes = b.toByteArray();
+    private static void writeBits(DataOutputStream out, BitSet bits) throws IOException {
+        byte[] bytes = bits.toByteArray();
         out.writeShort(bytes.length);
         out.write(bytes);
     }
 
-    private static void item(DataOutputStream out, GossipItem i) throws IOException {
-        if (i instanceof GossipItem.Accusation a) {
+    private static void writeItem(DataOutputStream out, GossipItem item) throws IOException {
+        if (item instanceof GossipItem.Accusation accusation) {
             out.writeByte(1);
-            text(out, a.watcher());
-            out.writeLong(a.watcherIncarnation());
-            text(out, a.subject());
-            out.writeLong(a.incarnation());
-            out.writeInt(a.seq());
-            out.writeByte(a.linkStatus().ordinal());
-        } else if (i instanceof GossipItem.Refutation r) {
+            writeText(out, accusation.watcher());
+            out.writeLong(accusation.watcherIncarnation());
+            writeText(out, accusation.subject());
+            out.writeLong(accusation.incarnation());
+            out.writeInt(accusation.seq());
+            out.writeByte(accusation.linkStatus().ordinal());
+        } else if (item instanceof GossipItem.Refutation refutation) {
             out.writeByte(2);
-            text(out, r.name());
-            out.writeLong(r.incarnation());
-            out.writeInt(r.count());
-        } else if (i instanceof GossipItem.Candidate c) {
+            writeText(out, refutation.name());
+            out.writeLong(refutation.incarnation());
+            out.writeInt(refutation.count());
+        } else if (item instanceof GossipItem.Candidate candidate) {
             out.writeByte(3);
-            fact(out, c.member());
-        } else if (i instanceof GossipItem.Proposal p) {
+            writeRecord(out, candidate.member());
+        } else if (item instanceof GossipItem.Proposal proposal) {
             out.writeByte(4);
-            out.writeLong(p.baseDigest());
-            out.writeLong(p.baseNumber());
-            out.writeInt(p.round());
-            text(out, p.proposer());
-            bits(out, p.leaving());
-            out.writeByte(p.joining().size());
-            for (long m : p.joining()) out.writeLong(m);
-            bits(out, p.votes());
+            out.writeLong(proposal.baseDigest());
+            out.writeLong(proposal.baseNumber());
+            out.writeInt(proposal.round());
+            writeText(out, proposal.proposer());
+            writeBits(out, proposal.leaving());
+            out.writeByte(proposal.joining().size());
+            for (long memberId : proposal.joining()) out.writeLong(memberId);
+            writeBits(out, proposal.votes());
         }
     }
 
-    // ---- in ----
+    // ---- decoding ----
 
-    /** The message, or null where it does not fit; then the reason is counted. */
+    /** The message; null where it is invalid, then the reason is counted. */
     public Message decode(byte[] bytes, int length, boolean stream) {
-        if (length < LEAST) return drop(Dropped.SHORT);
-        if (length > (stream ? STREAM : DATAGRAM)) return drop(Dropped.LONG);
+        if (length < MIN_MESSAGE_BYTES) return drop(Dropped.SHORT);
+        if (length > (stream ? MAX_STREAM_BYTES : MAX_DATAGRAM_BYTES)) return drop(Dropped.LONG);
         ByteBuffer in = ByteBuffer.wrap(bytes, 0, length);
         if (in.get() != VERSION) return drop(Dropped.VERSION);
-        Mac mac = keys.get(in.get() & 0xff);
+        Mac mac = macs.get(in.get() & 0xff);
         if (mac == null) return drop(Dropped.KEY);
         if (in.getInt() != length) return drop(Dropped.LENGTH);
-        mac.update(bytes, 0, length - CHECKSUM);
-        byte[] right = Arrays.copyOf(mac.doFinal(), CHECKSUM);
-        if (!MessageDigest.isEqual(right, Arrays.copyOfRange(bytes, length - CHECKSUM, length))) {
+        mac.update(bytes, 0, length - CHECKSUM_BYTES);
+        byte[] expected = Arrays.copyOf(mac.doFinal(), CHECKSUM_BYTES);
+        if (!MessageDigest.isEqual(expected, Arrays.copyOfRange(bytes, length - CHECKSUM_BYTES, length))) {
             return drop(Dropped.CHECKSUM);
         }
-        in.limit(length - CHECKSUM);
+        in.limit(length - CHECKSUM_BYTES);
         try {
-            if (!text(in).equals(fleet)) return drop(Dropped.FLEET);
-            long number = in.getLong();
-            Message m = decode(in);
+            if (!readText(in).equals(fleet)) return drop(Dropped.FLEET);
+            long count = in.getLong();
+            Message message = readMessage(in);
             if (in.hasRemaining()) return drop(Dropped.MALFORMED);
-            // Of each life its own: whether an earlier one still counts is the member's to say.
-            Window w = windows.computeIfAbsent(m.from() + '@' + m.incarnation(), k -> new Window());
-            return w.takes(number) ? m : drop(Dropped.REPLAYED);
+            // One window per incarnation: whether an earlier incarnation is still valid is for the member to decide.
+            ReplayWindow window = windows.computeIfAbsent(message.from() + '@' + message.incarnation(),
+                sender -> new ReplayWindow());
+            return window.accept(count) ? message : drop(Dropped.REPLAYED);
         } catch (BufferUnderflowException | IllegalArgumentException | IndexOutOfBoundsException e) {
             return drop(Dropped.MALFORMED);
         }
     }
 
-    private Message drop(Dropped why) {
-        dropped[why.ordinal()]++;
+    private Message drop(Dropped reason) {
+        dropped[reason.ordinal()]++;
         return null;
     }
 
-    private static Message decode(ByteBuffer in) {
+    private static Message readMessage(ByteBuffer in) {
         Message.Kind kind = KINDS[in.get()];
-        String from = text(in);
-        long life = in.getLong();
-        String host = text(in);
+        String from = readText(in);
+        long incarnation = in.getLong();
+        String host = readText(in);
         int port = in.getShort() & 0xffff;
-        String to = text(in);
+        String to = readText(in);
         int seq = in.getInt();
-        String about = text(in);
-        boolean heard = in.get() != 0;
-        long number = in.getLong(), digest = in.getLong();
-        int n = in.getShort();
+        String subject = readText(in);
+        boolean pingReceived = in.get() != 0;
+        long viewNumber = in.getLong();
+        long viewDigest = in.getLong();
+        int itemCount = in.getShort();
         List<GossipItem> items = new ArrayList<>();
-        for (int i = 0; i < n; i++) items.add(item(in));
-        int facts = in.getInt();
-        List<MemberRecord> state = facts < 0 ? null : new ArrayList<>();
-        for (int i = 0; i < facts; i++) state.add(fact(in));
-        int length = in.getInt();
-        if (length < 0 || length > in.remaining()) throw new IllegalArgumentException("body");
-        if (length == 0) {
-            return new Message(kind, from, life, host, port, to, seq, about, heard, number, digest, items, state);
+        for (int i = 0; i < itemCount; i++) items.add(readItem(in));
+        int recordCount = in.getInt();
+        List<MemberRecord> viewMembers = recordCount < 0 ? null : new ArrayList<>();
+        for (int i = 0; i < recordCount; i++) viewMembers.add(readRecord(in));
+        int bodyLength = in.getInt();
+        if (bodyLength < 0 || bodyLength > in.remaining()) throw new IllegalArgumentException("invalid body length");
+        if (bodyLength == 0) {
+            return new Message(kind, from, incarnation, host, port, to, seq, subject, pingReceived, viewNumber,
+                viewDigest, items, viewMembers);
         }
-        byte[] body = new byte[length];
+        byte[] body = new byte[bodyLength];
         in.get(body);
-        return new Message(kind, from, life, host, port, to, seq, about, heard, number, digest, items, state, body);
+        return new Message(kind, from, incarnation, host, port, to, seq, subject, pingReceived, viewNumber, viewDigest,
+            items, viewMembers, body);
     }
 
-    private static String text(ByteBuffer in) {
-        byte[] b = new byte[in.get() & 0xff];
-        in.get(b);
-        return new String(b, StandardCharsets.UTF_8);
+    private static String readText(ByteBuffer in) {
+        byte[] bytes = new byte[in.get() & 0xff];
+        in.get(bytes);
+        return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private static MemberRecord fact(ByteBuffer in) {
-        return new MemberRecord(text(in), in.getLong(), text(in), in.getShort() & 0xffff, STANDINGS[in.get()],
+    private static MemberRecord readRecord(ByteBuffer in) {
+        return new MemberRecord(readText(in), in.getLong(), readText(in), in.getShort() & 0xffff, STATUSES[in.get()],
             in.getShort());
     }
 
-    private static BitSet bits(ByteBuffer in) {
-        byte[] b = new byte[in.getShort() & 0xffff];
-        in.get(b);
-        return BitSet.valueOf(b);
+    private static BitSet readBits(ByteBuffer in) {
+        byte[] bytes = new byte[in.getShort() & 0xffff];
+        in.get(bytes);
+        return BitSet.valueOf(bytes);
     }
 
-    private static GossipItem item(ByteBuffer in) {
+    private static GossipItem readItem(ByteBuffer in) {
         switch (in.get()) {
             case 1 -> {
-                return new GossipItem.Accusation(text(in), in.getLong(), text(in), in.getLong(), in.getInt(),
-                    EDGES[in.get()]);
+                return new GossipItem.Accusation(readText(in), in.getLong(), readText(in), in.getLong(), in.getInt(),
+                    LINK_STATUSES[in.get()]);
             }
             case 2 -> {
-                return new GossipItem.Refutation(text(in), in.getLong(), in.getInt());
+                return new GossipItem.Refutation(readText(in), in.getLong(), in.getInt());
             }
             case 3 -> {
-                return new GossipItem.Candidate(fact(in));
+                return new GossipItem.Candidate(readRecord(in));
             }
             case 4 -> {
-                long base = in.getLong(), number = in.getLong();
+                long baseDigest = in.getLong();
+                long baseNumber = in.getLong();
                 int round = in.getInt();
-                String maker = text(in);
-                BitSet gone = bits(in);
-                List<Long> marks = new ArrayList<>();
-                for (int i = in.get() & 0xff; i > 0; i--) marks.add(in.getLong());
-                return new GossipItem.Proposal(base, number, round, maker, gone, marks, bits(in));
+                String proposer = readText(in);
+                BitSet leaving = readBits(in);
+                List<Long> joining = new ArrayList<>();
+                for (int i = in.get() & 0xff; i > 0; i--) joining.add(in.getLong());
+                return new GossipItem.Proposal(baseDigest, baseNumber, round, proposer, leaving, joining, readBits(in));
             }
-            default -> throw new IllegalArgumentException("item");
+            default -> throw new IllegalArgumentException("unknown item type");
         }
     }
 }
--- a/src/main/java/mothcross/fleet/net/FleetNode.java
+++ b/src/main/java/mothcross/fleet/net/FleetNode.java
@@ -8,10 +8,12 @@
 import java.net.InetSocketAddress;
 import java.net.PortUnreachableException;
 import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
@@ -27,6 +29,7 @@
 import mothcross.fleet.Message;
 import mothcross.fleet.View;
 import org.apache.mina.core.buffer.IoBuffer;
+import org.apache.mina.core.future.ConnectFuture;
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IdleStatus;
 import org.apache.mina.core.session.IoSession;
@@ -38,16 +41,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A member on sockets: datagrams both ways, a stream for a whole view and for the operators' questions. Owns the
- * sockets, the one thread that tells the member the time, and the lock that it runs under; must never decide anything,
- * look up a name, or answer what does not fit.
+ * Runs a {@link FleetMember} on sockets: datagrams for the protocol, TCP connections of one message each for whole
+ * views, large policy messages and operators' requests. One thread drives the member's timers; one lock guards the
+ * member, the codec and the sessions. Decides nothing about membership, resolves no names, and does not answer messages
+ * that fail to decode.
  */
 public final class FleetNode implements FleetMember.MemberListener, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("mothcross.fleet");
-    private static final int MOST_PEERS = 64, MOST_STREAMS = 64, STREAM_MS = 3000, KEEP_EVERY_MS = 10_000;
-    private static final String FROM = "from", TO = "to", GOT = "got";
-
-    /** Who has what is no member's: messages about the policy, and the operators' questions on it. */
+    private static final int MAX_DATAGRAM_SESSIONS = 64;
+    private static final int MAX_STREAMS = 64;
+    private static final int STREAM_TIMEOUT_MS = 3000;
+    private static final int SAVE_INTERVAL_MS = 10_000;
+    private static final int DATAGRAM_RECEIVE_BUFFER_BYTES = 1 << 20;
+    private static final int READ_BUFFER_BYTES = 65_536;
+    private static final int MAX_LOGGED_MEMBERS = 64;
+    private static final int LENGTH_BYTES = 4;
+    private static final int RELAY_HEADER_BYTES = 6;
+    private static final double MAX_WAIT_MS = 100;
+    private static final double MIN_WAIT_MS = 0.5;
+    private static final String POLICY_REQUEST = "policy ";
+    private static final String EXPLAIN_REQUEST = "explain ";
+    /** Session attribute: the destination of a datagram session. */
+    private static final String DESTINATION = "to";
+    /** Session attribute: the bytes received so far on a stream. */
+    private static final String RECEIVED = "got";
+
+    /** The policy component, which shares this transport: receives its messages and the operators' requests to it. */
     public interface MessageHandler {
         void onMessage(String from, byte[] body);
 
@@ -56,90 +75,100 @@
         String onAdminRequest(String what, byte[] body);
     }
 
-    private final String fleet, name;
-    private volatile MessageHandler beside;
-    private volatile List<String> inView = List.of();
-    private final FleetMessageCodec wire;
-    private final FleetStateFile kept;
+    private final String fleet;
+    private final String name;
+    private volatile MessageHandler handler;
+    private volatile List<String> memberNames = List.of();
+    private final FleetMessageCodec codec;
+    private final FleetStateFile stateFile;
     private final FleetMember member;
-    private final LimitShare parts;
-    private final DoubleConsumer share;
-    private final InetSocketAddress listen, relay;
+    private final LimitShare limitShare;
+    private final DoubleConsumer onShareChange;
+    private final InetSocketAddress listen;
+    private final InetSocketAddress relay;
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition sooner = lock.newCondition();
-    private final NioDatagramAcceptor in = new NioDatagramAcceptor();
-    private final NioDatagramConnector out = new NioDatagramConnector();
-    private final NioSocketAcceptor streamsIn = new NioSocketAcceptor(1);
-    private final NioSocketConnector streamsOut = new NioSocketConnector(1);
-    private final Map<InetSocketAddress, IoSession> peers = new LinkedHashMap<>(16, 0.75f, true);
+    private final Condition wakeUp = lock.newCondition();
+    private final NioDatagramAcceptor datagramAcceptor = new NioDatagramAcceptor();
+    private final NioDatagramConnector datagramConnector = new NioDatagramConnector();
+    private final NioSocketAcceptor streamAcceptor = new NioSocketAcceptor(1);
+    private final NioSocketConnector streamConnector = new NioSocketConnector(1);
+    /** By destination, the least recently used first. */
+    private final Map<InetSocketAddress, IoSession> datagramSessions = new LinkedHashMap<>(16, 0.75f, true);
     private final Set<IoSession> streams = new LinkedHashSet<>();
-    private double times, keptAt;
+    private double shareMultiplier;
+    private double savedAt;
     private long unsendable;
     private boolean stopped;
-    private View keptView;
-    private final List<String> keptBefore;
-    private final long firstLife;
+    private View savedView;
+    private final List<String> previousAddresses;
+    private final long initialIncarnation;
 
     /**
-     * Of tests only: {@code relay}, where all that is sent goes, led by its address; {@code skewMs}, by which its Unix
-     * clock is off.
+     * @param relay of tests only: where everything is sent, prefixed with its real destination; else null
+     * @param skewMs of tests only: the offset of this process's wall clock
+     * @param onShareChange receives the multiple of the fixed share of limits whenever it changes
      */
     public FleetNode(String fleet, String name, InetSocketAddress listen, List<InetSocketAddress> seeds,
-                     List<FleetMessageCodec.Key> keys, java.nio.file.Path file, FailureDetectorSettings pace,
-                     LimitShare parts, InetSocketAddress relay, long skewMs, DoubleConsumer share) {
+                     List<FleetMessageCodec.Key> keys, Path file, FailureDetectorSettings settings,
+                     LimitShare limitShare, InetSocketAddress relay, long skewMs, DoubleConsumer onShareChange) {
         this.fleet = fleet;
         this.name = name;
         this.listen = listen;
         this.relay = relay;
-        this.wire = new FleetMessageCodec(fleet, keys);
-        this.parts = parts;
-        this.share = share;
-        this.kept = new FleetStateFile(file, fleet, name);
+        this.codec = new FleetMessageCodec(fleet, keys);
+        this.limitShare = limitShare;
+        this.onShareChange = onShareChange;
+        this.stateFile = new FleetStateFile(file, fleet, name);
         StringBuilder why = new StringBuilder();
-        FleetStateFile.Kept k = kept.read(why);
-        if (why.length() > 0) LOG.atWarn().addKeyValue("file", file).addKeyValue("why", why).log("fleet: not used");
-        keptBefore = k == null ? List.of() : List.copyOf(k.addresses());
+        FleetStateFile.State saved = stateFile.read(why);
+        if (why.length() > 0) {
+            LOG.atWarn().addKeyValue("file", file).addKeyValue("why", why).log("fleet: state file ignored");
+        }
+        previousAddresses = saved == null ? List.of() : List.copyOf(saved.addresses());
         Set<FleetMember.Address> contacts = new LinkedHashSet<>();
-        for (InetSocketAddress s : seeds) contacts.add(new FleetMember.Address(s.getHostString(), s.getPort()));
-        if (k != null) for (String a : k.addresses()) {
-            int colon = a.lastIndexOf(':');
-            contacts.add(new FleetMember.Address(a.substring(0, colon), Integer.parseInt(a.substring(colon + 1))));
+        for (InetSocketAddress seed : seeds) {
+            contacts.add(new FleetMember.Address(seed.getHostString(), seed.getPort()));
         }
-        // Higher than what was kept, and, where nothing was, than any drawn before by a clock that goes on.
-        long life = Math.max(k == null ? 0 : k.life() + 1, System.currentTimeMillis() + skewMs);
-        firstLife = life;
-        member = new FleetMember(name, life, listen.getHostString(), listen.getPort(), contacts, pace,
+        if (saved != null) for (String address : saved.addresses()) {
+            int colon = address.lastIndexOf(':');
+            contacts.add(new FleetMember.Address(address.substring(0, colon),
+                Integer.parseInt(address.substring(colon + 1))));
+        }
+        // Higher than the saved incarnation and, where none was saved, than any drawn earlier by a clock that advances.
+        initialIncarnation = Math.max(saved == null ? 0 : saved.incarnation() + 1, System.currentTimeMillis() + skewMs);
+        member = new FleetMember(name, initialIncarnation, listen.getHostString(), listen.getPort(), contacts, settings,
             new SplittableRandom(), this, UnaryOperator.identity());
     }
 
-    /** To be set before it begins. */
-    public void attach(MessageHandler b) {
-        beside = b;
+    /** Sets the policy component; to be called before {@link #start}. */
+    public void attach(MessageHandler messageHandler) {
+        handler = messageHandler;
     }
 
-    /** The life that this process began with: higher than any before by its name, as far as is known. */
+    /** The incarnation that this process started with: higher than any earlier one of its name, as far as known. */
     public long initialIncarnation() {
-        return firstLife;
+        return initialIncarnation;
     }
 
+    /** Binds the sockets and starts the member. */
     public void start() throws IOException {
-        keep();
-        in.setHandler(new Datagrams());
-        in.getSessionConfig().setReceiveBufferSize(1 << 20);
-        in.getSessionConfig().setMaxReadBufferSize(65_536);
-        in.getSessionConfig().setReadBufferSize(65_536);
-        out.setHandler(new Outgoing());
-        streamsIn.setHandler(new Streams());
-        streamsIn.setReuseAddress(true);
-        streamsIn.getSessionConfig().setBothIdleTime(STREAM_MS / 1000);
-        streamsOut.setHandler(new Streams());
-        streamsOut.setConnectTimeoutMillis(STREAM_MS);
-        streamsOut.getSessionConfig().setBothIdleTime(STREAM_MS / 1000);
-        streamsIn.bind(listen);
-        in.bind(listen);
-        Thread t = new Thread(this::run, "fleet");
-        t.setDaemon(true);
-        t.start();
+        saveState();
+        datagramAcceptor.setHandler(new DatagramHandler());
+        datagramAcceptor.getSessionConfig().setReceiveBufferSize(DATAGRAM_RECEIVE_BUFFER_BYTES);
+        datagramAcceptor.getSessionConfig().setMaxReadBufferSize(READ_BUFFER_BYTES);
+        datagramAcceptor.getSessionConfig().setReadBufferSize(READ_BUFFER_BYTES);
+        datagramConnector.setHandler(new OutgoingDatagramHandler());
+        streamAcceptor.setHandler(new StreamHandler());
+        streamAcceptor.setReuseAddress(true);
+        streamAcceptor.getSessionConfig().setBothIdleTime(STREAM_TIMEOUT_MS / 1000);
+        streamConnector.setHandler(new StreamHandler());
+        streamConnector.setConnectTimeoutMillis(STREAM_TIMEOUT_MS);
+        streamConnector.getSessionConfig().setBothIdleTime(STREAM_TIMEOUT_MS / 1000);
+        streamAcceptor.bind(listen);
+        datagramAcceptor.bind(listen);
+        Thread thread = new Thread(this::run, "fleet");
+        thread.setDaemon(true);
+        thread.start();
     }
 
     private static double now() {
@@ -153,169 +182,181 @@
                 double now = now();
                 sendAll(member.tick(now));
                 now = now();
-                part(now);
-                if (now - keptAt > KEEP_EVERY_MS && member.view() != keptView) keep();
-                double wait = Math.max(0.5, Math.min(100, member.nextTickAt() - now));
-                sooner.awaitNanos((long) (wait * 1e6));
+                updateLimitShare(now);
+                if (now - savedAt > SAVE_INTERVAL_MS && member.view() != savedView) saveState();
+                double waitMs = Math.max(MIN_WAIT_MS, Math.min(MAX_WAIT_MS, member.nextTickAt() - now));
+                wakeUp.awaitNanos((long) (waitMs * 1e6));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (RuntimeException e) {
-            LOG.error("fleet: a fault; this director takes no part any more", e);
+            LOG.error("fleet: internal error; this director no longer takes part in the fleet", e);
         } finally {
             lock.unlock();
         }
     }
 
-    private void part(double now) {
-        double t = parts.multiplier(now, member.phase() == FleetMember.Phase.IN, member.incarnation(),
+    private void updateLimitShare(double now) {
+        double multiplier = limitShare.multiplier(now, member.phase() == FleetMember.Phase.IN, member.incarnation(),
             member.isUpToDate(now), member.view().size(), member.endedCount());
-        if (t == times) return;
-        times = t;
-        LOG.atInfo().addKeyValue("times", t).addKeyValue("members", member.view().size()).addKeyValue("ended",
-            member.endedCount()).log("fleet: part of the limits");
-        share.accept(t);
-    }
-
-    private void keep() {
-        keptAt = now();
-        keptView = member.view();
-        List<String> all = new ArrayList<>();
-        if (keptView != null) for (FleetMember.Address a : member.addresses()) all.add(a.host() + ":" + a.port());
-        if (all.isEmpty()) all.addAll(keptBefore);      // one alone still knows whom it knew
+        if (multiplier == shareMultiplier) return;
+        shareMultiplier = multiplier;
+        LOG.atInfo().addKeyValue("times", multiplier).addKeyValue("members", member.view().size())
+            .addKeyValue("ended", member.endedCount()).log("fleet: share of the limits changed");
+        onShareChange.accept(multiplier);
+    }
+
+    private void saveState() {
+        savedAt = now();
+        savedView = member.view();
+        List<String> addresses = new ArrayList<>();
+        if (savedView != null) for (FleetMember.Address address : member.addresses()) {
+            addresses.add(address.host() + ":" + address.port());
+        }
+        // A member alone in its view keeps the addresses that it knew before.
+        if (addresses.isEmpty()) addresses.addAll(previousAddresses);
         try {
-            kept.write(member.incarnation(), all);
+            stateFile.write(member.incarnation(), addresses);
         } catch (IOException e) {
-            LOG.atWarn().addKeyValue("why", e).log("fleet: can't be kept for the next start");
+            LOG.atWarn().addKeyValue("why", e).log("fleet: state file could not be written");
         }
     }
 
-    // ---- out ----
+    // ---- sending ----
 
-    private void sendAll(List<Message.Send> all) {
-        for (Message.Send s : all) {
-            byte[] b = wire.encode(s.message());
-            InetSocketAddress to = new InetSocketAddress(address(s.host()), s.port());
-            if (s.message().kind() == Message.Kind.VIEW) stream(to, b);
-            else if (b.length <= FleetMessageCodec.DATAGRAM) datagram(to, b);
+    private void sendAll(List<Message.Send> messages) {
+        for (Message.Send send : messages) {
+            byte[] bytes = codec.encode(send.message());
+            InetSocketAddress to = new InetSocketAddress(address(send.host()), send.port());
+            if (send.message().kind() == Message.Kind.VIEW) sendStream(to, bytes);
+            else if (bytes.length <= FleetMessageCodec.MAX_DATAGRAM_BYTES) sendDatagram(to, bytes);
             else unsendable++;
         }
     }
 
-    /** Of figures only: nothing is looked up. */
-    private static InetAddress address(String figures) {
+    /** Parses an IPv4 address without a name lookup; the loopback address where it is malformed. */
+    private static InetAddress address(String ipv4) {
         try {
-            String[] p = figures.split("\\.");
-            byte[] b = new byte[4];
-            for (int i = 0; i < 4; i++) b[i] = (byte) Integer.parseInt(p[i]);
-            return InetAddress.getByAddress(b);
+            String[] parts = ipv4.split("\\.");
+            byte[] bytes = new byte[4];
+            for (int i = 0; i < 4; i++) bytes[i] = (byte) Integer.parseInt(parts[i]);
+            return InetAddress.getByAddress(bytes);
         } catch (IOException | RuntimeException e) {
             return InetAddress.getLoopbackAddress();
         }
     }
 
-    private void datagram(InetSocketAddress to, byte[] b) {
-        IoSession s = peers.get(to);
-        if (s == null || !s.isActive()) {
-            var f = out.connect(relay != null ? relay : to, (session, future) -> session.setAttribute(TO, to));
-            f.awaitUninterruptibly();                   // a datagram's socket is only made, nobody is asked
-            if (!f.isConnected()) {
+    private void sendDatagram(InetSocketAddress to, byte[] bytes) {
+        IoSession session = datagramSessions.get(to);
+        if (session == null || !session.isActive()) {
+            ConnectFuture connect = datagramConnector.connect(relay != null ? relay : to,
+                (opened, future) -> opened.setAttribute(DESTINATION, to));
+            connect.awaitUninterruptibly();             // only opens a local socket: no packet is exchanged
+            if (!connect.isConnected()) {
                 unsendable++;
                 return;
             }
-            peers.put(to, s = f.getSession());
-            if (peers.size() > MOST_PEERS) {
-                var eldest = peers.entrySet().iterator();
+            session = connect.getSession();
+            datagramSessions.put(to, session);
+            if (datagramSessions.size() > MAX_DATAGRAM_SESSIONS) {
+                var eldest = datagramSessions.entrySet().iterator();
                 eldest.next().getValue().closeNow();
                 eldest.remove();
             }
         }
-        s.write(led(to, b, 0));
+        session.write(frame(to, bytes, 0));
     }
 
-    private IoBuffer led(InetSocketAddress to, byte[] b, int lengthBytes) {
-        IoBuffer buffer = IoBuffer.allocate(b.length + 6 + lengthBytes);
+    /** The bytes to write: prefixed with the destination where a relay is used, and with their length on a stream. */
+    private IoBuffer frame(InetSocketAddress to, byte[] bytes, int lengthBytes) {
+        IoBuffer buffer = IoBuffer.allocate(bytes.length + RELAY_HEADER_BYTES + lengthBytes);
         if (relay != null) buffer.put(to.getAddress().getAddress()).putShort((short) to.getPort());
-        if (lengthBytes > 0) buffer.putInt(b.length);
-        return buffer.put(b).flip();
+        if (lengthBytes > 0) buffer.putInt(bytes.length);
+        return buffer.put(bytes).flip();
     }
 
-    /** Who takes part, as it is believed here now; from any thread. */
+    /** The names in the current view; may be called by any thread. */
     public List<String> members() {
-        return inView;
+        return memberNames;
     }
 
-    /** What is not a member's to say; it may get lost, like any other. */
+    /** Sends a message of the policy component to a member. Delivery is not guaranteed. */
     public void send(String to, byte[] body) {
         lock.lock();
         try {
-            FleetMember.Address at = stopped ? null : member.addressOf(to);
-            if (at == null) {
+            FleetMember.Address address = stopped ? null : member.addressOf(to);
+            if (address == null) {
                 unsendable++;
                 return;
             }
-            byte[] b = wire.encode(new Message(Message.Kind.POLICY, name, firstLife, listen.getHostString(),
-                listen.getPort(), to, 0, "", false, 0, 0, List.of(), null, body));
-            InetSocketAddress there = new InetSocketAddress(address(at.host()), at.port());
-            if (b.length <= FleetMessageCodec.DATAGRAM) datagram(there, b);
-            else stream(there, b);
+            byte[] bytes = codec.encode(new Message(Message.Kind.POLICY, name, initialIncarnation,
+                listen.getHostString(), listen.getPort(), to, 0, "", false, 0, 0, List.of(), null, body));
+            InetSocketAddress destination = new InetSocketAddress(address(address.host()), address.port());
+            if (bytes.length <= FleetMessageCodec.MAX_DATAGRAM_BYTES) sendDatagram(destination, bytes);
+            else sendStream(destination, bytes);
         } finally {
             lock.unlock();
         }
     }
 
-    private void stream(InetSocketAddress to, byte[] b) {
-        if (b.length > FleetMessageCodec.STREAM || streams.size() >= MOST_STREAMS) {
+    private void sendStream(InetSocketAddress to, byte[] bytes) {
+        if (bytes.length > FleetMessageCodec.MAX_STREAM_BYTES || streams.size() >= MAX_STREAMS) {
             unsendable++;
             return;
         }
-        streamsOut.connect(relay != null ? relay : to).addListener(f -> {
-            IoSession session = ((org.apache.mina.core.future.ConnectFuture) f).getSession();
+        streamConnector.connect(relay != null ? relay : to).addListener(future -> {
+            IoSession session = ((ConnectFuture) future).getSession();
             if (session == null) return;
-            session.write(led(to, b, 4));
+            session.write(frame(to, bytes, LENGTH_BYTES));
             session.closeOnFlush();
         });
     }
 
-    // ---- in ----
+    // ---- receiving ----
 
-    private void heard(byte[] b, int length, boolean byStream, IoSession answers) {
-        Message others = null;
+    /** Handles received bytes; {@code session} is the stream to respond on, null for a datagram. */
+    private void receive(byte[] bytes, int length, boolean stream, IoSession session) {
+        Message forHandler = null;
         lock.lock();
         try {
-            Message m = wire.decode(b, length, byStream);
-            if (m == null || stopped) return;
-            boolean asksBeside = m.kind() == Message.Kind.ADMIN && m.subject().startsWith("policy ");
-            if (m.kind() == Message.Kind.POLICY && m.to().equals(name) || asksBeside) {
-                others = m;
-            } else if (m.kind() == Message.Kind.ADMIN) {
-                if (byStream) answer(m, answers);
+            Message message = codec.decode(bytes, length, stream);
+            if (message == null || stopped) return;
+            boolean policyRequest = message.kind() == Message.Kind.ADMIN
+                && message.subject().startsWith(POLICY_REQUEST);
+            if (message.kind() == Message.Kind.POLICY && message.to().equals(name) || policyRequest) {
+                forHandler = message;
+            } else if (message.kind() == Message.Kind.ADMIN) {
+                if (stream) respond(message, session);
             } else {
-                sendAll(member.onMessage(now(), m));
-                sooner.signal();
+                sendAll(member.onMessage(now(), message));
+                wakeUp.signal();
             }
         } catch (RuntimeException e) {
-            LOG.error("fleet: a fault with a message", e);
+            LOG.error("fleet: internal error while handling a message", e);
         } finally {
             lock.unlock();
         }
-        MessageHandler there = beside;
-        if (others == null || there == null) return;
-        if (others.kind() == Message.Kind.POLICY) there.onMessage(others.from(), others.body());
-        else if (byStream) answer(there.onAdminRequest(others.subject().substring(7), others.body()), answers);
+        MessageHandler currentHandler = handler;
+        if (forHandler == null || currentHandler == null) return;
+        if (forHandler.kind() == Message.Kind.POLICY) {
+            currentHandler.onMessage(forHandler.from(), forHandler.body());
+        } else if (stream) {
+            String request = forHandler.subject().substring(POLICY_REQUEST.length());
+            respond(currentHandler.onAdminRequest(request, forHandler.body()), session);
+        }
     }
 
-    private static byte[] taken(Object message) {
-        IoBuffer in = (IoBuffer) message;
-        byte[] b = new byte[in.remaining()];
-        in.get(b);
-        return b;
+    private static byte[] toBytes(Object received) {
+        IoBuffer buffer = (IoBuffer) received;
+        byte[] bytes = new byte[buffer.remaining()];
+        buffer.get(bytes);
+        return bytes;
     }
 
-    private final class Datagrams extends IoHandlerAdapter {
-        @Override public void messageReceived(IoSession session, Object message) {
-            byte[] b = taken(message);
-            heard(b, b.length, false, null);
+    private final class DatagramHandler extends IoHandlerAdapter {
+        @Override public void messageReceived(IoSession session, Object received) {
+            byte[] bytes = toBytes(received);
+            receive(bytes, bytes.length, false, null);
         }
 
         @Override public void exceptionCaught(IoSession session, Throwable cause) {
@@ -323,20 +364,20 @@
         }
     }
 
-    private final class Outgoing extends IoHandlerAdapter {
-        /** Only a relay of tests says anything here: that nobody holds the address. */
-        @Override public void messageReceived(IoSession session, Object message) {
-            if (relay != null && taken(message).length == 1) refused(session);
+    private final class OutgoingDatagramHandler extends IoHandlerAdapter {
+        /** Only a relay of tests sends anything here: one byte where no process listens at the destination. */
+        @Override public void messageReceived(IoSession session, Object received) {
+            if (relay != null && toBytes(received).length == 1) onRefused(session);
         }
 
         @Override public void exceptionCaught(IoSession session, Throwable cause) {
-            if (cause instanceof PortUnreachableException) refused(session);
+            if (cause instanceof PortUnreachableException) onRefused(session);
             else LOG.debug("fleet: {}", cause.toString());
         }
     }
 
-    private void refused(IoSession session) {
-        InetSocketAddress to = (InetSocketAddress) session.getAttribute(TO);
+    private void onRefused(IoSession session) {
+        InetSocketAddress to = (InetSocketAddress) session.getAttribute(DESTINATION);
         if (to == null) return;
         lock.lock();
         try {
@@ -344,16 +385,16 @@
         } finally {
             lock.unlock();
         }
-        MessageHandler there = beside;
-        if (there != null) there.onConnectionRefused(to.getHostString(), to.getPort());
+        MessageHandler currentHandler = handler;
+        if (currentHandler != null) currentHandler.onConnectionRefused(to.getHostString(), to.getPort());
     }
 
-    /** One message a connection, its length before it. */
-    private final class Streams extends IoHandlerAdapter {
+    /** Reads one message per connection, preceded by its length in 4 bytes. */
+    private final class StreamHandler extends IoHandlerAdapter {
         @Override public void sessionOpened(IoSession session) {
             lock.lock();
             try {
-                if (streams.size() >= MOST_STREAMS) session.closeNow();
+                if (streams.size() >= MAX_STREAMS) session.closeNow();
                 else streams.add(session);
             } finally {
                 lock.unlock();
@@ -369,21 +410,25 @@
             }
         }
 
-        @Override public void messageReceived(IoSession session, Object message) {
-            IoBuffer got = (IoBuffer) session.getAttribute(GOT);
-            if (got == null) session.setAttribute(GOT, got = IoBuffer.allocate(1024).setAutoExpand(true));
-            got.put((IoBuffer) message);
-            if (got.position() < 4) return;
-            int length = got.getInt(0);
-            if (length < 0 || length > FleetMessageCodec.STREAM || got.position() > 4 + length) {
+        @Override public void messageReceived(IoSession session, Object received) {
+            IoBuffer buffer = (IoBuffer) session.getAttribute(RECEIVED);
+            if (buffer == null) {
+                buffer = IoBuffer.allocate(1024).setAutoExpand(true);
+                session.setAttribute(RECEIVED, buffer);
+            }
+            buffer.put((IoBuffer) received);
+            if (buffer.position() < LENGTH_BYTES) return;
+            int length = buffer.getInt(0);
+            if (length < 0 || length > FleetMessageCodec.MAX_STREAM_BYTES
+                || buffer.position() > LENGTH_BYTES + length) {
                 session.closeNow();
                 return;
             }
-            if (got.position() < 4 + length) return;
-            byte[] b = new byte[length];
-            got.flip().skip(4).get(b);
-            session.removeAttribute(GOT);
-            heard(b, length, true, session);
+            if (buffer.position() < LENGTH_BYTES + length) return;
+            byte[] bytes = new byte[length];
+            buffer.flip().skip(LENGTH_BYTES).get(bytes);
+            session.removeAttribute(RECEIVED);
+            receive(bytes, length, true, session);
         }
 
         @Override public void sessionIdle(IoSession session, IdleStatus status) {
@@ -395,100 +440,109 @@
         }
     }
 
-    // ---- news ----
+    // ---- the member's events ----
 
-    @Override public void onViewChange(View v, boolean apart, FleetMember.ViewCause cause) {
+    @Override public void onViewChange(View view, boolean partitioned, FleetMember.ViewCause cause) {
         List<String> names = new ArrayList<>();
-        for (MemberRecord f : v.members()) names.add(f.name() + "@" + f.incarnation());
-        inView = v.members().stream().map(MemberRecord::name).toList();
-        LOG.atInfo().addKeyValue("view", v.number).addKeyValue("digest", Long.toHexString(v.digest))
-            .addKeyValue("cause", cause).addKeyValue("apart", apart).addKeyValue("life", member == null ? 0
-                : member.incarnation()).addKeyValue("size", v.size()).addKeyValue("members", names.size() > 64
-                ? names.subList(0, 64) : names).log("fleet: view");
+        for (MemberRecord record : view.members()) names.add(record.name() + "@" + record.incarnation());
+        memberNames = view.members().stream().map(MemberRecord::name).toList();
+        LOG.atInfo().addKeyValue("view", view.number).addKeyValue("digest", Long.toHexString(view.digest))
+            .addKeyValue("cause", cause).addKeyValue("apart", partitioned)
+            .addKeyValue("life", member == null ? 0 : member.incarnation()).addKeyValue("size", view.size())
+            .addKeyValue("members", names.size() > MAX_LOGGED_MEMBERS ? names.subList(0, MAX_LOGGED_MEMBERS) : names)
+            .log("fleet: view");
     }
 
     @Override public void onVote(long base, int round) {
         LOG.atInfo().addKeyValue("base", Long.toHexString(base)).addKeyValue("round", round).log("fleet: votes");
     }
 
-    @Override public void onHealthChange(String of, MemberHealth from, MemberHealth to, int accusing) {
-        LOG.atInfo().addKeyValue("name", of).addKeyValue("from", from).addKeyValue("to", to).addKeyValue("accusing",
-            accusing).log("fleet: judged");
+    @Override public void onHealthChange(String subject, MemberHealth from, MemberHealth to, int accusing) {
+        LOG.atInfo().addKeyValue("name", subject).addKeyValue("from", from).addKeyValue("to", to)
+            .addKeyValue("accusing", accusing).log("fleet: member health changed");
     }
 
-    @Override public void onPhaseChange(FleetMember.Phase p, long life) {
-        LOG.atInfo().addKeyValue("phase", p).addKeyValue("life", life).log("fleet: this director");
-        if (keptView != null) keep();
+    @Override public void onPhaseChange(FleetMember.Phase phase, long incarnation) {
+        LOG.atInfo().addKeyValue("phase", phase).addKeyValue("life", incarnation).log("fleet: this director");
+        if (savedView != null) saveState();
     }
 
-    // ---- the operators' questions ----
+    // ---- admin requests ----
 
-    private void answer(Message m, IoSession to) {
-        answer(m.subject().startsWith("explain ") ? explain(m.subject().substring(8)) : status(), to);
+    private void respond(Message request, IoSession session) {
+        String subject = request.subject();
+        respond(subject.startsWith(EXPLAIN_REQUEST) ? explain(subject.substring(EXPLAIN_REQUEST.length())) : status(),
+            session);
     }
 
-    private static void answer(String text, IoSession to) {
-        byte[] b = text.getBytes(StandardCharsets.UTF_8);
-        to.write(IoBuffer.allocate(b.length + 4).putInt(b.length).put(b).flip());
-        to.closeOnFlush();
+    private static void respond(String text, IoSession session) {
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+        session.write(IoBuffer.allocate(bytes.length + LENGTH_BYTES).putInt(bytes.length).put(bytes).flip());
+        session.closeOnFlush();
     }
 
-    private String explain(String of) {
-        JsonObject o = new JsonObject();
+    private String explain(String memberName) {
+        JsonObject answer = new JsonObject();
         JsonArray lines = new JsonArray();
-        member.explain(of, now()).forEach(lines::add);
-        o.addProperty("name", of);
-        o.add("lines", lines);
-        return o.toString();
+        member.explain(memberName, now()).forEach(lines::add);
+        answer.addProperty("name", memberName);
+        answer.add("lines", lines);
+        return answer.toString();
     }
 
     private String status() {
-        JsonObject o = new JsonObject();
-        View v = member.view();
-        o.addProperty("fleet", fleet);
-        o.addProperty("name", name);
-        o.addProperty("phase", member.phase().toString());
-        o.addProperty("life", member.incarnation());
-        o.addProperty("view", v.number);
-        o.addProperty("digest", Long.toHexString(v.digest));
-        o.addProperty("apart", member.isPartitioned());
-        o.addProperty("part_of_limits", times);
-        JsonArray all = new JsonArray();
-        for (MemberRecord f : v.members()) {
-            JsonObject x = new JsonObject();
-            x.addProperty("name", f.name());
-            x.addProperty("life", f.incarnation());
-            x.addProperty("at", f.host() + ":" + f.port());
-            x.addProperty("judged", (f.name().equals(name) ? MemberHealth.FINE : member.healthOf(f.name())).toString());
-            all.add(x);
-        }
-        o.add("members", all);
-        JsonObject counts = new JsonObject();
-        member.counters.nonZero().forEach(counts::addProperty);
-        for (FleetMessageCodec.Dropped d : FleetMessageCodec.Dropped.values()) {
-            if (wire.dropped[d.ordinal()] > 0) {
-                counts.addProperty("dropped_" + d.name().toLowerCase(java.util.Locale.ROOT), wire.dropped[d.ordinal()]);
-            }
+        JsonObject status = new JsonObject();
+        View view = member.view();
+        status.addProperty("fleet", fleet);
+        status.addProperty("name", name);
+        status.addProperty("phase", member.phase().toString());
+        status.addProperty("life", member.incarnation());
+        status.addProperty("view", view.number);
+        status.addProperty("digest", Long.toHexString(view.digest));
+        status.addProperty("apart", member.isPartitioned());
+        status.addProperty("part_of_limits", shareMultiplier);
+        JsonArray members = new JsonArray();
+        for (MemberRecord record : view.members()) members.add(memberStatus(record));
+        status.add("members", members);
+        status.add("counts", counters());
+        return new GsonBuilder().setPrettyPrinting().create().toJson(status);
+    }
+
+    private JsonObject memberStatus(MemberRecord record) {
+        MemberHealth health = record.name().equals(name) ? MemberHealth.FINE : member.healthOf(record.name());
+        JsonObject status = new JsonObject();
+        status.addProperty("name", record.name());
+        status.addProperty("life", record.incarnation());
+        status.addProperty("at", record.host() + ":" + record.port());
+        status.addProperty("judged", health.toString());
+        return status;
+    }
+
+    private JsonObject counters() {
+        JsonObject counters = new JsonObject();
+        member.counters.nonZero().forEach(counters::addProperty);
+        for (FleetMessageCodec.Dropped reason : FleetMessageCodec.Dropped.values()) {
+            long count = codec.dropped[reason.ordinal()];
+            if (count > 0) counters.addProperty("dropped_" + reason.name().toLowerCase(Locale.ROOT), count);
         }
-        counts.addProperty("unsendable", unsendable);
-        o.add("counts", counts);
-        return new GsonBuilder().setPrettyPrinting().create().toJson(o);
+        counters.addProperty("unsendable", unsendable);
+        return counters;
     }
 
-    /** SIGTERM: says farewell, a few times over, and is gone. */
+    /** Sends the leave announcements and closes the sockets. */
     @Override public void close() {
         lock.lock();
         try {
             if (stopped) return;
             sendAll(member.leave(now()));
             stopped = true;
-            sooner.signal();
+            wakeUp.signal();
         } finally {
             lock.unlock();
         }
-        out.dispose(true);
-        streamsOut.dispose(false);
-        in.dispose(false);
-        streamsIn.dispose(false);
+        datagramConnector.dispose(true);
+        streamConnector.dispose(false);
+        datagramAcceptor.dispose(false);
+        streamAcceptor.dispose(false);
     }
 }
--- a/src/main/java/mothcross/fleet/net/FleetStateFile.java
+++ b/src/main/java/mothcross/fleet/net/FleetStateFile.java
@@ -2,6 +2,7 @@
 
 import com.google.gson.Gson;
 import com.google.gson.JsonParseException;
+import com.google.gson.annotations.SerializedName;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -15,15 +16,17 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a member keeps for its next start: the life that it is in, and where others were reached. A small file of two
- * lines, a checksum and JSON, replaced whole and synced. Owns the file; must never give out what does not fit its
- * checksum or is another fleet's or another name's: without it a life is drawn from the clock.
+ * The file that a member keeps for its next start: its incarnation, and the addresses of other members. It has two
+ * lines, a checksum and JSON, and is replaced atomically and synced. A file that fails its checksum, or is of another
+ * fleet or name, is not used: the incarnation is then drawn from the clock.
  */
 final class FleetStateFile {
-    record Kept(String fleet, String name, long life, List<String> addresses) { }
+    /** The content of the file. */
+    record State(String fleet, String name, @SerializedName("life") long incarnation, List<String> addresses) { }
 
     private final Path file;
-    private final String fleet, name;
+    private final String fleet;
+    private final String name;
 
     FleetStateFile(Path file, String fleet, String name) {
         this.file = file;
@@ -31,18 +34,18 @@
         this.name = name;
     }
 
-    /** Null where there is none that can be used; {@code why} then has the reason, where there is one. */
-    Kept read(StringBuilder why) {
+    /** The saved state; null where there is no usable file. Appends the reason to {@code why} unless there is none. */
+    State read(StringBuilder why) {
         try {
-            String all = Files.readString(file, StandardCharsets.UTF_8);
-            int nl = all.indexOf('\n');
-            if (nl < 0 || !all.substring(0, nl).equals(checksum(all.substring(nl + 1)))) {
-                why.append("its checksum does not fit");
+            String content = Files.readString(file, StandardCharsets.UTF_8);
+            int newline = content.indexOf('\n');
+            if (newline < 0 || !content.substring(0, newline).equals(checksum(content.substring(newline + 1)))) {
+                why.append("checksum mismatch");
                 return null;
             }
-            Kept k = new Gson().fromJson(all.substring(nl + 1), Kept.class);
-            if (k.fleet().equals(fleet) && k.name().equals(name)) return k;
-            why.append("it is of ").append(k.name()).append(" in ").append(k.fleet());
+            State state = new Gson().fromJson(content.substring(newline + 1), State.class);
+            if (state.fleet().equals(fleet) && state.name().equals(name)) return state;
+            why.append("it belongs to ").append(state.name()).append(" in fleet ").append(state.fleet());
         } catch (NoSuchFileException e) {
             return null;
         } catch (IOException | JsonParseException | NullPointerException e) {
@@ -51,21 +54,21 @@
         return null;
     }
 
-    void write(long life, List<String> addresses) throws IOException {
-        String json = new Gson().toJson(new Kept(fleet, name, life, addresses));
-        Path anew = file.resolveSibling(file.getFileName() + ".new");
-        try (FileChannel c = FileChannel.open(anew, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+    void write(long incarnation, List<String> addresses) throws IOException {
+        String json = new Gson().toJson(new State(fleet, name, incarnation, addresses));
+        Path temporary = file.resolveSibling(file.getFileName() + ".new");
+        try (FileChannel channel = FileChannel.open(temporary, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
             StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer b = ByteBuffer.wrap((checksum(json) + "\n" + json).getBytes(StandardCharsets.UTF_8));
-            while (b.hasRemaining()) c.write(b);
-            c.force(true);
+            ByteBuffer buffer = ByteBuffer.wrap((checksum(json) + "\n" + json).getBytes(StandardCharsets.UTF_8));
+            while (buffer.hasRemaining()) channel.write(buffer);
+            channel.force(true);
         }
-        Files.move(anew, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    private static String checksum(String s) {
-        CRC32C c = new CRC32C();
-        c.update(s.getBytes(StandardCharsets.UTF_8));
-        return String.format("%08x", c.getValue());
+    private static String checksum(String text) {
+        CRC32C crc = new CRC32C();
+        crc.update(text.getBytes(StandardCharsets.UTF_8));
+        return String.format("%08x", crc.getValue());
     }
 }
--- a/src/test/java/mothcross/fleet/net/WireTest.java
+++ b/src/test/java/mothcross/fleet/net/WireTest.java
@@ -108,7 +108,7 @@
             assertNull(m, "message " + i);
         }
         assertEquals(dropped(ours), all);
-        assertEquals(ours.senders(), 0, "nobody is remembered");
+        assertEquals(ours.rememberedSenders(), 0, "nobody is remembered");
         for (Dropped d : List.of(Dropped.SHORT, Dropped.LONG, Dropped.VERSION, Dropped.CHECKSUM, Dropped.FLEET,
             Dropped.LENGTH)) {
             assertTrue(ours.dropped[d.ordinal()] > 0, d.toString());
@@ -124,6 +124,6 @@
             byte[] bytes = a.encode(m);
             assertNotNull(b.decode(bytes, bytes.length, false));
         }
-        assertTrue(b.senders() <= 4096);
+        assertTrue(b.rememberedSenders() <= 4096);
     }
 }
