--- a/src/main/java/mothcross/fleet/MemberHealth.java
+++ b/src/main/java/mothcross/fleet/MemberHealth.java
@@ -1,24 +1,35 @@
 package mothcross.fleet;
 
 /**
- * How the fleet sees a member, from how many of its watchers accuse it:
+ * The health of a member by the number of its watchers that accuse it, against a low and a high watermark:
  * <pre>
- *            none accuse   under LOW    LOW..HIGH     HIGH or more
- * FINE       FINE          DOUBTED      UNSTABLE      SILENT
- * DOUBTED    FINE          DOUBTED      UNSTABLE      SILENT
- * UNSTABLE   FINE          DOUBTED      UNSTABLE      SILENT
- * SILENT     FINE          DOUBTED      SILENT        SILENT
+ *            none accuse   under low    low..high     high or more
+ * FINE       FINE          SUSPECTED    UNSTABLE      SILENT
+ * SUSPECTED  FINE          SUSPECTED    UNSTABLE      SILENT
+ * UNSTABLE   FINE          SUSPECTED    UNSTABLE      SILENT
+ * SILENT     FINE          SUSPECTED    SILENT        SILENT
  * </pre>
- * Between the marks SILENT stays what it is, so one watcher that comes and goes moves nothing. Being out is no state of
- * it: that is the view's.
+ * A silent member stays silent between the watermarks, so that one watcher whose reports alternate does not make the
+ * health flap. Eviction is not a health: it is recorded in the view.
  */
 public enum MemberHealth {
-    FINE, SUSPECTED, UNSTABLE, SILENT;
+    FINE("FINE"), SUSPECTED("DOUBTED"), UNSTABLE("UNSTABLE"), SILENT("SILENT");
 
-    MemberHealth next(int accusing, int low, int high) {
-        if (accusing >= high) return SILENT;
+    private final String label;
+
+    MemberHealth(String label) {
+        this.label = label;
+    }
+
+    /** The name in logs, counters and the status. */
+    @Override public String toString() {
+        return label;
+    }
+
+    MemberHealth next(int accusing, int lowWatermark, int highWatermark) {
+        if (accusing >= highWatermark) return SILENT;
         if (accusing == 0) return FINE;
-        if (accusing < low) return SUSPECTED;
+        if (accusing < lowWatermark) return SUSPECTED;
         return this == SILENT ? SILENT : UNSTABLE;
     }
 }
--- a/src/main/java/mothcross/rig/SimulatedFleet.java
+++ b/src/main/java/mothcross/rig/SimulatedFleet.java
@@ -130,7 +130,7 @@
             List<String> names = new ArrayList<>();
             v.members().forEach(f -> names.add(f.name() + "@" + f.incarnation()));
             history.view(now, id, name, member == null ? 0 : member.incarnation(), v.number, v.digest, apart, names,
-                cause.name());
+                cause.toString());
         }
 
         @Override public void onHealthChange(String of, MemberHealth from, MemberHealth to, int accusing) {
