--- a/src/test/java/mothcross/net/DrainPathsTest.java
+++ b/src/test/java/mothcross/net/DrainPathsTest.java
@@ -30,7 +30,8 @@
     /** The answer to a liveness question, which may come unasked: it only shows that the node is there. */
     private static final String ALIVE = "l0 FIT - 0||";
 
-    private static DirectorServer told(Map<String, String> start, Map<String, Outside> parties, String listen) throws Exception {
+    private static DirectorServer told(Map<String, String> start, Map<String, Outside> parties, String listen)
+        throws Exception {
         String told = Outside.told(start, parties);
         return new DirectorServer(StartupConfig.of(JsonParser.parseString(told).getAsJsonObject(), listen, true, 0));
     }
@@ -147,8 +148,8 @@
         Map<String, Outside> parties = new TreeMap<>(Map.of("bulletin", Outside.listening("node", "bulletin", 99),
             "n1", Outside.listening("tight", "cache", 1)));
         for (int i = 0; i < 60; i++) parties.put("x" + i, Outside.listening("refused", "parent", 100 + i));
-        DirectorServer life = told(Map.of("connect", "0.4", "sockets", "380", "streams", "1000", "effect", "unsafe", "probing",
-            "true"), parties, null);
+        DirectorServer life = told(Map.of("connect", "0.4", "sockets", "380", "streams", "1000", "effect", "unsafe",
+            "probing", "true"), parties, null);
         Outside node = parties.get("n1");
         FirstAttempts attempts = new FirstAttempts(node.port());
         life.desk().locked(() -> life.desk().witness(attempts));
