--- a/src/main/java/mothcross/cli/ExprCommand.java
+++ b/src/main/java/mothcross/cli/ExprCommand.java
@@ -10,8 +10,8 @@
 import mothcross.net.Start;
 import mothcross.operators.OperatorsFile;
 import mothcross.operators.Part;
+import mothcross.route.RouteRules;
 import mothcross.route.RouteTable;
-import mothcross.route.Rules;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -32,7 +32,7 @@
     }
 
     /** {@code told} null: workloads and hops of the settings are not checked. */
-    static RouteTable compiled(Rules rules, Start told, List<String> faults) {
+    static RouteTable compiled(RouteRules rules, Start told, List<String> faults) {
         return RouteTable.compile(rules, told == null ? null : told.opening.workloads, told == null ? null
             : told.opening.workloadTable,
             told == null ? 1 : told.opening.directorsInZone, told == null ? NO_HOPS_TOLD : told.mostHops, null, faults);
@@ -50,7 +50,7 @@
             List<String> faults = new ArrayList<>();
             RouteTable t = null;
             try {
-                Rules rules = OperatorsFile.read(file).part(Part.ROUTES);
+                RouteRules rules = OperatorsFile.read(file).part(Part.ROUTES);
                 if (rules == null) faults.add(file + " has no routes");
                 else t = compiled(rules, config == null ? null : Start.read(config, null, false), faults);
             } catch (OperatorsFile.Unusable e) {
@@ -69,7 +69,7 @@
         @Override public Integer call() throws Start.Unusable {
             RouteTable t = which.table();
             if (t == null) return USAGE;
-            System.out.println(t.size() + " rules; a request costs at most " + t.worst() + " steps");
+            System.out.println(t.size() + " rules; a request costs at most " + t.worstCaseSteps() + " steps");
             for (Map.Entry<String, Long> c : t.costs().entrySet()) {
                 System.out.println("  " + c.getKey() + ": match at most " + c.getValue() + " steps");
             }
@@ -103,14 +103,14 @@
             long steps = t.steps();
             System.out.println("rule: " + t.name(o.rule));
             if (o.status != 0) {
-                System.out.println("refused with " + o.status + ": " + o.why + (o.comeBackAfter > 0
-                    ? ", come back after " + Math.round(o.comeBackAfter) + " ms" : ""));
+                System.out.println("refused with " + o.status + ": " + o.reason + (o.retryAfterMs > 0
+                    ? ", come back after " + Math.round(o.retryAfterMs) + " ms" : ""));
             }
-            if (o.placed) System.out.println("placed by " + Long.toHexString(o.placedBy));
-            if (o.weight != 1) System.out.println("importance " + o.weight);
-            if (o.mostHops != NO_HOPS_TOLD) System.out.println("further hops " + (o.mostHops - 1));
-            System.out.println("steps: " + steps + " of at most " + t.worst());
-            if (o.rule >= 0) t.explained(h, o.rule, now).forEach(System.out::println);
+            if (o.hasPlacementKey) System.out.println("placed by " + Long.toHexString(o.placementKey));
+            if (o.importanceShare != 1) System.out.println("importance " + o.importanceShare);
+            if (o.maxHops != NO_HOPS_TOLD) System.out.println("further hops " + (o.maxHops - 1));
+            System.out.println("steps: " + steps + " of at most " + t.worstCaseSteps());
+            if (o.rule >= 0) t.explain(h, o.rule, now).forEach(System.out::println);
             return 0;
         }
     }
--- a/src/main/java/mothcross/cli/ExprShell.java
+++ b/src/main/java/mothcross/cli/ExprShell.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import mothcross.expr.ExpressionException;
 import mothcross.expr.Frame;
 import mothcross.expr.Inputs;
 import mothcross.expr.Program;
-import mothcross.expr.Refused;
-import mothcross.route.Asked;
+import mothcross.route.RequestInputs;
 import org.jline.reader.EndOfFileException;
 import org.jline.reader.LineReader;
 import org.jline.reader.LineReaderBuilder;
@@ -38,7 +38,7 @@
         try (Terminal terminal = TerminalBuilder.builder().dumb(true).build()) {
             List<String> words = new ArrayList<>(List.of(":target", ":header", ":read", ":help", ":quit", "if", "then",
                 "else", "in", "true", "false"));
-            Asked.inputs().names().forEach(words::add);
+            RequestInputs.inputs().names().forEach(words::add);
             Program.functions().forEach(f -> words.add(f + "("));
             DefaultParser plain = new DefaultParser();
             plain.setEscapeChars(new char[0]);
@@ -77,23 +77,23 @@
             return p[0] + " is read up to " + p[1];
         }
         if (line.startsWith(":")) return HELP;
-        Inputs inputs = Asked.inputs();
+        Inputs inputs = RequestInputs.inputs();
         for (String[] r : reads) {
             int most = Integer.parseInt(r[1]);
-            if (r[0].startsWith("header:")) inputs.header(r[0].substring(7), most, Inputs.Past.CUT, true);
-            else if (r[0].equals("target")) inputs.add("target", mothcross.expr.Type.bytes(most), Asked.TARGET,
-                Inputs.Past.CUT, true);
+            if (r[0].startsWith("header:")) inputs.header(r[0].substring(7), most, Inputs.Overflow.TRUNCATE, true);
+            else if (r[0].equals("target")) inputs.add("target", mothcross.expr.Type.bytes(most), RequestInputs.TARGET,
+                Inputs.Overflow.TRUNCATE, true);
         }
         Program p = new Program(inputs);
         try {
             Program.Expression e = p.compile(line, BUDGET);
             Frame f = new Frame(p);
             f.begin(new Head(target + "\n" + String.join("\n", headers), inputs.headers()), System.currentTimeMillis());
-            String value = e.shown(f);
+            String value = e.describe(f);
             return value + "   " + e.type() + ", " + f.steps() + " of at most " + e.cost() + " steps"
                 + (e.notes().isEmpty() ? "" : "\n" + String.join("\n", e.notes()));
-        } catch (Refused e) {
-            return e.shown();
+        } catch (ExpressionException e) {
+            return e.describe();
         }
     }
 }
--- a/src/main/java/mothcross/cli/Head.java
+++ b/src/main/java/mothcross/cli/Head.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import mothcross.expr.Frame;
 import mothcross.expr.Inputs;
-import mothcross.route.Asked;
+import mothcross.route.RequestInputs;
 
 /**
  * A request told on the command line, as the routes read it: a target and headers, both as bytes. Owns the words for
@@ -56,26 +56,26 @@
             return;
         }
         String v = switch (number) {
-            case Asked.PART -> at(5).replaceAll("^piece-", "");
-            case Asked.GROUP -> field("x-lot");
-            case Asked.SIZE -> field("req-kb");
-            case Asked.WAIT -> field("req-wait-ms");
+            case RequestInputs.PART -> at(5).replaceAll("^piece-", "");
+            case RequestInputs.GROUP -> field("x-lot");
+            case RequestInputs.SIZE -> field("req-kb");
+            case RequestInputs.WAIT -> field("req-wait-ms");
             default -> null;
         };
         try {
             switch (number) {
-                case Asked.WORKLOAD -> put(f, slot, workload());
-                case Asked.OBJECT -> put(f, slot, at(4));
-                case Asked.TARGET -> f.put(slot, target, 0, target.length);
-                case Asked.RETRY -> f.put(slot, "1".equals(field("req-retry")) ? 1L : 0L);
-                case Asked.CLIENT -> f.put(slot, new byte[] {127, 0, 0, 1}, 0, 4);
-                case Asked.PART, Asked.GROUP -> {
+                case RequestInputs.WORKLOAD -> put(f, slot, workload());
+                case RequestInputs.OBJECT -> put(f, slot, at(4));
+                case RequestInputs.TARGET -> f.put(slot, target, 0, target.length);
+                case RequestInputs.RETRY -> f.put(slot, "1".equals(field("req-retry")) ? 1L : 0L);
+                case RequestInputs.CLIENT -> f.put(slot, new byte[] {127, 0, 0, 1}, 0, 4);
+                case RequestInputs.PART, RequestInputs.GROUP -> {
                     if (v != null && !v.isEmpty()) f.put(slot, Long.parseLong(v));
                 }
-                case Asked.SIZE -> {
+                case RequestInputs.SIZE -> {
                     if (v != null) f.put(slot, 1000 * Double.parseDouble(v));
                 }
-                case Asked.WAIT -> {
+                case RequestInputs.WAIT -> {
                     if (v != null) f.put(slot, Double.parseDouble(v));
                 }
                 default -> { }
--- a/src/main/java/mothcross/cli/ListCommand.java
+++ b/src/main/java/mothcross/cli/ListCommand.java
@@ -5,12 +5,12 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
-import mothcross.membership.Ages;
-import mothcross.membership.Kept;
-import mothcross.membership.ListFile;
+import mothcross.membership.AgeLimits;
+import mothcross.membership.ListedNode;
 import mothcross.membership.Membership;
-import mothcross.membership.Standing;
-import mothcross.membership.Told;
+import mothcross.membership.MembershipSnapshot;
+import mothcross.membership.NodeState;
+import mothcross.membership.SnapshotFormat;
 import mothcross.net.ListOnDisk;
 import mothcross.operators.OperatorsFile;
 import mothcross.operators.Part;
@@ -41,15 +41,15 @@
 
         @Option(names = "--director", paramLabel = "NAME",
             description = "whose list it has to be") private String director;
-        private Ages ages = Ages.USUAL;
+        private AgeLimits ages = AgeLimits.DEFAULTS;
 
-        ListFile.Result read(double now) throws OperatorsFile.Unusable {
+        SnapshotFormat.Result read(double now) throws OperatorsFile.Unusable {
             Remembering r = operators == null ? null : OperatorsFile.read(operators).part(Part.MEMBERSHIP);
             if (r != null) ages = r.ages();
-            return new ListOnDisk(file, r == null ? null : r.fleet(), director).read(now, ages.skew());
+            return new ListOnDisk(file, r == null ? null : r.fleet(), director).read(now, ages.clockSkewMs());
         }
 
-        Membership believed(Kept kept, double now) {
+        Membership believed(MembershipSnapshot kept, double now) {
             Membership m = new Membership(ages, Double.MAX_VALUE, new SplittableRandom(0), (e, was, is, cold, why) ->
                 { });
             m.restore(kept, now);
@@ -57,14 +57,14 @@
         }
     }
 
-    private static int refused(Which which, ListFile.Result r) {
+    private static int refused(Which which, SnapshotFormat.Result r) {
         System.err.println("mothcross: " + which.file + ": " + (r == null ? "there is no such file"
-            : r.refusal() + ", " + r.text()));
+            : r.error() + ", " + r.text()));
         return UNREADABLE;
     }
 
     private static int state(Membership m) {
-        return m.entries().stream().anyMatch(t -> m.standing(t.id()).usable()) ? USABLE : TOO_OLD;
+        return m.entries().stream().anyMatch(t -> m.stateOf(t.id()).usable()) ? USABLE : TOO_OLD;
     }
 
     private static String age(double ms) {
@@ -81,21 +81,21 @@
 
         @Override public Integer call() throws OperatorsFile.Unusable {
             double now = System.currentTimeMillis();
-            ListFile.Result r = which.read(now);
-            if (r == null || r.kept() == null) return refused(which, r);
-            Kept k = r.kept();
+            SnapshotFormat.Result r = which.read(now);
+            if (r == null || r.snapshot() == null) return refused(which, r);
+            MembershipSnapshot k = r.snapshot();
             Membership m = which.believed(k, now);
             System.out.printf(Locale.ROOT, "fleet %s, director %s, event %d, written %s ago, discovery heard %s ago, "
-                + "%d boxes, %d purges%n", k.fleet(), k.director(), k.number(), age(now - k.savedAt()),
-                age(now - k.heardAt()), k.entries().size(), k.purges().size());
+                + "%d boxes, %d purges%n", k.fleet(), k.director(), k.lastEvent(), age(now - k.savedAt()),
+                age(now - k.confirmedAt()), k.entries().size(), k.purges().size());
             System.out.printf("%-12s %-21s %-10s %-10s %-9s %-9s %-9s %-9s %s%n", "box", "address", "place", "kind",
                 "standing", "told", "answered", "started", "why");
-            m.entries().stream().sorted(Comparator.comparing(Told::id)).forEach(t -> System.out.printf(
-                "%-12s %-21s %-10s %-10s %-9s %-9s %-9s %-9s %s%n", t.id(), t.address(), t.place(), t.kind(),
-                m.standing(t.id()).word(),
-                age(now - (t.backed() ? Math.max(t.toldAt(), k.heardAt()) : t.toldAt())),
+            m.entries().stream().sorted(Comparator.comparing(ListedNode::id)).forEach(t -> System.out.printf(
+                "%-12s %-21s %-10s %-10s %-9s %-9s %-9s %-9s %s%n", t.id(), t.address(), t.zone(), t.kind(),
+                m.stateOf(t.id()).word(),
+                age(now - (t.confirmed() ? Math.max(t.listedAt(), k.confirmedAt()) : t.listedAt())),
                 t.answeredAt() == 0 ? "-" : age(now - t.answeredAt()),
-                t.startedAt() == 0 ? "-" : age(now - t.startedAt()), m.why(t.id())));
+                t.startedAt() == 0 ? "-" : age(now - t.startedAt()), m.reason(t.id())));
             return state(m);
         }
     }
@@ -107,11 +107,11 @@
 
         @Override public Integer call() throws OperatorsFile.Unusable {
             double now = System.currentTimeMillis();
-            ListFile.Result r = which.read(now);
-            if (r == null || r.kept() == null) return refused(which, r);
-            Membership m = which.believed(r.kept(), now);
+            SnapshotFormat.Result r = which.read(now);
+            if (r == null || r.snapshot() == null) return refused(which, r);
+            Membership m = which.believed(r.snapshot(), now);
             StringBuilder s = new StringBuilder();
-            for (Standing x : Standing.values()) {
+            for (NodeState x : NodeState.values()) {
                 if (m.count(x) > 0) s.append(' ').append(x.word()).append(' ').append(m.count(x));
             }
             int state = state(m);
--- a/src/main/java/mothcross/cli/Main.java
+++ b/src/main/java/mothcross/cli/Main.java
@@ -13,8 +13,8 @@
 import mothcross.operators.OperatorsFile;
 import mothcross.operators.Part;
 import mothcross.operators.Remembering;
+import mothcross.route.RouteRules;
 import mothcross.route.RouteTable;
-import mothcross.route.Rules;
 import mothcross.simhost.SimHost;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -87,7 +87,7 @@
         }
     }
 
-    private record Both(Start start, OperatorsFile features, Remembering list, Rules routes, Directors fleet,
+    private record Both(Start start, OperatorsFile features, Remembering list, RouteRules routes, Directors fleet,
                         Changes changes) { }
 
     /** What {@code serve} begins beside the director, and has to end: before it ends itself, and after. */
--- a/src/main/java/mothcross/cli/PolicyCommand.java
+++ b/src/main/java/mothcross/cli/PolicyCommand.java
@@ -25,8 +25,8 @@
 import mothcross.policy.Plan;
 import mothcross.policy.net.PolicyActivator;
 import mothcross.policy.net.PolicyNode;
+import mothcross.route.RouteRules;
 import mothcross.route.RouteTable;
-import mothcross.route.Rules;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import picocli.CommandLine.Command;
@@ -84,7 +84,8 @@
     private record Tables(Life life) implements PolicyActivator {
         @Override public Object compile(String digest, byte[] text, List<String> faults) {
             try {
-                Rules r = OperatorsFile.policy("policy", new String(text, StandardCharsets.UTF_8)).part(Part.ROUTES);
+                RouteRules r = OperatorsFile.policy("policy", new String(text, StandardCharsets.UTF_8))
+                    .part(Part.ROUTES);
                 return r == null ? NO_RULES : life.compiled(r, faults);
             } catch (OperatorsFile.Unusable e) {
                 faults.addAll(e.faults());
--- a/src/main/java/mothcross/expr/Compiler.java
+++ b/src/main/java/mothcross/expr/Compiler.java
@@ -46,17 +46,17 @@
         return notes;
     }
 
-    private Refused bad(Tree at, String message, String hint) {
-        return new Refused(text, at.from(), at.to(), message, hint);
+    private ExpressionException bad(SyntaxTree at, String message, String hint) {
+        return new ExpressionException(text, at.from(), at.to(), message, hint);
     }
 
     /** Names the dearest part that is dear by itself. */
-    Refused tooDear(Tree t, Node root, long budget) {
+    ExpressionException tooDear(SyntaxTree t, Node root, long budget) {
         return bad(t, "costs up to " + root.cost + " steps, the budget is " + budget,
             "shorten what is read, as in first(x, 32), or give the budget more");
     }
 
-    Node compile(Tree t) throws Refused {
+    Node compile(SyntaxTree t) throws ExpressionException {
         Node n = fold(part(t));
         if (n.cost == Node.ENDLESS) throw bad(t, "has no bound of cost", null);
         return n;
@@ -87,20 +87,20 @@
         return s.toString();
     }
 
-    private Node part(Tree t) throws Refused {
-        if (t instanceof Tree.Number n) return number(n);
-        if (t instanceof Tree.Text x) return constant(Type.bytes(x.bytes().length), 0, 0, x.bytes());
-        if (t instanceof Tree.Truth x) return constant(Type.BOOL, x.value() ? 1 : 0, 0, null);
-        if (t instanceof Tree.Name x) return name(x);
-        if (t instanceof Tree.Call x) return call(x);
-        if (t instanceof Tree.Piece x) return piece(x);
-        if (t instanceof Tree.Unary x) return unary(x);
-        if (t instanceof Tree.Choice x) return choice(x);
-        if (t instanceof Tree.Binary x) return binary(x);
+    private Node part(SyntaxTree t) throws ExpressionException {
+        if (t instanceof SyntaxTree.Number n) return number(n);
+        if (t instanceof SyntaxTree.Text x) return constant(Type.bytes(x.bytes().length), 0, 0, x.bytes());
+        if (t instanceof SyntaxTree.Truth x) return constant(Type.BOOL, x.value() ? 1 : 0, 0, null);
+        if (t instanceof SyntaxTree.Name x) return name(x);
+        if (t instanceof SyntaxTree.Call x) return call(x);
+        if (t instanceof SyntaxTree.Piece x) return piece(x);
+        if (t instanceof SyntaxTree.Unary x) return unary(x);
+        if (t instanceof SyntaxTree.Choice x) return choice(x);
+        if (t instanceof SyntaxTree.Binary x) return binary(x);
         throw bad(t, "a list or a range stands only right of 'in'", null);
     }
 
-    private Node number(Tree.Number n) throws Refused {
+    private Node number(SyntaxTree.Number n) throws ExpressionException {
         Double unit = UNITS.get(n.unit());
         if (!n.unit().isEmpty() && unit == null) {
             throw bad(n, "no such unit '" + n.unit() + "'", "known are " + String.join(", ", UNITS.keySet()));
@@ -117,10 +117,10 @@
         return constant(type, 0, v, null);
     }
 
-    private Node name(Tree.Name t) throws Refused {
+    private Node name(SyntaxTree.Name t) throws ExpressionException {
         Inputs.Input in = program.inputs().get(t.name());
         if (in != null) return program.same("read " + in.name(), () -> new Node.Read(in));
-        Tree named = program.named(t.name());
+        SyntaxTree named = program.named(t.name());
         if (named != null) return new Compiler(program, program.textOf(t.name())).compile(named);
         List<String> known = new ArrayList<>();
         program.inputs().names().forEach(known::add);
@@ -133,7 +133,7 @@
 
     // ---- operators ----
 
-    private Node there(Tree t) throws Refused {
+    private Node there(SyntaxTree t) throws ExpressionException {
         Node n = compile(t);
         if (!n.type.optional()) return n;
         throw bad(t, "may be absent, so it can't be used here as it is",
@@ -141,7 +141,7 @@
                 + (n.type.kind() == Kind.BYTES ? "''" : "0") + "), or ask has(...) first with 'if'");
     }
 
-    private Node want(Tree t, Kind kind, String what) throws Refused {
+    private Node want(SyntaxTree t, Kind kind, String what) throws ExpressionException {
         Node n = there(t);
         if (n.type.kind() == kind) return n;
         throw bad(t, what + " takes " + word(kind) + ", this is " + n.type, kind == Kind.BOOL
@@ -153,7 +153,7 @@
             + (k == Kind.BOOL ? "truth" : k.name().toLowerCase(java.util.Locale.ROOT));
     }
 
-    private Node unary(Tree.Unary t) throws Refused {
+    private Node unary(SyntaxTree.Unary t) throws ExpressionException {
         if (t.op().equals("!")) {
             Node a = want(t.a(), Kind.BOOL, "'!'");
             return fold(program.same(key("!", a), () -> new Node.Logic('!', a, null)));
@@ -165,7 +165,7 @@
         return fold(program.same(key("-", zero, a), () -> new Node.Sum(a.type, '-', zero, a)));
     }
 
-    private Node choice(Tree.Choice t) throws Refused {
+    private Node choice(SyntaxTree.Choice t) throws ExpressionException {
         Node c = want(t.condition(), Kind.BOOL, "'if'"), yes = compile(t.yes()), no = compile(t.no());
         if (yes.type.kind() != no.type.kind()) {
             throw bad(t, "one way gives " + yes.type + ", the other " + no.type, null);
@@ -178,15 +178,15 @@
         return program.same(key("if", c, yes, no), () -> new Node.Choice(type, c, yes, no));
     }
 
-    private String dead(Tree t) {
+    private String dead(SyntaxTree t) {
         return "'" + text.substring(t.from(), t.to()) + "'";
     }
 
     private static Type wider(Type a, Type b) {
-        return new Type(a.kind(), a.optional() || b.optional(), Math.max(a.most(), b.most()));
+        return new Type(a.kind(), a.optional() || b.optional(), Math.max(a.maxLength(), b.maxLength()));
     }
 
-    private Node binary(Tree.Binary t) throws Refused {
+    private Node binary(SyntaxTree.Binary t) throws ExpressionException {
         return switch (t.op()) {
             case "&&", "||" -> logic(t);
             case "??" -> orElse(t);
@@ -196,12 +196,12 @@
         };
     }
 
-    private Node logic(Tree.Binary t) throws Refused {
+    private Node logic(SyntaxTree.Binary t) throws ExpressionException {
         Node a = want(t.a(), Kind.BOOL, "'" + t.op() + "'"), b = want(t.b(), Kind.BOOL, "'" + t.op() + "'");
         boolean and = t.op().equals("&&");
         for (Node n : List.of(a, b)) {
             if (!(n instanceof Node.Const k)) continue;
-            Tree other = n == a ? t.b() : t.a();
+            SyntaxTree other = n == a ? t.b() : t.a();
             if (k.whole != 0 == and) return n == a ? b : a;         // says nothing
             notes.add(dead(other) + " never matters: the other side decides");
             return n;
@@ -209,17 +209,17 @@
         return program.same(key(t.op(), a, b), () -> new Node.Logic(and ? '&' : '|', a, b));
     }
 
-    private Node orElse(Tree.Binary t) throws Refused {
+    private Node orElse(SyntaxTree.Binary t) throws ExpressionException {
         Node a = compile(t.a()), b = compile(t.b());
         if (!a.type.optional()) {
             throw bad(t.a(), "is always there, so '??' has no use", "leave out the '??' and what follows it");
         }
         if (a.type.kind() != b.type.kind()) throw bad(t.b(), "stands in for " + a.type + ", but is " + b.type, null);
-        Type type = new Type(a.type.kind(), b.type.optional(), Math.max(a.type.most(), b.type.most()));
+        Type type = new Type(a.type.kind(), b.type.optional(), Math.max(a.type.maxLength(), b.type.maxLength()));
         return program.same(key("??", a, b), () -> new Node.Else(type, a, b));
     }
 
-    private Node sum(Tree.Binary t) throws Refused {
+    private Node sum(SyntaxTree.Binary t) throws ExpressionException {
         Node a = there(t.a()), b = there(t.b());
         char op = t.op().charAt(0);
         Kind x = a.type.kind(), y = b.type.kind();
@@ -240,18 +240,18 @@
         return fold(program.same(key(t.op() + type.kind(), a, b), () -> new Node.Sum(of, op, a, b)));
     }
 
-    private Node joined(Tree t, Node a, Node b) throws Refused {
-        long most = Node.plus(a.type.most(), b.type.most());
+    private Node joined(SyntaxTree t, Node a, Node b) throws ExpressionException {
+        long most = Node.plus(a.type.maxLength(), b.type.maxLength());
         if (most > LONGEST_BYTES) {
-            throw endless(t, "joins to " + (most == Type.NO_BOUND ? "bytes of any length" : most + " bytes"), a, b);
+            throw endless(t, "joins to " + (most == Type.UNBOUNDED ? "bytes of any length" : most + " bytes"), a, b);
         }
         return fold(program.same(key("join", a, b), () -> new Node.Joined(Type.bytes(most), a, b,
             program.scratch(most))));
     }
 
     /** A refusal for what grows with what a client sends, and how it is written with a bound. */
-    private Refused endless(Tree t, String what, Node... parts) {
-        String of = Arrays.stream(parts).filter(p -> p.type.most() == Type.NO_BOUND).map(Compiler::input)
+    private ExpressionException endless(SyntaxTree t, String what, Node... parts) {
+        String of = Arrays.stream(parts).filter(p -> p.type.maxLength() == Type.UNBOUNDED).map(Compiler::input)
             .filter(s -> s != null).findFirst().orElse(null);
         String hint = "bound it: first(x, 64) in place of x" + (of == null ? ""
             : ", or declare " + of + " with 'most' under reads");
@@ -264,15 +264,15 @@
         return null;
     }
 
-    private Node compare(Tree.Binary t) throws Refused {
+    private Node compare(SyntaxTree.Binary t) throws ExpressionException {
         Node a = there(t.a()), b = there(t.b());
         Kind x = a.type.kind(), y = b.type.kind();
         boolean same = t.op().equals("==") || t.op().equals("!=");
         if (x == Kind.BYTES && y == Kind.BYTES) {
             if (!same) throw bad(t, "bytes are the same or not, they have no order",
                 "decimal(x) ?? 0 makes a number of digits");
-            long shorter = Math.min(a.type.most(), b.type.most());
-            if (shorter == Type.NO_BOUND) throw endless(t, "compares two values of any length", a, b);
+            long shorter = Math.min(a.type.maxLength(), b.type.maxLength());
+            if (shorter == Type.UNBOUNDED) throw endless(t, "compares two values of any length", a, b);
             long own = Node.plus(1, shorter);
             return fold(program.same(key(t.op(), a, b), () -> new Node.Same(a, b, t.op().equals("!="), own)));
         }
@@ -285,9 +285,9 @@
         return fold(program.same(key(t.op(), a, b), () -> new Node.Compare(t.op(), a, b)));
     }
 
-    private Node among(Tree.Binary t) throws Refused {
+    private Node among(SyntaxTree.Binary t) throws ExpressionException {
         Node a = there(t.a());
-        if (t.b() instanceof Tree.Range r) {
+        if (t.b() instanceof SyntaxTree.Range r) {
             Node.Const low = constantOf(r.low(), a), high = constantOf(r.high(), a);
             boolean none = a.type.fraction() ? low.number > high.number : low.whole > high.whole;
             if (none) {
@@ -297,7 +297,7 @@
             return fold(program.same(key("within", a, low, high), () -> new Node.Within(a, low, high)));
         }
         List<Node.Const> all = new ArrayList<>();
-        for (Tree x : ((Tree.Among) t.b()).all()) all.add(constantOf(x, a));
+        for (SyntaxTree x : ((SyntaxTree.Among) t.b()).all()) all.add(constantOf(x, a));
         if (all.isEmpty()) throw bad(t.b(), "the list is empty", null);
         Node[] keyed = new Node[all.size() + 1];
         keyed[0] = a;
@@ -320,7 +320,7 @@
         return fold(program.same(key("among", keyed), () -> new Node.Among(a, null, wholes, 0, 65)));
     }
 
-    private Node.Const constantOf(Tree t, Node like) throws Refused {
+    private Node.Const constantOf(SyntaxTree t, Node like) throws ExpressionException {
         Node n = compile(t);
         if (!(n instanceof Node.Const c)) throw bad(t, "a constant is expected here", null);
         if (c.type.kind() == like.type.kind()) return c;
@@ -331,14 +331,14 @@
 
     // ---- functions ----
 
-    private byte[] textArg(Tree.Call t, int i) throws Refused {
+    private byte[] textArg(SyntaxTree.Call t, int i) throws ExpressionException {
         Node n = compile(t.args().get(i));
         if (n instanceof Node.Const c && c.bytes != null) return c.bytes;
         throw bad(t.args().get(i), "a constant text is expected here: " + FUNCTIONS.get(t.name()),
             "two values of a request are compared with ==, after first(x, n)");
     }
 
-    private long wholeArg(Tree.Call t, int i, long least, long most) throws Refused {
+    private long wholeArg(SyntaxTree.Call t, int i, long least, long most) throws ExpressionException {
         Node n = compile(t.args().get(i));
         if (n instanceof Node.Const c && c.type.kind() == Kind.INT && c.whole >= least
             && c.whole <= most) return c.whole;
@@ -346,16 +346,16 @@
             FUNCTIONS.get(t.name()));
     }
 
-    private Node bytesArg(Tree.Call t, int i) throws Refused {
+    private Node bytesArg(SyntaxTree.Call t, int i) throws ExpressionException {
         return want(t.args().get(i), Kind.BYTES, t.name() + "()");
     }
 
-    private Node bounded(Tree.Call t, Node a) throws Refused {
-        if (a.type.most() == Type.NO_BOUND) throw endless(t, t.name() + "() goes through all of a value", a);
+    private Node bounded(SyntaxTree.Call t, Node a) throws ExpressionException {
+        if (a.type.maxLength() == Type.UNBOUNDED) throw endless(t, t.name() + "() goes through all of a value", a);
         return a;
     }
 
-    private void args(Tree.Call t, int least, int most) throws Refused {
+    private void args(SyntaxTree.Call t, int least, int most) throws ExpressionException {
         int n = t.args().size();
         if (n < least || n > most) {
             throw bad(t, t.name() + "() has " + n + " values in place of " + (least == most ? most : least + " or "
@@ -364,7 +364,7 @@
         }
     }
 
-    private Node call(Tree.Call t) throws Refused {
+    private Node call(SyntaxTree.Call t) throws ExpressionException {
         switch (t.name()) {
             case "header" -> {
                 args(t, 1, 1);
@@ -382,8 +382,8 @@
             case "cut" -> {
                 args(t, 1, 1);
                 Node a = compile(t.args().get(0));
-                boolean may = a instanceof Node.Read r && r.input.past() == Inputs.Past.CUT
-                    && a.type.kind() == Kind.BYTES && a.type.most() != Type.NO_BOUND;
+                boolean may = a instanceof Node.Read r && r.input.past() == Inputs.Overflow.TRUNCATE
+                    && a.type.kind() == Kind.BYTES && a.type.maxLength() != Type.UNBOUNDED;
                 if (!may) throw bad(t.args().get(0), "is no input that is cut at a bound",
                     "declare it with past: 'cut'");
                 return program.same(key("cut", a), () -> new Node.WasCut(a));
@@ -394,7 +394,7 @@
                 byte[] what = textArg(t, 1);
                 char where = t.name().equals("starts") ? '^' : t.name().equals("ends") ? '$' : '*';
                 if (where == '*') bounded(t, a);
-                long own = where == '*' ? Node.plus(1, Node.times(a.type.most(), Math.max(1, what.length))) : 1
+                long own = where == '*' ? Node.plus(1, Node.times(a.type.maxLength(), Math.max(1, what.length))) : 1
                     + what.length;
                 String k = key(t.name() + HexFormat.of().formatHex(what), a);
                 return fold(program.same(k, () -> new Node.Stands(a, what, where, own)));
@@ -407,8 +407,9 @@
                 Node a = bytesArg(t, 0);
                 int n = (int) wholeArg(t, 1, 0, LONGEST_BYTES);
                 boolean first = t.name().equals("first");
-                Type type = first ? Type.bytes(Math.min(n, a.type.most()))
-                    : Type.bytes(a.type.most() == Type.NO_BOUND ? Type.NO_BOUND : Math.max(0, a.type.most() - n));
+                Type type = first ? Type.bytes(Math.min(n, a.type.maxLength()))
+                    : Type.bytes(a.type.maxLength() == Type.UNBOUNDED ? Type.UNBOUNDED
+                        : Math.max(0, a.type.maxLength() - n));
                 return fold(program.same(key(t.name() + n, a), () -> new Node.Part(type, a, n, first)));
             }
             case "length" -> {
@@ -425,8 +426,10 @@
             case "lower" -> {
                 args(t, 1, 1);
                 Node a = bounded(t, bytesArg(t, 0));
-                if (a.type.most() > LONGEST_BYTES) throw bad(t, "makes more than " + LONGEST_BYTES + " bytes", null);
-                return fold(program.same(key("lower", a), () -> new Node.Lower(a, program.scratch(a.type.most()))));
+                if (a.type.maxLength() > LONGEST_BYTES) throw bad(t, "makes more than " + LONGEST_BYTES + " bytes",
+                    null);
+                return fold(program.same(key("lower", a), () ->
+                    new Node.Lower(a, program.scratch(a.type.maxLength()))));
             }
             case "hash" -> {
                 args(t, 1, 1);
@@ -435,14 +438,14 @@
                 if (!bytes && a.type.kind() != Kind.INT) throw bad(t.args().get(0),
                     "hash() takes bytes or an integer", null);
                 if (bytes) bounded(t, a);
-                long own = bytes ? Node.plus(1, a.type.kind() == Kind.ADDRESS ? 16 : a.type.most()) : 1;
+                long own = bytes ? Node.plus(1, a.type.kind() == Kind.ADDRESS ? 16 : a.type.maxLength()) : 1;
                 return fold(program.same(key("hash", a), () -> new Node.Hash(a, own)));
             }
             case "bucket" -> {
                 args(t, 2, 2);
                 long n = wholeArg(t, 1, 1, 1_000_000_000);
                 Node a = there(t.args().get(0));
-                Node h = a.type.kind() == Kind.INT ? a : call(new Tree.Call(t.from(), t.to(), "hash",
+                Node h = a.type.kind() == Kind.INT ? a : call(new SyntaxTree.Call(t.from(), t.to(), "hash",
                     List.of(t.args().get(0))));
                 return fold(program.same(key("bucket" + n, h), () -> new Node.Bucket(h, n)));
             }
@@ -477,18 +480,18 @@
         }
     }
 
-    private Node piece(Tree.Piece t) throws Refused {
-        boolean split = t.of() instanceof Tree.Call c && c.name().equals("split");
+    private Node piece(SyntaxTree.Piece t) throws ExpressionException {
+        boolean split = t.of() instanceof SyntaxTree.Call c && c.name().equals("split");
         if (!split) throw bad(t.of(), "only a split has pieces", FUNCTIONS.get("split"));
         Node n = compile(t.index());
         if (!(n instanceof Node.Const c && c.type.kind() == Kind.INT && c.whole >= 0 && c.whole < MOST_PIECES)) {
             throw bad(t.index(), "the number of a piece is a constant from 0", null);
         }
         pieces = (int) ((Node.Const) n).whole;
-        return split((Tree.Call) t.of());
+        return split((SyntaxTree.Call) t.of());
     }
 
-    private Node split(Tree.Call t) throws Refused {
+    private Node split(SyntaxTree.Call t) throws ExpressionException {
         int wanted = pieces;
         pieces = -1;
         if (wanted < 0) throw bad(t, "one piece of a split is used at a time", FUNCTIONS.get("split"));
@@ -498,12 +501,12 @@
         if (at.length == 0) throw bad(t.args().get(1), "nothing can be split at an empty text", null);
         int most = (int) wholeArg(t, 2, 1, MOST_PIECES);
         if (wanted >= most) throw bad(t, "has pieces 0 to " + (most - 1) + ", never " + wanted, null);
-        long own = Node.plus(1, Node.times(a.type.most(), at.length));
+        long own = Node.plus(1, Node.times(a.type.maxLength(), at.length));
         String k = key("split" + HexFormat.of().formatHex(at) + ' ' + wanted + ' ' + most, a);
         return program.same(k, () -> new Node.Piece(a, at, wanted, most, own));
     }
 
-    private Node cidr(Tree.Call t, Node a, String text) throws Refused {
+    private Node cidr(SyntaxTree.Call t, Node a, String text) throws ExpressionException {
         int slash = text.indexOf('/');
         try {
             byte[] net = address(slash < 0 ? text : text.substring(0, slash));
@@ -527,7 +530,7 @@
         }
     }
 
-    private Node matches(Tree.Call t, Node a, String pattern) throws Refused {
+    private Node matches(SyntaxTree.Call t, Node a, String pattern) throws ExpressionException {
         if (pattern.length() > LONGEST_PATTERN) throw bad(t.args().get(1), "longer than " + LONGEST_PATTERN, null);
         Pattern p;
         try {
@@ -536,7 +539,7 @@
             throw bad(t.args().get(1), "is no pattern: " + e.getDescription(), null);
         }
         // Each byte is met by every state of the automaton at most once, with a constant for each.
-        long own = Node.plus(1, Node.times(Node.plus(2, a.type.most()), p.programSize()));
+        long own = Node.plus(1, Node.times(Node.plus(2, a.type.maxLength()), p.programSize()));
         return program.same(key("matches" + pattern, a), () -> new Node.Matches(a, p, own));
     }
 }
--- a/src/main/java/mothcross/expr/Dispatch.java
+++ b/src/main/java/mothcross/expr/Dispatch.java
@@ -74,7 +74,7 @@
         for (int w = 0; w < may.length; w++) {
             for (long left = may[w]; left != 0; left &= left - 1) {
                 int i = 64 * w + Long.numberOfTrailingZeros(left);
-                if (i < all.length && all[i].truth(f)) return i;
+                if (i < all.length && all[i].evaluateBoolean(f)) return i;
             }
         }
         return -1;
@@ -82,7 +82,7 @@
 
     /** The same by trying all in order: what {@link #first} has to equal. */
     public int plainly(Frame f) {
-        for (int i = 0; i < all.length; i++) if (all[i].truth(f)) return i;
+        for (int i = 0; i < all.length; i++) if (all[i].evaluateBoolean(f)) return i;
         return -1;
     }
 
--- a/src/main/java/mothcross/expr/Refused.java
+++ b/src/main/java/mothcross/expr/ExpressionException.java
@@ -4,12 +4,12 @@
  * An expression that can't be taken: what is wrong, where in its text, and a way to write it that would be taken
  * where there is one. Failure is a value with its place here; must never be thrown while a request is evaluated.
  */
-public final class Refused extends Exception {
+public final class ExpressionException extends Exception {
     private static final long serialVersionUID = 1;
     private final String text, hint;
     private final int from, to;
 
-    Refused(String text, int from, int to, String message, String hint) {
+    ExpressionException(String text, int from, int to, String message, String hint) {
         super(message);
         this.text = text;
         this.from = Math.max(0, Math.min(from, text.length()));
@@ -35,7 +35,7 @@
     }
 
     /** Four lines at most: the message with its place, the line of the text, carets under the part, the hint. */
-    public String shown() {
+    public String describe() {
         int begin = text.lastIndexOf('\n', from - 1) + 1, end = text.indexOf('\n', from);
         if (end < 0) end = text.length();
         int carets = Math.max(1, Math.min(to, end) - from);
--- a/src/main/java/mothcross/expr/Inputs.java
+++ b/src/main/java/mothcross/expr/Inputs.java
@@ -9,27 +9,27 @@
  */
 public final class Inputs {
     /** Past the bound: the request is refused, or the value is cut there and marked. */
-    public enum Past { REFUSE, CUT }
+    public enum Overflow { REJECT, TRUNCATE }
 
     /** {@code number} is what {@link Frame.Request} knows it by. */
-    public record Input(String name, Type type, int number, Past past, boolean same) { }
+    public record Input(String name, Type type, int number, Overflow past, boolean same) { }
 
     private final Map<String, Input> all = new LinkedHashMap<>();
     private int headers;
     /** Inputs from this number on are headers, in the order in which they were first named. */
     public static final int FIRST_HEADER = 64;
 
-    public Inputs add(String name, Type type, int number, Past past, boolean same) {
+    public Inputs add(String name, Type type, int number, Overflow past, boolean same) {
         all.put(name, new Input(name, type, number, past, same));
         return this;
     }
 
     /** A header's name is taken without regard to case. */
-    public Inputs header(String name, long most, Past past, boolean same) {
+    public Inputs header(String name, long most, Overflow past, boolean same) {
         String key = headerKey(name);
         Input before = all.get(key);
         int number = before != null ? before.number : FIRST_HEADER + headers++;
-        all.put(key, new Input(key, Type.bytes(most).orAbsent(), number, past, same));
+        all.put(key, new Input(key, Type.bytes(most).asOptional(), number, past, same));
         return this;
     }
 
@@ -42,7 +42,7 @@
     }
 
     Input headerOrAny(String name) {
-        if (all.get(headerKey(name)) == null) header(name, Type.NO_BOUND, Past.CUT, false);
+        if (all.get(headerKey(name)) == null) header(name, Type.UNBOUNDED, Overflow.TRUNCATE, false);
         return all.get(headerKey(name));
     }
 
--- a/src/main/java/mothcross/expr/Node.java
+++ b/src/main/java/mothcross/expr/Node.java
@@ -132,10 +132,10 @@
             f.whole[slot] = 0;
             f.number[slot] = 0;
             f.request.read(input.number(), f, slot);
-            if (type.kind() != Type.Kind.BYTES || length(f) <= type.most()) return;
-            f.to[slot] = f.from[slot] + (int) type.most();
+            if (type.kind() != Type.Kind.BYTES || length(f) <= type.maxLength()) return;
+            f.to[slot] = f.from[slot] + (int) type.maxLength();
             f.cut[slot] = true;
-            if (input.past() == Inputs.Past.REFUSE) f.past(input.name());
+            if (input.past() == Inputs.Overflow.REJECT) f.past(input.name());
         }
     }
 
@@ -442,7 +442,7 @@
         private final int number, most;
 
         Piece(Node a, byte[] at, int number, int most, long own) {
-            super(a.type.there().orAbsent(), own, a);
+            super(a.type.there().asOptional(), own, a);
             this.a = a;
             this.at = at;
             this.number = number;
@@ -506,7 +506,7 @@
         private final int place;
 
         Joined(Type type, Node a, Node b, int place) {
-            super(type, plus(1, type.most()), a, b);
+            super(type, plus(1, type.maxLength()), a, b);
             this.a = a;
             this.b = b;
             this.place = place;
@@ -528,7 +528,7 @@
         private final int place;
 
         Lower(Node a, int place) {
-            super(a.type, plus(1, a.type.most()), a);
+            super(a.type, plus(1, a.type.maxLength()), a);
             this.a = a;
             this.place = place;
         }
@@ -552,7 +552,7 @@
         private final int base, most;
 
         Digits(Node a, int base) {
-            super(Type.INT.orAbsent(), 21, a);
+            super(Type.INT.asOptional(), 21, a);
             this.a = a;
             this.base = base;
             this.most = base == 16 ? 16 : 19;
--- a/src/main/java/mothcross/expr/Parser.java
+++ b/src/main/java/mothcross/expr/Parser.java
@@ -22,18 +22,18 @@
         this.text = text;
     }
 
-    static Tree parse(String text) throws Refused {
+    static SyntaxTree parse(String text) throws ExpressionException {
         Parser p = new Parser(text);
         if (text.length() > LONGEST) throw p.bad(LONGEST, text.length(), "longer than " + LONGEST + " characters",
             null);
-        Tree t = p.level(0);
+        SyntaxTree t = p.level(0);
         p.blank();
         if (p.at < text.length()) throw p.bad(p.at, p.at + 1, "nothing more is expected here", null);
         return t;
     }
 
-    private Refused bad(int from, int to, String message, String hint) {
-        return new Refused(text, from, to, message, hint);
+    private ExpressionException bad(int from, int to, String message, String hint) {
+        return new ExpressionException(text, from, to, message, hint);
     }
 
     private void blank() {
@@ -59,7 +59,7 @@
         return here;
     }
 
-    private void need(String what, String why) throws Refused {
+    private void need(String what, String why) throws ExpressionException {
         blank();
         if (!next(what)) throw bad(at, at + 1, "'" + what + "' is expected here, " + why, null);
     }
@@ -68,17 +68,17 @@
         return Character.isLetterOrDigit(c) || c == '_';
     }
 
-    private Tree level(int level) throws Refused {
+    private SyntaxTree level(int level) throws ExpressionException {
         if (++depth > DEEPEST * (LEVELS.length + 1)) throw bad(at, at + 1, "nested too deeply", null);
         try {
             if (level == LEVELS.length) return unary();
-            Tree a = level(level + 1);
+            SyntaxTree a = level(level + 1);
             while (true) {
                 String op = null;
                 for (String o : LEVELS[level]) if (op == null && next(o)) op = o;
                 if (op == null) return a;
-                Tree b = op.equals("in") ? among() : level(level + 1);
-                a = new Tree.Binary(a.from(), b.to(), op, a, b);
+                SyntaxTree b = op.equals("in") ? among() : level(level + 1);
+                a = new SyntaxTree.Binary(a.from(), b.to(), op, a, b);
                 // Comparisons do not chain: a < b < c would compare a truth.
                 if (level == 2) return a;
             }
@@ -87,62 +87,62 @@
         }
     }
 
-    private Tree among() throws Refused {
+    private SyntaxTree among() throws ExpressionException {
         blank();
         int from = at;
         if (!next("[")) {
-            Tree low = level(4);
+            SyntaxTree low = level(4);
             need("..", "between the ends of a range");
-            Tree high = level(4);
-            return new Tree.Range(from, high.to(), low, high);
+            SyntaxTree high = level(4);
+            return new SyntaxTree.Range(from, high.to(), low, high);
         }
-        List<Tree> all = list("]");
-        return new Tree.Among(from, at, all);
+        List<SyntaxTree> all = list("]");
+        return new SyntaxTree.Among(from, at, all);
     }
 
-    private List<Tree> list(String end) throws Refused {
-        List<Tree> all = new ArrayList<>();
+    private List<SyntaxTree> list(String end) throws ExpressionException {
+        List<SyntaxTree> all = new ArrayList<>();
         if (next(end)) return all;
         do all.add(level(0)); while (next(","));
         need(end, "at the end of the list");
         return all;
     }
 
-    private Tree unary() throws Refused {
+    private SyntaxTree unary() throws ExpressionException {
         blank();
         int from = at;
         for (String op : new String[] {"!", "-"}) {
             if (!next(op)) continue;
             if (++depth > DEEPEST * (LEVELS.length + 1)) throw bad(at, at + 1, "nested too deeply", null);
-            Tree a = unary();
+            SyntaxTree a = unary();
             depth--;
-            return new Tree.Unary(from, a.to(), op, a);
+            return new SyntaxTree.Unary(from, a.to(), op, a);
         }
-        Tree t = primary();
+        SyntaxTree t = primary();
         while (next("[")) {
-            Tree index = level(0);
+            SyntaxTree index = level(0);
             need("]", "after the number of the piece");
-            t = new Tree.Piece(t.from(), at, t, index);
+            t = new SyntaxTree.Piece(t.from(), at, t, index);
         }
         return t;
     }
 
-    private Tree primary() throws Refused {
+    private SyntaxTree primary() throws ExpressionException {
         blank();
         int from = at;
         if (at == text.length()) throw bad(at, at + 1, "the expression ends where a value is expected", null);
         if (next("(")) {
-            Tree t = level(0);
+            SyntaxTree t = level(0);
             need(")", "to close the one at column " + (from + 1));
             return t;
         }
         if (next("if")) {
-            Tree c = level(0);
+            SyntaxTree c = level(0);
             need("then", "after the condition");
-            Tree yes = level(0);
+            SyntaxTree yes = level(0);
             need("else", "since every choice needs both ways");
-            Tree no = level(0);
-            return new Tree.Choice(from, no.to(), c, yes, no);
+            SyntaxTree no = level(0);
+            return new SyntaxTree.Choice(from, no.to(), c, yes, no);
         }
         char c = text.charAt(at);
         if (c == '\'' || c == '"') return quoted(c);
@@ -150,15 +150,15 @@
         if (!Character.isLetter(c) && c != '_') throw bad(at, at + 1, "a value is expected here", null);
         while (at < text.length() && wordly(text.charAt(at))) at++;
         String name = text.substring(from, at);
-        if (name.equals("true") || name.equals("false")) return new Tree.Truth(from, at, name.equals("true"));
+        if (name.equals("true") || name.equals("false")) return new SyntaxTree.Truth(from, at, name.equals("true"));
         if (next("(")) {
-            List<Tree> args = list(")");
-            return new Tree.Call(from, at, name, args);
+            List<SyntaxTree> args = list(")");
+            return new SyntaxTree.Call(from, at, name, args);
         }
-        return new Tree.Name(from, at, name);
+        return new SyntaxTree.Name(from, at, name);
     }
 
-    private Tree number() throws Refused {
+    private SyntaxTree number() throws ExpressionException {
         int from = at;
         while (at < text.length() && Character.isDigit(text.charAt(at))) at++;
         boolean range = text.startsWith("..", at);
@@ -169,17 +169,17 @@
         String digits = text.substring(from, at);
         int unit = at;
         while (at < text.length() && Character.isLetter(text.charAt(at))) at++;
-        return new Tree.Number(from, at, digits, text.substring(unit, at));
+        return new SyntaxTree.Number(from, at, digits, text.substring(unit, at));
     }
 
-    private Tree quoted(char mark) throws Refused {
+    private SyntaxTree quoted(char mark) throws ExpressionException {
         int from = at++;
         ByteArrayOutputStream b = new ByteArrayOutputStream();
         while (true) {
             if (at >= text.length()) throw bad(from, at, "the text does not end", null);
             int c = text.codePointAt(at);
             at += Character.charCount(c);
-            if (c == mark) return new Tree.Text(from, at, b.toByteArray());
+            if (c == mark) return new SyntaxTree.Text(from, at, b.toByteArray());
             if (c != '\\') {
                 b.writeBytes(new String(Character.toChars(c)).getBytes(StandardCharsets.UTF_8));
                 continue;
--- a/src/main/java/mothcross/expr/Program.java
+++ b/src/main/java/mothcross/expr/Program.java
@@ -41,11 +41,11 @@
         }
 
         /** Whether a client's retry of the same lookup has the same value; else the input that may differ. */
-        public String differsBy() {
+        public String retryVariantInput() {
             return differs(root);
         }
 
-        public boolean truth(Frame f) {
+        public boolean evaluateBoolean(Frame f) {
             return root.truth(f);
         }
 
@@ -65,14 +65,14 @@
         }
 
         /** For people: the value as text, "absent" where it is. */
-        public String shown(Frame f) {
+        public String describe(Frame f) {
             return Program.shown(root, f);
         }
     }
 
     private final Inputs inputs;
     private final Map<String, Node> parts = new LinkedHashMap<>();      // by what they say: the same is made once
-    private final Map<String, Tree> names = new HashMap<>();
+    private final Map<String, SyntaxTree> names = new HashMap<>();
     private final Map<String, String> nameTexts = new HashMap<>();
     private int scratch;
 
@@ -90,14 +90,14 @@
     }
 
     /** A name for an expression that others may use; it may use those named before it. */
-    public void name(String name, String text) throws Refused {
-        Tree t = Parser.parse(text);
+    public void name(String name, String text) throws ExpressionException {
+        SyntaxTree t = Parser.parse(text);
         new Compiler(this, text).compile(t);
         names.put(name, t);
         nameTexts.put(name, text);
     }
 
-    Tree named(String name) {
+    SyntaxTree named(String name) {
         return names.get(name);
     }
 
@@ -110,8 +110,8 @@
     }
 
     /** Compiles an expression, which may cost {@code budget} steps at most. */
-    public Expression compile(String text, long budget) throws Refused {
-        Tree t = Parser.parse(text);
+    public Expression compile(String text, long budget) throws ExpressionException {
+        SyntaxTree t = Parser.parse(text);
         Compiler c = new Compiler(this, text);
         Node root = c.compile(t);
         if (root.cost > budget) throw c.tooDear(t, root, budget);
@@ -129,7 +129,7 @@
     }
 
     /** What a request can cost at most, whatever is evaluated of all that was compiled: each part comes once. */
-    public long worst() {
+    public long worstCaseSteps() {
         long sum = 0;
         for (Node n : parts.values()) sum = Node.plus(sum, n.own);
         return sum;
--- a/src/main/java/mothcross/membership/Membership.java
+++ b/src/main/java/mothcross/membership/Membership.java
@@ -13,8 +13,8 @@
 
 /**
  * What is believed about the boxes of the fleet while discovery may be down: the list, how old each entry's
- * word is, what the boxes show of themselves, and what news changes. States and moves stand at {@link Belief}
- * and {@link Standing}. It is told the time, the chance and all news, and says through {@link Changes} what
+ * word is, what the boxes show of themselves, and what news changes. States and moves stand at {@link NodeEntry}
+ * and {@link NodeState}. It is told the time, the chance and all news, and says through {@link Changes} what
  * changes for the module. Must never read a clock, a file or a socket, never apply an event twice, and never
  * hold up or soften a drain.
  */
@@ -22,35 +22,35 @@
     /** What the module, the log and the disk are told. */
     public interface Changes {
         /** The entry's use, address or start is another one than was said before. */
-        void changed(Told entry, Standing was, Standing is, double coldSince, String why);
+        void changed(ListedNode entry, NodeState was, NodeState is, double coldSince, String why);
     }
 
     /** What became of a list or event of discovery. */
-    public enum Taken { APPLIED, KNOWN_ALREADY, OLDER, EMPTY, SHRUNK, STARTED_OVER, DRAINS_ONLY }
+    public enum UpdateResult { APPLIED, KNOWN_ALREADY, OLDER, EMPTY, SHRUNK, STARTED_OVER, DRAINS_ONLY }
 
     private static final int FEW = 4;                       // so many cannot shrink strongly
     private static final double NOTED_PART = 10;            // an answer is noted down after a tenth of the recent age
 
-    private Ages ages;
+    private AgeLimits ages;
     private final SplittableRandom chance;
     private final Changes changes;
     private final double purgesRunMs;
-    private final Map<String, Belief> beliefs = new LinkedHashMap<>();     // by id; what is gone leaves by age
-    private final Map<String, Belief> byAddress = new HashMap<>();         // the one box that is at an address
+    private final Map<String, NodeEntry> beliefs = new LinkedHashMap<>();  // by id; what is gone leaves by age
+    private final Map<String, NodeEntry> byAddress = new HashMap<>();      // the one box that is at an address
     private final List<Purge> purges = new ArrayList<>();                  // in the order told; run out by time
-    private PMap<String, Told> kept = HashTreePMap.empty();
+    private PMap<String, ListedNode> kept = HashTreePMap.empty();
     private long number;
     private double heardAt = Double.NEGATIVE_INFINITY;      // discovery stood behind the whole list
     private boolean everTold;                               // any list in this run
     private boolean urgent, dirty;
     // The list being read.
     private boolean whole, sawAny, behind, drainsOnly;
-    private int namedInService, inServiceBefore, wentUnnamed;
-    private final long[][] moves = new long[Standing.values().length][Standing.values().length];
-    private final long[] taken = new long[Taken.values().length];
+    private int namedInService, inServiceBefore, unlistedCount;
+    private final long[][] moves = new long[NodeState.values().length][NodeState.values().length];
+    private final long[] taken = new long[UpdateResult.values().length];
 
     /** A purge is kept for {@code purgesRunMs} after it was issued. */
-    public Membership(Ages ages, double purgesRunMs, SplittableRandom chance, Changes changes) {
+    public Membership(AgeLimits ages, double purgesRunMs, SplittableRandom chance, Changes changes) {
         this.ages = ages;
         this.purgesRunMs = purgesRunMs;
         this.chance = chance;
@@ -58,23 +58,23 @@
     }
 
     /** Other figures hold from now on. */
-    public void ages(Ages anew, double now) {
+    public void ages(AgeLimits anew, double now) {
         ages = anew;
-        ticks(now);
+        tick(now);
     }
 
     // ---- the start ----
 
     /** What the disk holds. Nothing of it counts as told in this run. */
-    public void restore(Kept from, double now) {
-        number = from.number();
-        heardAt = from.heardAt();
-        for (Told t : from.entries().values()) {
-            Belief b = new Belief(t);
+    public void restore(MembershipSnapshot from, double now) {
+        number = from.lastEvent();
+        heardAt = from.confirmedAt();
+        for (ListedNode t : from.entries().values()) {
+            NodeEntry b = new NodeEntry(t);
             beliefs.put(t.id(), b);
-            if (t.told() != Director.REMOVED) byAddress.put(t.address(), b);
+            if (t.status() != Director.REMOVED) byAddress.put(t.address(), b);
             // Never shown to the module before: warm unless the list said when it started.
-            if (t.startedAt() == 0) b.coldSince = Belief.LONG;
+            if (t.startedAt() == 0) b.coldSince = NodeEntry.LONG;
             settle(b, now);
         }
         for (Purge p : from.purges()) if (now - p.at() <= purgesRunMs) purges.add(p);
@@ -98,23 +98,23 @@
      * bear numbers that were others' here: of their changes only drains and boxes gone are taken, which are never
      * wrong to keep.
      */
-    public Taken begins(long event, boolean wholeList, double now) {
+    public UpdateResult listStarted(long event, boolean wholeList, double now) {
         if (event <= number) {
             boolean none = beliefs.values().stream().noneMatch(b -> b.standing.usable());
             if (!wholeList && behind) {
                 whole = false;
                 drainsOnly = true;
-                return count(Taken.DRAINS_ONLY);
+                return count(UpdateResult.DRAINS_ONLY);
             }
             if (!wholeList || event == number || !none) {
-                return count(event == number || !wholeList ? Taken.KNOWN_ALREADY : Taken.OLDER);
+                return count(event == number || !wholeList ? UpdateResult.KNOWN_ALREADY : UpdateResult.OLDER);
             }
             startOver(now);
             begin(event, true);
-            return count(Taken.STARTED_OVER);
+            return count(UpdateResult.STARTED_OVER);
         }
         begin(event, wholeList);
-        return count(Taken.APPLIED);
+        return count(UpdateResult.APPLIED);
     }
 
     private void begin(long event, boolean wholeList) {
@@ -122,31 +122,31 @@
         whole = wholeList;
         behind = drainsOnly = false;
         sawAny = false;
-        namedInService = wentUnnamed = 0;
+        namedInService = unlistedCount = 0;
         inServiceBefore = 0;
-        for (Belief b : beliefs.values()) {
+        for (NodeEntry b : beliefs.values()) {
             b.named = false;
             if (b.standing.usable()) inServiceBefore++;
         }
     }
 
     /** One entry of the list or changes that have begun. */
-    public void told(String id, String host, int port, String place, String kind, int cell, int standing,
+    public void nodeListed(String id, String host, int port, String place, String kind, int cell, int standing,
                      double units, double startedAt, double now) {
         sawAny = true;
-        Told t = new Told(id, host, port, place, kind, cell, standing, units, startedAt, now, 0, true);
-        Belief b = beliefs.get(id);
+        ListedNode t = new ListedNode(id, host, port, place, kind, cell, standing, units, startedAt, now, 0, true);
+        NodeEntry b = beliefs.get(id);
         if (b == null && standing == Director.REMOVED || drainsOnly && standing == Director.IN_SERVICE) return;
         boolean isNew = b == null;
         if (isNew) {
-            beliefs.put(id, b = new Belief(t));
+            beliefs.put(id, b = new NodeEntry(t));
             // The first list of a run tells of boxes that have run; what comes later with no start time is
             // taken for just started.
-            if (startedAt == 0) b.coldSince = whole && !everTold ? Belief.LONG : now;
+            if (startedAt == 0) b.coldSince = whole && !everTold ? NodeEntry.LONG : now;
         }
         boolean moved = !isNew && !b.told.address().equals(t.address());
         boolean restarted = !isNew && startedAt != 0 && startedAt != b.told.startedAt();
-        boolean back = !isNew && b.told.told() == Director.REMOVED;
+        boolean back = !isNew && b.told.status() == Director.REMOVED;
         boolean withheld = !Double.isNaN(b.withheldAt);
         if (moved || restarted || back) b.forgetEvidence();
         if (moved && byAddress.get(b.told.address()) == b) byAddress.remove(b.told.address());
@@ -156,7 +156,7 @@
         else if (!isNew) b.coldSince = known(b);
         double answered = moved || restarted || back || isNew ? 0 : b.told.answeredAt();
         b.told = answered > 0 ? t.answered(answered) : t;
-        if (startedAt == 0 && b.coldSince > Belief.LONG) b.told = b.told.started(b.coldSince);
+        if (startedAt == 0 && b.coldSince > NodeEntry.LONG) b.told = b.told.started(b.coldSince);
         b.withheldAt = Double.NaN;
         b.thisRun = b.named = true;
         if (standing == Director.IN_SERVICE) namedInService++;
@@ -167,9 +167,9 @@
     }
 
     /** One box an address: whoever was told last has it, and what was there before is gone. */
-    private void takeAddress(Belief b, double now) {
-        Belief before = byAddress.put(b.told.address(), b);
-        if (before == null || before == b || before.told.told() == Director.REMOVED) return;
+    private void takeAddress(NodeEntry b, double now) {
+        NodeEntry before = byAddress.put(b.told.address(), b);
+        if (before == null || before == b || before.told.status() == Director.REMOVED) return;
         gone(before, "its address is that of " + b.told.id() + " now", now);
     }
 
@@ -180,22 +180,22 @@
      * origin neither: it tells of no drain. What was known stays and ages, and discovery stands behind none of it
      * until it names it again.
      */
-    public Taken ends(double now) {
-        if (drainsOnly) return Taken.DRAINS_ONLY;
+    public UpdateResult listFinished(double now) {
+        if (drainsOnly) return UpdateResult.DRAINS_ONLY;
         if (whole && !sawAny && inServiceBefore > 0) {
-            for (Belief b : beliefs.values()) {
-                if (b.told.told() != Director.IN_SERVICE) continue;
+            for (NodeEntry b : beliefs.values()) {
+                if (b.told.status() != Director.IN_SERVICE) continue;
                 b.told = b.told.unbacked(heardAt);
                 keep(b, false);
             }
-            return count(Taken.EMPTY);
+            return count(UpdateResult.EMPTY);
         }
-        Taken result = Taken.APPLIED;
+        UpdateResult result = UpdateResult.APPLIED;
         if (whole) {
             boolean shrunk = inServiceBefore >= FEW && namedInService < ages.shrunkBelow() * inServiceBefore;
-            for (Belief b : new ArrayList<>(beliefs.values())) {
-                if (b.named || b.told.told() == Director.REMOVED) continue;
-                wentUnnamed++;
+            for (NodeEntry b : new ArrayList<>(beliefs.values())) {
+                if (b.named || b.told.status() == Director.REMOVED) continue;
+                unlistedCount++;
                 if (!shrunk) gone(b, "missing from the whole list", now);
                 else if (Double.isNaN(b.withheldAt)) {
                     b.withheldAt = now;
@@ -203,7 +203,7 @@
                     settle(b, now);
                 }
             }
-            if (shrunk) result = count(Taken.SHRUNK);
+            if (shrunk) result = count(UpdateResult.SHRUNK);
         }
         everTold = true;
         dirty = true;
@@ -212,8 +212,8 @@
     }
 
     /** How many the whole list read last left out. */
-    public int wentUnnamed() {
-        return wentUnnamed;
+    public int unlistedCount() {
+        return unlistedCount;
     }
 
     public void purged(long event, long object, int group, double at, double now) {
@@ -228,7 +228,7 @@
      * Discovery says that {@code event} is its last. Where that is ours it stands behind the list; with an
      * earlier one it is older than what we know and stands behind nothing: false.
      */
-    public boolean standsBehind(long event, double now) {
+    public boolean confirmUpTo(long event, double now) {
         behind = event < number;
         if (behind) return false;
         if (event == number) heard(now);
@@ -241,34 +241,34 @@
     }
 
     /** With nothing known that is usable, an older discovery is better than none: true where all is forgotten. */
-    public boolean startsOverFrom(long event, double now) {
+    public boolean resetIfUnusable(long event, double now) {
         if (event >= number || beliefs.values().stream().anyMatch(b -> b.standing.usable())) return false;
         startOver(now);
-        count(Taken.STARTED_OVER);
+        count(UpdateResult.STARTED_OVER);
         return true;
     }
 
     private void heard(double now) {
-        boolean late = now - heardAt > ages.recent();
+        boolean late = now - heardAt > ages.recentMs();
         heardAt = now;
-        for (Belief b : beliefs.values()) {
-            if (!b.told.backed()) continue;
+        for (NodeEntry b : beliefs.values()) {
+            if (!b.told.confirmed()) continue;
             if (b.thisRun && !late) continue;
             // It says that nothing is new since the event that is known here, so every entry is told again.
             b.thisRun = true;
-            if (b.told.told() == Director.IN_SERVICE) b.coldSince = known(b);
+            if (b.told.status() == Director.IN_SERVICE) b.coldSince = known(b);
             settle(b, now);
         }
     }
 
-    private static double known(Belief b) {
-        return b.told.startedAt() != 0 ? b.told.startedAt() : Belief.LONG;
+    private static double known(NodeEntry b) {
+        return b.told.startedAt() != 0 ? b.told.startedAt() : NodeEntry.LONG;
     }
 
     /** All is forgotten, and the numbers begin anew: only what discovery tells next is believed. */
     private void startOver(double now) {
-        for (Belief b : new ArrayList<>(beliefs.values())) {
-            if (b.told.told() != Director.REMOVED) gone(b, "the list is started over", now);
+        for (NodeEntry b : new ArrayList<>(beliefs.values())) {
+            if (b.told.status() != Director.REMOVED) gone(b, "the list is started over", now);
         }
         number = 0;
         behind = false;
@@ -303,42 +303,42 @@
     }
 
     public void answered(String id, double now) {
-        Belief b = beliefs.get(id);
+        NodeEntry b = beliefs.get(id);
         if (b == null) return;
         boolean fresh = b.answered(now, ages);
-        if (fresh || now - b.told.answeredAt() > ages.recent() / NOTED_PART) {
+        if (fresh || now - b.told.answeredAt() > ages.recentMs() / NOTED_PART) {
             b.told = fresh ? b.told.answered(now).started(now) : b.told.answered(now);
             keep(b, false);
         }
-        if (b.standing != Standing.TOLD) settle(b, now);
+        if (b.standing != NodeState.TOLD) settle(b, now);
     }
 
     /** {@code refused}: no connection came up; else one was cut off, or ended in silence, under a hop. */
     public void failed(String id, boolean refused, double now) {
-        Belief b = beliefs.get(id);
+        NodeEntry b = beliefs.get(id);
         if (b == null) return;
         b.failed(refused, now, ages, chance.nextDouble());
-        if (b.standing != Standing.TOLD) settle(b, now);
+        if (b.standing != NodeState.TOLD) settle(b, now);
     }
 
     // ---- time ----
 
     /** Moves what has aged; to be called about once a second. What is gone for long is forgotten. */
-    public void ticks(double now) {
-        for (Belief b : beliefs.values()) settle(b, now);
+    public void tick(double now) {
+        for (NodeEntry b : beliefs.values()) settle(b, now);
         boolean left = beliefs.values().removeIf(b -> {
-            boolean over = !b.standing.usable() && b.standing != Standing.REFUSED
-                && now - Math.max(b.told.toldAt(), b.told.told() == Director.IN_SERVICE && b.told.backed() ? heardAt
-                    : 0) > 2 * ages.old();
+            boolean over = !b.standing.usable() && b.standing != NodeState.REFUSED
+                && now - Math.max(b.told.listedAt(), b.told.status() == Director.IN_SERVICE && b.told.confirmed()
+                    ? heardAt : 0) > 2 * ages.oldMs();
             if (!over) return false;
-            if (b.told.told() != Director.REMOVED) gone(b, "told too long ago", now);
+            if (b.told.status() != Director.REMOVED) gone(b, "told too long ago", now);
             kept = kept.minus(b.told.id());
             return true;
         });
         dirty |= left | purges.removeIf(p -> now - p.at() > purgesRunMs);
     }
 
-    private void gone(Belief b, String why, double now) {
+    private void gone(NodeEntry b, String why, double now) {
         b.told = b.told.as(Director.REMOVED, now);
         b.why = why;
         b.withheldAt = Double.NaN;
@@ -347,25 +347,25 @@
         settle(b, now);
     }
 
-    private void settle(Belief b, double now) {
+    private void settle(NodeEntry b, double now) {
         settle(b, now, false);
     }
 
-    private void settle(Belief b, double now, boolean anew) {
-        Standing was = b.standing, is = b.now(now, heardAt, ages);
+    private void settle(NodeEntry b, double now, boolean anew) {
+        NodeState was = b.standing, is = b.now(now, heardAt, ages);
         if (is == was && !anew) return;
         // A withheld box that stays away is gone for good.
-        if (is == Standing.GONE && b.told.told() != Director.REMOVED) {
+        if (is == NodeState.GONE && b.told.status() != Director.REMOVED) {
             gone(b, b.why, now);
             return;
         }
         b.standing = is;
         moves[was == null ? is.ordinal() : was.ordinal()][is.ordinal()]++;
-        if (is == Standing.OLD) b.unsure(now);
+        if (is == NodeState.OLD) b.unsure(now);
         changes.changed(b.told, was, is, b.coldSince, b.why);
     }
 
-    private void keep(Belief b, boolean atOnce) {
+    private void keep(NodeEntry b, boolean atOnce) {
         kept = kept.plus(b.told.id(), b.told);
         dirty = true;
         urgent |= atOnce;
@@ -388,31 +388,33 @@
     }
 
     /** What the disk should hold now. Withheld boxes are kept as gone: after a restart nobody waits for them. */
-    public Kept kept(String fleet, String director, double now) {
-        PMap<String, Told> all = kept;
-        for (Belief b : beliefs.values()) {
-            if (b.standing == Standing.WITHHELD) all = all.plus(b.told.id(), b.told.as(Director.REMOVED, b.withheldAt));
+    public MembershipSnapshot snapshot(String fleet, String director, double now) {
+        PMap<String, ListedNode> all = kept;
+        for (NodeEntry b : beliefs.values()) {
+            if (b.standing == NodeState.WITHHELD) {
+                all = all.plus(b.told.id(), b.told.as(Director.REMOVED, b.withheldAt));
+            }
         }
-        return new Kept(fleet, director, now, number, heardAt, all, List.copyOf(purges));
+        return new MembershipSnapshot(fleet, director, now, number, heardAt, all, List.copyOf(purges));
     }
 
-    public Standing standing(String id) {
-        Belief b = beliefs.get(id);
+    public NodeState stateOf(String id) {
+        NodeEntry b = beliefs.get(id);
         return b == null ? null : b.standing;
     }
 
-    public String why(String id) {
-        Belief b = beliefs.get(id);
+    public String reason(String id) {
+        NodeEntry b = beliefs.get(id);
         return b == null ? "not known" : b.why;
     }
 
-    public Collection<Told> entries() {
+    public Collection<ListedNode> entries() {
         return beliefs.values().stream().map(b -> b.told).toList();
     }
 
-    public int count(Standing s) {
+    public int count(NodeState s) {
         int n = 0;
-        for (Belief b : beliefs.values()) if (b.standing == s) n++;
+        for (NodeEntry b : beliefs.values()) if (b.standing == s) n++;
         return n;
     }
 
@@ -421,15 +423,15 @@
     }
 
     /** How often entries went from one standing to another; a new one counts as staying where it began. */
-    public long moves(Standing from, Standing to) {
+    public long moves(NodeState from, NodeState to) {
         return moves[from.ordinal()][to.ordinal()];
     }
 
-    public long taken(Taken t) {
+    public long updateCount(UpdateResult t) {
         return taken[t.ordinal()];
     }
 
-    private Taken count(Taken t) {
+    private UpdateResult count(UpdateResult t) {
         taken[t.ordinal()]++;
         return t;
     }
--- a/src/main/java/mothcross/membership/Belief.java
+++ b/src/main/java/mothcross/membership/NodeEntry.java
@@ -24,9 +24,9 @@
  *
  * Owns the evidence; must never be moved by a box's answer to a better standing than discovery's word allows.
  */
-final class Belief {
-    Told told;
-    Standing standing;
+final class NodeEntry {
+    ListedNode told;
+    NodeState standing;
     String why = "new";
     boolean thisRun;                       // named in this run, not only read from the disk
     boolean named;                         // in the whole list being read
@@ -37,7 +37,7 @@
     private int refusals, waits;
     static final double LONG = 1;
 
-    Belief(Told told) {
+    NodeEntry(ListedNode told) {
         this.told = told;
         this.coldSince = told.startedAt();
     }
@@ -57,8 +57,8 @@
     }
 
     /** True where its process must be taken for one that started just now: nobody told, or it was away. */
-    boolean answered(double now, Ages ages) {
-        boolean away = refusals >= ages.refusals() || Double.isNaN(firstAnswerAt) && standing == Standing.OLD;
+    boolean answered(double now, AgeLimits ages) {
+        boolean away = refusals >= ages.maxRefusals() || Double.isNaN(firstAnswerAt) && standing == NodeState.OLD;
         refusals = waits = 0;
         answeredAt = now;
         if (Double.isNaN(firstAnswerAt)) firstAnswerAt = now;
@@ -67,40 +67,42 @@
     }
 
     /** A connection that never came up ({@code refused}), or one cut off under a hop. */
-    void failed(boolean refused, double now, Ages ages, double chance) {
+    void failed(boolean refused, double now, AgeLimits ages, double chance) {
         firstAnswerAt = Double.NaN;
         answeredAt = Double.NEGATIVE_INFINITY;
         if (!refused) return;
         refusals++;
-        boolean gone = standing == Standing.OLD || standing == Standing.RECENT && refusals >= ages.refusals();
+        boolean gone = standing == NodeState.OLD || standing == NodeState.RECENT && refusals >= ages.maxRefusals();
         if (!gone) return;
-        double wait = Math.min(ages.tryAgainMost(), ages.tryAgain() * Math.pow(2, Math.min(30, waits++)));
+        double wait = Math.min(ages.maxRetryMs(), ages.retryMs() * Math.pow(2, Math.min(30, waits++)));
         triedAgainAt = now + wait * (0.75 + 0.5 * chance);
     }
 
     /** Where it should stand now; sets the reason. {@code heardAt}: when discovery last stood behind the list. */
-    Standing now(double now, double heardAt, Ages ages) {
-        if (told.told() == Director.DRAINING) return is(Standing.DRAINING, "told that it drains");
-        if (told.told() == Director.REMOVED) return is(Standing.GONE, why);
+    NodeState now(double now, double heardAt, AgeLimits ages) {
+        if (told.status() == Director.DRAINING) return is(NodeState.DRAINING, "told that it drains");
+        if (told.status() == Director.REMOVED) return is(NodeState.GONE, why);
         if (!Double.isNaN(withheldAt)) {
-            if (now - withheldAt <= ages.withheld()) return is(Standing.WITHHELD, "missing from a shrunken list");
-            return is(Standing.GONE, "missing from a shrunken list for too long");
+            if (now - withheldAt <= ages.withheldMs()) return is(NodeState.WITHHELD, "missing from a shrunken list");
+            return is(NodeState.GONE, "missing from a shrunken list for too long");
         }
-        double age = now - (told.backed() ? Math.max(told.toldAt(), heardAt) : told.toldAt());
+        double age = now - (told.confirmed() ? Math.max(told.listedAt(), heardAt) : told.listedAt());
         double seen = Math.max(told.answeredAt(), answeredAt);
         boolean waiting = now < triedAgainAt;
-        if (age <= ages.recent() && thisRun) return is(Standing.TOLD, "told in this run");
-        if (age <= ages.recent() && refusals < ages.refusals() && !waiting) {
-            return is(Standing.RECENT, "told before the restart, not long ago");
+        if (age <= ages.recentMs() && thisRun) return is(NodeState.TOLD, "told in this run");
+        if (age <= ages.recentMs() && refusals < ages.maxRefusals() && !waiting) {
+            return is(NodeState.RECENT, "told before the restart, not long ago");
         }
-        boolean answers = now - answeredAt <= ages.answersHold();
-        if (answers) return is(Standing.PROVEN, "discovery is silent, but the box answers");
-        if (age > ages.old() && now - seen > ages.old()) return is(Standing.TOO_OLD, "neither told nor heard for long");
-        if (waiting) return is(Standing.REFUSED, "its connections do not come up");
-        return is(Standing.OLD, refusals > 0 ? "not reached, tried again" : "not told for long, nor heard");
+        boolean answers = now - answeredAt <= ages.answerValidMs();
+        if (answers) return is(NodeState.PROVEN, "discovery is silent, but the box answers");
+        if (age > ages.oldMs() && now - seen > ages.oldMs()) {
+            return is(NodeState.TOO_OLD, "neither told nor heard for long");
+        }
+        if (waiting) return is(NodeState.REFUSED, "its connections do not come up");
+        return is(NodeState.OLD, refusals > 0 ? "not reached, tried again" : "not told for long, nor heard");
     }
 
-    private Standing is(Standing s, String reason) {
+    private NodeState is(NodeState s, String reason) {
         why = reason;
         return s;
     }
--- a/src/main/java/mothcross/membership/Standing.java
+++ b/src/main/java/mothcross/membership/NodeState.java
@@ -4,9 +4,9 @@
 
 /**
  * Where an entry of the list stands, and what the module is told of it. Must never say how it came there:
- * {@link Belief} moves entries.
+ * {@link NodeEntry} moves entries.
  */
-public enum Standing {
+public enum NodeState {
     /** Discovery named it in this run, or said within the recent age that nothing is new. */
     TOLD(Director.IN_SERVICE),
     /** From the disk, and told within the recent age. */
@@ -25,10 +25,10 @@
     GONE(Director.REMOVED);
 
     /** As the module knows it. */
-    public final int use;
+    public final int directorStatus;
 
-    Standing(int use) {
-        this.use = use;
+    NodeState(int use) {
+        this.directorStatus = use;
     }
 
     public String word() {
@@ -36,6 +36,6 @@
     }
 
     public boolean usable() {
-        return use == Director.IN_SERVICE || use == Director.UNCONFIRMED;
+        return directorStatus == Director.IN_SERVICE || directorStatus == Director.UNCONFIRMED;
     }
 }
--- a/src/main/java/mothcross/membership/WritePlan.java
+++ b/src/main/java/mothcross/membership/WriteScheduler.java
@@ -5,7 +5,7 @@
  * gathered within a longer one, never two writes closer together than the shorter bound, and after a failure
  * later and later. Decides about times only; must never hold the list itself.
  */
-public final class WritePlan {
+public final class WriteScheduler {
     /** Doubling waits after failed writes begin and end here, ms. */
     private static final double FIRST_RETRY = 1000, LAST_RETRY = 60_000;
     private final double urgentMs, gatherMs;
@@ -15,7 +15,7 @@
     private boolean writing;
 
     /** Half of each bound is for gathering, the other half for the write itself. */
-    public WritePlan(double urgentMs, double gatherMs) {
+    public WriteScheduler(double urgentMs, double gatherMs) {
         this.urgentMs = urgentMs / 2;
         this.gatherMs = Math.max(gatherMs, urgentMs) / 2;
     }
--- a/src/main/java/mothcross/net/ClientConnection.java
+++ b/src/main/java/mothcross/net/ClientConnection.java
@@ -399,7 +399,7 @@
             RouteTable.Outcome o = rules.route(workload, desk.mostHops(), now);
             if (o.status != 0) {
                 proven = true;
-                write(whole(status(o.status), advice(Math.min(o.comeBackAfter, desk.opening.maxRetryAfterMs)), ""));
+                write(whole(status(o.status), advice(Math.min(o.retryAfterMs, desk.opening.maxRetryAfterMs)), ""));
                 return;
             }
             as = o.workload;
--- a/src/main/java/mothcross/net/DiscoveryWatch.java
+++ b/src/main/java/mothcross/net/DiscoveryWatch.java
@@ -15,9 +15,9 @@
 import java.util.concurrent.TimeUnit;
 import mothcross.Director;
 import mothcross.adapter.DirectorSettings;
-import mothcross.membership.Kept;
+import mothcross.membership.ListedNode;
+import mothcross.membership.MembershipSnapshot;
 import mothcross.membership.Purge;
-import mothcross.membership.Told;
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.future.ConnectFuture;
 import org.pcollections.HashTreePMap;
@@ -114,14 +114,14 @@
     }
 
     /** The same as a list that was kept when the file was written. */
-    static Kept kept(JsonObject known, String fleet, String director, double writtenAt) {
+    static MembershipSnapshot kept(JsonObject known, String fleet, String director, double writtenAt) {
         JsonArray items = known.getAsJsonArray("items");
-        Map<String, Told> entries = new LinkedHashMap<>();
+        Map<String, ListedNode> entries = new LinkedHashMap<>();
         for (Member m : members(items)) {
-            entries.put(m.id, new Told(m.id, m.at.getHostString(), m.at.getPort(), m.place, m.kind, m.cell, m.standing,
-                m.units, m.started, writtenAt, 0, true));
+            entries.put(m.id, new ListedNode(m.id, m.at.getHostString(), m.at.getPort(), m.place, m.kind, m.cell,
+                m.standing, m.units, m.started, writtenAt, 0, true));
         }
-        return new Kept(fleet, director, writtenAt, known.get("no").getAsLong(), writtenAt,
+        return new MembershipSnapshot(fleet, director, writtenAt, known.get("no").getAsLong(), writtenAt,
             HashTreePMap.from(entries), purges(items));
     }
 
--- a/src/main/java/mothcross/net/Life.java
+++ b/src/main/java/mothcross/net/Life.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
 import mothcross.Workload;
-import mothcross.membership.WritePlan;
+import mothcross.membership.WriteScheduler;
 import mothcross.operators.Remembering;
 import mothcross.policy.Plan;
+import mothcross.route.RouteRules;
 import mothcross.route.RouteTable;
-import mothcross.route.Rules;
 import org.apache.mina.core.service.IoProcessor;
 import org.apache.mina.transport.socket.SocketSessionConfig;
 import org.apache.mina.transport.socket.nio.NioSession;
@@ -37,7 +37,7 @@
 
     private Start start;
     private Remembering remembering;
-    private Rules routes;
+    private RouteRules routes;
     private final Desk desk;
     private final DiscoveryWatch watch;
     private final Remembered remembered;            // null where the operators leave it off
@@ -87,7 +87,7 @@
     }
 
     /** {@code routes} null: every lookup goes as it was asked. */
-    public Life(Start start, Remembering remembering, Rules routes) {
+    public Life(Start start, Remembering remembering, RouteRules routes) {
         this(start, remembering);
         this.routes = routes;
     }
@@ -106,7 +106,7 @@
         desk = new Desk(start.opening, connector, start.mostHops);
         limits();
         remembered = remembering == null ? null : new Remembered(desk, remembering.ages(),
-            new WritePlan(remembering.urgentMs(), remembering.gatherMs()),
+            new WriteScheduler(remembering.urgentMs(), remembering.gatherMs()),
             keeper, remembering.fleet(), start.name, System.currentTimeMillis());
         watch = new DiscoveryWatch(desk, remembered == null ? new News.Straight(desk) : remembered, start.discovery);
         connector.setHandler(new Connection.Callbacks(desk, false));
@@ -168,14 +168,15 @@
     }
 
     /** The rules compiled for what this director is told; null where there are none. */
-    private static RouteTable table(Rules rules, Start told, RouteTable before) throws Start.Unusable {
+    private static RouteTable table(RouteRules rules, Start told, RouteTable before) throws Start.Unusable {
         if (rules == null) return null;
         List<String> faults = new ArrayList<>();
         RouteTable t = RouteTable.compile(rules, told.opening.workloads, told.opening.workloadTable,
             told.opening.directorsInZone, told.mostHops, before, faults);
         if (t == null) throw new Start.Unusable(String.join("; ", faults));
         for (String n : t.notes()) LOG.atWarn().addKeyValue("note", n).log("routes: a part can never matter");
-        LOG.atInfo().addKeyValue("rules", t.size()).addKeyValue("worst_steps", t.worst()).log("routes: compiled");
+        LOG.atInfo().addKeyValue("rules", t.size()).addKeyValue("worst_steps", t.worstCaseSteps())
+            .log("routes: compiled");
         return t;
     }
 
@@ -198,7 +199,7 @@
     }
 
     /** Rules made ready for what this director is told; null with their faults. */
-    public RouteTable compiled(Rules rules, List<String> faults) {
+    public RouteTable compiled(RouteRules rules, List<String> faults) {
         RouteTable[] before = new RouteTable[1];
         desk.locked(() -> before[0] = desk.rules == null ? null : desk.rules.table());
         return RouteTable.compile(rules, start.opening.workloads, start.opening.workloadTable,
@@ -220,7 +221,7 @@
     }
 
     /** The same with the operators' file read anew; what switches a feature on or off waits for the next start. */
-    public void reload(Start anew, Remembering features, Rules rules) throws Start.Unusable {
+    public void reload(Start anew, Remembering features, RouteRules rules) throws Start.Unusable {
         // All is compiled first; a lookup under way keeps what it came under, the next one meets the new table whole.
         boolean own = desk.current == null;                 // else its tables come from the fleet
         RouteTable table = own ? table(rules, start, desk.rules == null ? null : desk.rules.table()) : null;
@@ -246,7 +247,7 @@
             }
             boolean others = waits || !anew.settings.equals(start.settings);
             if (!waits && features != null && !features.equals(remembering)) {
-                remembered.takes(features.ages(), new WritePlan(features.urgentMs(), features.gatherMs()));
+                remembered.takes(features.ages(), new WriteScheduler(features.urgentMs(), features.gatherMs()));
                 remembering = features;
             }
             start = anew;
--- a/src/main/java/mothcross/net/ListKeeper.java
+++ b/src/main/java/mothcross/net/ListKeeper.java
@@ -1,8 +1,8 @@
 package mothcross.net;
 
 import java.io.IOException;
-import mothcross.membership.Kept;
-import mothcross.membership.ListFile;
+import mothcross.membership.MembershipSnapshot;
+import mothcross.membership.SnapshotFormat;
 
 /**
  * Where the kept list rests. Called by one thread at a time and never under the desk's lock; failures to write
@@ -10,13 +10,13 @@
  */
 public interface ListKeeper {
     /** What rests there; null where there is nothing yet. */
-    ListFile.Result read(double now, double skew);
+    SnapshotFormat.Result read(double now, double skew);
 
     /** False where another director writes there; this one then only reads. */
     boolean mayWrite();
 
     /** Returns once the list would survive a cut of power. */
-    void write(Kept list) throws IOException;
+    void write(MembershipSnapshot list) throws IOException;
 
     void close();
 }
--- a/src/main/java/mothcross/net/ListOnDisk.java
+++ b/src/main/java/mothcross/net/ListOnDisk.java
@@ -10,8 +10,8 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
-import mothcross.membership.Kept;
-import mothcross.membership.ListFile;
+import mothcross.membership.MembershipSnapshot;
+import mothcross.membership.SnapshotFormat;
 
 /**
  * A kept list as one file, replaced whole: written beside, synced, renamed, and the folder synced. Owns the file,
@@ -33,16 +33,17 @@
         this.lockFile = this.file.resolveSibling(this.file.getFileName() + ".lock");
     }
 
-    @Override public ListFile.Result read(double now, double skew) {
+    @Override public SnapshotFormat.Result read(double now, double skew) {
         try {
             if (Files.size(file) > LARGEST) {
-                return ListFile.Result.no(ListFile.Refusal.NOT_A_LIST, "larger than " + LARGEST + " bytes");
+                return SnapshotFormat.Result.failed(SnapshotFormat.ReadError.NOT_A_LIST, "larger than " + LARGEST
+                    + " bytes");
             }
-            return ListFile.read(Files.readAllBytes(file), fleet, director, now, skew);
+            return SnapshotFormat.decode(Files.readAllBytes(file), fleet, director, now, skew);
         } catch (NoSuchFileException e) {
             return null;
         } catch (IOException e) {
-            return ListFile.Result.no(ListFile.Refusal.UNREADABLE, e.getClass().getSimpleName() + ": "
+            return SnapshotFormat.Result.failed(SnapshotFormat.ReadError.UNREADABLE, e.getClass().getSimpleName() + ": "
                 + e.getMessage());
         }
     }
@@ -62,8 +63,8 @@
         return lock != null;
     }
 
-    @Override public void write(Kept list) throws IOException {
-        ByteBuffer bytes = ByteBuffer.wrap(ListFile.bytes(list));
+    @Override public void write(MembershipSnapshot list) throws IOException {
+        ByteBuffer bytes = ByteBuffer.wrap(SnapshotFormat.encode(list));
         try (FileChannel out = FileChannel.open(beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
             StandardOpenOption.TRUNCATE_EXISTING)) {
             while (bytes.hasRemaining()) out.write(bytes);
--- a/src/main/java/mothcross/net/Remembered.java
+++ b/src/main/java/mothcross/net/Remembered.java
@@ -12,14 +12,14 @@
 import java.util.SplittableRandom;
 import mothcross.Director;
 import mothcross.adapter.DirectorSettings;
-import mothcross.membership.Ages;
-import mothcross.membership.Kept;
-import mothcross.membership.ListFile;
+import mothcross.membership.AgeLimits;
+import mothcross.membership.ListedNode;
 import mothcross.membership.Membership;
+import mothcross.membership.MembershipSnapshot;
+import mothcross.membership.NodeState;
 import mothcross.membership.Purge;
-import mothcross.membership.Standing;
-import mothcross.membership.Told;
-import mothcross.membership.WritePlan;
+import mothcross.membership.SnapshotFormat;
+import mothcross.membership.WriteScheduler;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -34,12 +34,12 @@
     private static final double TICK_MS = 500;
     private static final int MOST_LINES = 20;               // of single boxes in a second; the rest is summed up
 
-    private record Change(Told entry, Standing is, double coldSince) { }
+    private record Change(ListedNode entry, NodeState is, double coldSince) { }
 
     private final Desk desk;
     private final DirectorSettings opening;
     private final Membership membership;
-    private WritePlan plan;
+    private WriteScheduler plan;
     private final ListKeeper keeper;
     private final String fleet, director;
     private final double skewMs;                        // asked for at the start only
@@ -49,9 +49,9 @@
     // What the module is to be told, by id, until the round that is under way ends.
     private final Map<String, Change> pending = new LinkedHashMap<>();
     private final Map<String, Integer> summed = new HashMap<>();
-    private final Map<ListFile.Refusal, Integer> refused = new EnumMap<>(ListFile.Refusal.class);
+    private final Map<SnapshotFormat.ReadError, Integer> refused = new EnumMap<>(SnapshotFormat.ReadError.class);
     private final Thread writer;
-    private Kept toWrite;                                   // guarded by this
+    private MembershipSnapshot toWrite;                     // guarded by this
     private boolean stopped;                                // guarded by this
     private boolean heardOfDiscovery, silent = true, saidOlder, stayed = true;
     private int lines, trusted, dropped;
@@ -59,10 +59,11 @@
     long writesDone, writesFailed;
 
     /** {@code wall} is the system's clock at the start, by which a list from the disk is judged. */
-    Remembered(Desk desk, Ages ages, WritePlan plan, ListKeeper keeper, String fleet, String director, double wall) {
+    Remembered(Desk desk, AgeLimits ages, WriteScheduler plan, ListKeeper keeper, String fleet, String director,
+               double wall) {
         this.desk = desk;
         this.opening = desk.opening;
-        this.skewMs = ages.skew();
+        this.skewMs = ages.clockSkewMs();
         this.plan = plan;
         this.keeper = keeper;
         this.fleet = fleet;
@@ -90,23 +91,23 @@
     // ---- the start ----
 
     /** What rests on disk, or what the told file knows ({@code known}, null where it has none), whichever is newer. */
-    void begin(Kept known) {
+    void begin(MembershipSnapshot known) {
         double now = now();
-        ListFile.Result disk = keeper.read(now, skewMs);
-        Kept kept = disk == null ? null : disk.kept();
-        if (disk != null && disk.refusal() != null) {
-            refused.merge(disk.refusal(), 1, Integer::sum);
-            LOG.atWarn().addKeyValue("reason", disk.refusal()).log("list: not used: {}", disk.text());
+        SnapshotFormat.Result disk = keeper.read(now, skewMs);
+        MembershipSnapshot kept = disk == null ? null : disk.snapshot();
+        if (disk != null && disk.error() != null) {
+            refused.merge(disk.error(), 1, Integer::sum);
+            LOG.atWarn().addKeyValue("reason", disk.error()).log("list: not used: {}", disk.text());
         }
-        if (known != null && (kept == null || known.number() > kept.number())) kept = known;
+        if (known != null && (kept == null || known.lastEvent() > kept.lastEvent())) kept = known;
         if (kept != null) {
             membership.restore(kept, now);
             LOG.atInfo().addKeyValue("from", kept == known ? "told file" : "disk")
-                .addKeyValue("event", kept.number()).addKeyValue("boxes", kept.entries().size())
-                .addKeyValue("age_s", Math.round((now - kept.heardAt()) / 1000))
-                .addKeyValue("recent", membership.count(Standing.RECENT))
-                .addKeyValue("old", membership.count(Standing.OLD))
-                .addKeyValue("too_old", membership.count(Standing.TOO_OLD)).log("list: read");
+                .addKeyValue("event", kept.lastEvent()).addKeyValue("boxes", kept.entries().size())
+                .addKeyValue("age_s", Math.round((now - kept.confirmedAt()) / 1000))
+                .addKeyValue("recent", membership.count(NodeState.RECENT))
+                .addKeyValue("old", membership.count(NodeState.OLD))
+                .addKeyValue("too_old", membership.count(NodeState.TOO_OLD)).log("list: read");
         } else {
             LOG.atInfo().log("list: none; all lookups wait for discovery");
         }
@@ -124,7 +125,7 @@
         desk.timers.set(new Timers.Timer() {
             @Override void fire() {
                 desk.round(to -> {
-                    membership.ticks(now());
+                    membership.tick(now());
                     flush(to);
                 });
                 tick();
@@ -133,7 +134,7 @@
     }
 
     /** The operators' figures anew; the file and the fleet stay until the next start. */
-    void takes(Ages anew, WritePlan times) {
+    void takes(AgeLimits anew, WriteScheduler times) {
         plan = times;
         plan.changed(false, now());
         desk.round(to -> {
@@ -153,15 +154,15 @@
     }
 
     @Override public boolean begins(Director to, long number, int news) {
-        Membership.Taken taken = membership.begins(number, news != Director.LIST_DELTA, now());
+        Membership.UpdateResult taken = membership.listStarted(number, news != Director.LIST_DELTA, now());
         switch (taken) {
             case OLDER -> older(number);
             case STARTED_OVER -> LOG.atWarn().addKeyValue("event", number)
                 .log("list: discovery is older than what was known, which is too old itself: started over");
             default -> { }
         }
-        return taken == Membership.Taken.APPLIED || taken == Membership.Taken.STARTED_OVER
-            || taken == Membership.Taken.DRAINS_ONLY;
+        return taken == Membership.UpdateResult.APPLIED || taken == Membership.UpdateResult.STARTED_OVER
+            || taken == Membership.UpdateResult.DRAINS_ONLY;
     }
 
     private void older(long number) {
@@ -173,7 +174,7 @@
 
     @Override public void listed(Director to, String id, InetSocketAddress address, int place, int kind, int cell,
                                  int standing, double units, double startedAt) {
-        membership.told(id, address.getHostString(), address.getPort(), name(opening.zones, place),
+        membership.nodeListed(id, address.getHostString(), address.getPort(), name(opening.zones, place),
             name(opening.kinds, kind), cell, standing, units, startedAt, now());
     }
 
@@ -183,14 +184,14 @@
 
     @Override public void ends(Director to) {
         int before = trusted, lost = dropped;
-        Membership.Taken taken = membership.ends(now());
-        if (taken == Membership.Taken.SHRUNK) {
-            LOG.atWarn().addKeyValue("missing", membership.wentUnnamed())
+        Membership.UpdateResult taken = membership.listFinished(now());
+        if (taken == Membership.UpdateResult.SHRUNK) {
+            LOG.atWarn().addKeyValue("missing", membership.unlistedCount())
                 .log("list: shrank strongly; what is missing gets nothing new and is withheld, not forgotten");
-        } else if (taken == Membership.Taken.EMPTY) {
+        } else if (taken == Membership.UpdateResult.EMPTY) {
             LOG.atWarn().log("list: discovery sent an empty one; what was known stays and ages");
         }
-        if (taken != Membership.Taken.EMPTY) back(trusted - before, dropped - lost);
+        if (taken != Membership.UpdateResult.EMPTY) back(trusted - before, dropped - lost);
         flush(to);
     }
 
@@ -202,9 +203,9 @@
 
     @Override public boolean nothingNew(Director to, long number) {
         int before = trusted, lost = dropped;
-        if (!membership.standsBehind(number, now())) {
+        if (!membership.confirmUpTo(number, now())) {
             older(number);
-            return membership.startsOverFrom(number, now());
+            return membership.resetIfUnusable(number, now());
         }
         if (number == membership.number()) back(trusted - before, dropped - lost);
         flush(to);
@@ -240,16 +241,16 @@
 
     // ---- what is believed, to the module ----
 
-    @Override public void changed(Told entry, Standing was, Standing is, double coldSince, String why) {
+    @Override public void changed(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
         pending.put(entry.id(), new Change(entry, is, coldSince));
         boolean first = was == null;
-        if (is.use == Director.IN_SERVICE && !first && was.use != Director.IN_SERVICE) trusted++;
+        if (is.directorStatus == Director.IN_SERVICE && !first && was.directorStatus != Director.IN_SERVICE) trusted++;
         if (!is.usable() && !first && was.usable()) dropped++;
-        if (!(first && is != Standing.TOLD)) say(entry, was, is, why);
+        if (!(first && is != NodeState.TOLD)) say(entry, was, is, why);
     }
 
     /** One line for a box; where very many change at once, their number. */
-    private void say(Told entry, Standing was, Standing is, String why) {
+    private void say(ListedNode entry, NodeState was, NodeState is, String why) {
         long second = System.nanoTime() / 1_000_000_000L;
         if (second != linesSince) {
             summed.forEach((what, n) -> LOG.atInfo().addKeyValue("boxes", n).log("list: {}", what));
@@ -273,10 +274,10 @@
             pending.clear();
             desk.listBegins(to, Director.LIST_DELTA);
             for (Change c : all) {
-                Told t = c.entry;
-                int place = opening.zones.indexOf(t.place()), kind = opening.kinds.indexOf(t.kind());
+                ListedNode t = c.entry;
+                int place = opening.zones.indexOf(t.zone()), kind = opening.kinds.indexOf(t.kind());
                 // A box of a place or kind that the settings no longer have can't be used.
-                int use = place < 0 || kind < 0 ? Director.REMOVED : c.is.use;
+                int use = place < 0 || kind < 0 ? Director.REMOVED : c.is.directorStatus;
                 desk.listed(to, t.id(), new InetSocketAddress(t.host(), t.port()), place, kind, t.cell(), use,
                     t.units(), c.coldSince);
             }
@@ -305,7 +306,7 @@
         }
         desk.timers.cancel(due);
         plan.begins(now);
-        Kept kept = membership.kept(fleet, director, Math.max(now, System.currentTimeMillis()));
+        MembershipSnapshot kept = membership.snapshot(fleet, director, Math.max(now, System.currentTimeMillis()));
         synchronized (this) {
             toWrite = kept;
             notifyAll();
@@ -314,7 +315,7 @@
 
     private void writeAll() {
         while (true) {
-            Kept kept;
+            MembershipSnapshot kept;
             synchronized (this) {
                 try {
                     while (toWrite == null && !stopped) wait();
@@ -361,7 +362,7 @@
             if (membership.takeDirty()) plan.changed(true, now);
             boolean left = writes && plan.due() != Double.POSITIVE_INFINITY;
             synchronized (this) {
-                if (left) toWrite = membership.kept(fleet, director, Math.max(now, System.currentTimeMillis()));
+                if (left) toWrite = membership.snapshot(fleet, director, Math.max(now, System.currentTimeMillis()));
                 if (left) plan.begins(now);
                 stopped = true;
                 notifyAll();
@@ -387,15 +388,17 @@
     /** For the line of counters. */
     String line() {
         StringBuilder s = new StringBuilder("; list:");
-        for (Standing x : Standing.values()) {
+        for (NodeState x : NodeState.values()) {
             int n = membership.count(x);
             if (n > 0) s.append(' ').append(x.word()).append(' ').append(n);
         }
         s.append(", event ").append(membership.number()).append(", written ").append(writesDone).append(" (failed ")
             .append(writesFailed).append(')');
-        for (Membership.Taken t : Membership.Taken.values()) {
-            boolean told = t != Membership.Taken.APPLIED && membership.taken(t) > 0;
-            if (told) s.append(", ").append(t.name().toLowerCase(Locale.ROOT)).append(' ').append(membership.taken(t));
+        for (Membership.UpdateResult t : Membership.UpdateResult.values()) {
+            boolean told = t != Membership.UpdateResult.APPLIED && membership.updateCount(t) > 0;
+            if (told) {
+                s.append(", ").append(t.name().toLowerCase(Locale.ROOT)).append(' ').append(membership.updateCount(t));
+            }
         }
         refused.forEach((r, n) -> s.append(", refused ").append(r.name().toLowerCase(Locale.ROOT)).append(' ')
             .append(n));
--- a/src/main/java/mothcross/net/Routing.java
+++ b/src/main/java/mothcross/net/Routing.java
@@ -4,7 +4,7 @@
 import mothcross.RouteConstraints;
 import mothcross.expr.Frame;
 import mothcross.expr.Inputs;
-import mothcross.route.Asked;
+import mothcross.route.RequestInputs;
 import mothcross.route.RouteTable;
 
 /**
@@ -32,7 +32,7 @@
     /** What is being asked goes by the new table from its next lookup on. */
     void take(RouteTable anew) {
         table = anew;
-        if (anew != null) anew.share(share);
+        if (anew != null) anew.scaleLimits(share);
         headers = anew == null ? new String[0] : anew.headers();
         from = new int[headers.length];
         to = new int[headers.length];
@@ -41,7 +41,7 @@
     /** What membership says of this director's part of each limit, in parts of the fixed one. */
     void share(double times) {
         share = times;
-        if (table != null) table.share(times);
+        if (table != null) table.scaleLimits(times);
     }
 
     // ---- the head, as it is read ----
@@ -87,8 +87,8 @@
     }
 
     static RouteConstraints narrowing(RouteTable.Outcome o, int mostHops) {
-        if (!o.placed && o.weight == 1 && o.mostHops == mostHops) return null;
-        return new RouteConstraints(o.placed, o.placedBy, o.mostHops, o.weight);
+        if (!o.hasPlacementKey && o.importanceShare == 1 && o.maxHops == mostHops) return null;
+        return new RouteConstraints(o.hasPlacementKey, o.placementKey, o.maxHops, o.importanceShare);
     }
 
     @Override public void read(int number, Frame f, int slot) {
@@ -98,23 +98,23 @@
             return;
         }
         switch (number) {
-            case Asked.WORKLOAD -> f.put(slot, bytes, nameFrom, nameTo);
-            case Asked.OBJECT -> f.put(slot, bytes, objectFrom, objectTo);
-            case Asked.TARGET -> f.put(slot, bytes, targetFrom, targetTo);
-            case Asked.PART -> {
+            case RequestInputs.WORKLOAD -> f.put(slot, bytes, nameFrom, nameTo);
+            case RequestInputs.OBJECT -> f.put(slot, bytes, objectFrom, objectTo);
+            case RequestInputs.TARGET -> f.put(slot, bytes, targetFrom, targetTo);
+            case RequestInputs.PART -> {
                 if (parted) f.put(slot, part);
             }
-            case Asked.GROUP -> {
+            case RequestInputs.GROUP -> {
                 if (group >= 0) f.put(slot, group);
             }
-            case Asked.SIZE -> {
+            case RequestInputs.SIZE -> {
                 if (sizeKb > 0) f.put(slot, 1000 * sizeKb);
             }
-            case Asked.WAIT -> {
+            case RequestInputs.WAIT -> {
                 if (wait >= 0) f.put(slot, wait);
             }
-            case Asked.RETRY -> f.put(slot, repeat ? 1L : 0L);
-            case Asked.CLIENT -> {
+            case RequestInputs.RETRY -> f.put(slot, repeat ? 1L : 0L);
+            case RequestInputs.CLIENT -> {
                 byte[] a = client.address();
                 f.put(slot, a, 0, a.length);
             }
--- a/src/main/java/mothcross/operators/Part.java
+++ b/src/main/java/mothcross/operators/Part.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.function.Function;
-import mothcross.route.Rules;
+import mothcross.route.RouteRules;
 
 /**
  * The parts of the operators' file. A feature adds its part to {@link #ALL}, and nowhere else: its name in the
@@ -10,7 +10,7 @@
  */
 public record Part<T>(String name, Class<T> type, Function<Section, T> reads) {
     public static final Part<Remembering> MEMBERSHIP = new Part<>("membership", Remembering.class, Remembering::read);
-    public static final Part<Rules> ROUTES = new Part<>("routes", Rules.class, Routes::read);
+    public static final Part<RouteRules> ROUTES = new Part<>("routes", RouteRules.class, Routes::read);
 
     public static final Part<Directors> FLEET = new Part<>("fleet", Directors.class, Directors::read);
 
--- a/src/main/java/mothcross/policy/Proposer.java
+++ b/src/main/java/mothcross/policy/Proposer.java
@@ -13,8 +13,8 @@
  * may have been decided, and only else puts its own book there. Owns the attempt; must never offer a book of its own
  * that does not follow the latest decided one, nor count a voter under another mark.
  * <pre>
- * IDLE --begin--> ASKS --enough promises--> OFFERS --enough have accepted--> DONE
- * ASKS, OFFERS --a later turn is promised--> LOST
+ * IDLE --begin--> PREPARING --enough promises--> ACCEPTING --enough have accepted--> DONE
+ * PREPARING, ACCEPTING --a later turn is promised--> LOST
  * </pre>
  */
 public final class Proposer {
--- a/src/main/java/mothcross/route/Limit.java
+++ b/src/main/java/mothcross/route/RateLimiter.java
@@ -11,7 +11,7 @@
  * may have
  * too much is less than {@code atOnce}. Owns the buckets; must never read a clock, nor grow.
  */
-public final class Limit {
+public final class RateLimiter {
     static final int WAYS = 8;
     private double perMs, atOnce;                           // this director's part of them
     private final double fullPerMs, fullAtOnce;
@@ -20,7 +20,7 @@
     private long forgotten;
 
     /** {@code keys} is rounded up to a power of two, {@link #WAYS} at least. */
-    public Limit(double perS, double atOnce, int keys) {
+    public RateLimiter(double perS, double atOnce, int keys) {
         int n = Integer.highestOneBit(Math.max(WAYS, keys) * 2 - 1);
         this.keys = new long[n];
         left = new double[n];
@@ -30,7 +30,7 @@
     }
 
     /** The same keys under other rates: what each has used stays. */
-    private Limit(Limit from, double perS, double atOnce) {
+    private RateLimiter(RateLimiter from, double perS, double atOnce) {
         keys = from.keys;
         left = from.left;
         at = from.at;
@@ -45,8 +45,8 @@
         atOnce = share > 0 ? Math.max(1, fullAtOnce * share) : 0;
     }
 
-    public Limit anew(double perS, double most) {
-        return new Limit(this, perS, most);
+    public RateLimiter anew(double perS, double most) {
+        return new RateLimiter(this, perS, most);
     }
 
     public int room() {
--- a/src/main/java/mothcross/route/RouteTable.java
+++ b/src/main/java/mothcross/route/RouteTable.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import mothcross.Workload;
 import mothcross.expr.Dispatch;
+import mothcross.expr.ExpressionException;
 import mothcross.expr.Frame;
 import mothcross.expr.Inputs;
 import mothcross.expr.Program;
-import mothcross.expr.Refused;
 import mothcross.expr.Type;
 
 /**
@@ -20,22 +20,22 @@
  * only fall, a workload only becomes one at least as strict, and a placement key is the same for a client's retry.
  */
 public final class RouteTable {
-    public static final int MOST_RULES = 2000;
+    public static final int MAX_RULES = 2000;
 
     /** How a lookup goes on; used again for the next one. */
     public static final class Outcome {
         /** The rule that took it, or -1; the workload it counts as; the status it is refused with, or 0. */
-        public int rule, workload, status, mostHops;
+        public int rule, workload, status, maxHops;
         /** Whether {@code placedBy} stands in for the object where cache and parent are ranked. */
-        public boolean placed;
-        public long placedBy;
-        public double weight, comeBackAfter;
+        public boolean hasPlacementKey;
+        public long placementKey;
+        public double importanceShare, retryAfterMs;
         /** Why it is refused: "rule", "limit" or the input that was too long; null where it goes on. */
-        public String why;
+        public String reason;
     }
 
-    private record Compiled(Rules.Rule rule, Program.Expression match, Program.Expression key,
-                            Program.Expression limitKey, Limit limit, int workload) { }
+    private record Compiled(RouteRules.Rule rule, Program.Expression match, Program.Expression key,
+                            Program.Expression limitKey, RateLimiter limit, int workload) { }
 
     private final Program program;
     private final List<Compiled> rules;
@@ -64,13 +64,13 @@
      * keep
      * their counts where rule and key are the same. {@code directorsHere} share each limit.
      */
-    public static RouteTable compile(Rules from, Map<String, Integer> workloads, Workload[] all, int directorsHere,
+    public static RouteTable compile(RouteRules from, Map<String, Integer> workloads, Workload[] all, int directorsHere,
                                      int mostHops, RouteTable before, List<String> faults) {
-        Inputs inputs = Asked.inputs();
+        Inputs inputs = RequestInputs.inputs();
         from.reads().forEach((name, r) -> {
-            Inputs.Past past = r.refuse() ? Inputs.Past.REFUSE : Inputs.Past.CUT;
+            Inputs.Overflow past = r.refuse() ? Inputs.Overflow.REJECT : Inputs.Overflow.TRUNCATE;
             if (name.startsWith("header:")) inputs.header(name.substring(7), r.most(), past, r.same());
-            else if (name.equals("target")) inputs.add(name, Type.bytes(r.most()), Asked.TARGET, past, true);
+            else if (name.equals("target")) inputs.add(name, Type.bytes(r.most()), RequestInputs.TARGET, past, true);
             else faults.add("routes.reads." + name
                 + " is no input that can be declared; 'target' and 'header:NAME' are");
         });
@@ -80,13 +80,13 @@
             try {
                 if (!name.matches("[a-z_][a-z0-9_]{0,39}")) faults.add("routes.names." + name + " is no name");
                 else p.name(name, text);
-            } catch (Refused e) {
-                faults.add("routes.names." + name + ": " + e.shown());
+            } catch (ExpressionException e) {
+                faults.add("routes.names." + name + ": " + e.describe());
             }
         });
         List<Compiled> rules = new ArrayList<>();
         Map<String, Integer> seen = new HashMap<>();
-        for (Rules.Rule r : from.rules()) {
+        for (RouteRules.Rule r : from.rules()) {
             int n = rules.size() + (int) faults.stream().filter(f -> f.startsWith("routes.rules[")).count();
             String at = "routes.rules[" + from.rules().indexOf(r) + "]";
             if (seen.putIfAbsent(r.name(), n) != null) faults.add(at + ".name = \"" + r.name() + "\" is used twice");
@@ -94,24 +94,25 @@
             Program.Expression key = expression(p, at + ".key", r.key(), from, null, faults, notes);
             Program.Expression limitKey = r.limit() == null ? null
                 : expression(p, at + ".limit.key", r.limit().key(), from, null, faults, notes);
-            if (key != null && key.differsBy() != null) {
-                faults.add(at + ".key reads " + key.differsBy() + ", which may differ between a lookup and its retry; "
-                    + "a header that does not is declared with same_on_retry: true");
+            if (key != null && key.retryVariantInput() != null) {
+                faults.add(at + ".key reads " + key.retryVariantInput()
+                    + ", which may differ between a lookup and its retry; a header that does not is declared with "
+                    + "same_on_retry: true");
             }
             if (r.hops() >= mostHops) faults.add(at + ".hops = " + r.hops() + " is no narrowing; the settings allow "
                 + (mostHops - 1) + " further hops");
             int workload = workload(at, r, match, workloads, all, faults);
-            Limit limit = r.limit() == null ? null : limit(r, before, directorsHere);
+            RateLimiter limit = r.limit() == null ? null : limit(r, before, directorsHere);
             rules.add(new Compiled(r, match, key, limitKey, limit, workload));
         }
-        if (p.worst() > from.requestSteps()) {
-            faults.add("routes: one request could cost " + p.worst() + " steps, request_steps is "
+        if (p.worstCaseSteps() > from.requestSteps()) {
+            faults.add("routes: one request could cost " + p.worstCaseSteps() + " steps, request_steps is "
                 + from.requestSteps());
         }
         return faults.isEmpty() ? new RouteTable(p, inputs, List.copyOf(rules), notes) : null;
     }
 
-    private static Program.Expression expression(Program p, String at, String text, Rules from, Type.Kind kind,
+    private static Program.Expression expression(Program p, String at, String text, RouteRules from, Type.Kind kind,
                                                  List<String> faults, List<String> notes) {
         if (text == null) return null;
         try {
@@ -125,20 +126,20 @@
                     + (t.optional() ? "; write x ?? '' for when it is absent" : ""));
                 return null;
             }
-            if (t.most() == Type.NO_BOUND) {
+            if (t.maxLength() == Type.UNBOUNDED) {
                 faults.add(at + ": has no bound, its cost would grow with what a client sends; write first(x, 64)");
                 return null;
             }
             for (String n : e.notes()) notes.add(at + ": " + n);
             return e;
-        } catch (Refused e) {
-            faults.add(at + ": " + e.shown());
+        } catch (ExpressionException e) {
+            faults.add(at + ": " + e.describe());
             return null;
         }
     }
 
     /** Rule 2, and copies no older than the workload as sent allows: only what is at least as strict may be put in. */
-    private static int workload(String at, Rules.Rule r, Program.Expression match, Map<String, Integer> workloads,
+    private static int workload(String at, RouteRules.Rule r, Program.Expression match, Map<String, Integer> workloads,
                                 Workload[] all, List<String> faults) {
         if (r.workload() == null || workloads == null) return -1;
         Integer to = workloads.get(r.workload());
@@ -168,8 +169,8 @@
         return w.freshMs() == 0 ? Double.POSITIVE_INFINITY : w.freshMs();
     }
 
-    private static Limit limit(Rules.Rule r, RouteTable before, int directorsHere) {
-        Rules.Held h = r.limit();
+    private static RateLimiter limit(RouteRules.Rule r, RouteTable before, int directorsHere) {
+        RouteRules.RateLimit h = r.limit();
         double perS = h.perS() / directorsHere, atOnce = Math.max(1, h.atOnce() / directorsHere);
         if (before != null) {
             for (Compiled c : before.rules) {
@@ -178,11 +179,11 @@
                 if (same) return c.limit.anew(perS, atOnce);
             }
         }
-        return new Limit(perS, atOnce, h.keys());
+        return new RateLimiter(perS, atOnce, h.keys());
     }
 
     /** The limits are this director's part of them, so many times: as others take no part, or this one may not yet. */
-    public void share(double times) {
+    public void scaleLimits(double times) {
         for (Compiled c : rules) if (c.limit != null) c.limit.times(times);
     }
 
@@ -196,17 +197,17 @@
             out.rule = i;
             out.workload = workload;
             out.status = 0;
-            out.mostHops = mostHops;
-            out.placed = false;
-            out.weight = 1;
-            out.comeBackAfter = 0;
-            out.why = null;
+            out.maxHops = mostHops;
+            out.hasPlacementKey = false;
+            out.importanceShare = 1;
+            out.retryAfterMs = 0;
+            out.reason = null;
             if (i >= 0) take(i, now);
             else passed++;
             if (frame.past() != null) {
                 tooLong++;
                 out.status = 431;
-                out.why = frame.past();
+                out.reason = frame.past();
             }
             return out;
         } finally {
@@ -218,22 +219,22 @@
         Compiled c = rules.get(i);
         taken[i]++;
         if (c.workload >= 0) out.workload = c.workload;
-        out.weight = c.rule.importance();
-        if (c.rule.hops() >= 0) out.mostHops = Math.min(out.mostHops, 1 + c.rule.hops());
+        out.importanceShare = c.rule.importance();
+        if (c.rule.hops() >= 0) out.maxHops = Math.min(out.maxHops, 1 + c.rule.hops());
         if (c.key != null) {
-            out.placed = true;
-            out.placedBy = c.key.hash(frame);
+            out.hasPlacementKey = true;
+            out.placementKey = c.key.hash(frame);
         }
         if (c.rule.status() != 0) {
             out.status = c.rule.status();
-            out.why = "rule";
+            out.reason = "rule";
         } else if (c.limit != null && frame.past() == null) {
             double wait = c.limit.take(c.limitKey.hash(frame), now);
             if (wait == 0) return;
             limited[i]++;
             out.status = 429;
-            out.why = "limit";
-            out.comeBackAfter = wait;
+            out.reason = "limit";
+            out.retryAfterMs = wait;
         }
     }
 
@@ -258,8 +259,8 @@
     }
 
     /** Worst cost of a request in steps, and of each rule. */
-    public long worst() {
-        return program.worst();
+    public long worstCaseSteps() {
+        return program.worstCaseSteps();
     }
 
     public Map<String, Long> costs() {
@@ -273,12 +274,12 @@
     }
 
     /** Every part of the match of the rule that took the lookup routed last, with its value and cost. */
-    public List<String> explained(Frame.Request asked, int rule, double now) {
+    public List<String> explain(Frame.Request asked, int rule, double now) {
         frame.begin(asked, now);
         Compiled c = rules.get(rule);
         List<String> all = new ArrayList<>(Program.parts(c.match, frame));
-        if (c.key != null) all.add("key " + c.key.shown(frame));
-        if (c.limitKey != null) all.add("limit by " + c.limitKey.shown(frame));
+        if (c.key != null) all.add("key " + c.key.describe(frame));
+        if (c.limitKey != null) all.add("limit by " + c.limitKey.describe(frame));
         return all;
     }
 
--- a/src/test/java/mothcross/BelievedRulesTest.java
+++ b/src/test/java/mothcross/BelievedRulesTest.java
@@ -3,12 +3,12 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.*;
-import mothcross.membership.Ages;
-import mothcross.membership.ListFile;
+import mothcross.membership.AgeLimits;
+import mothcross.membership.ListedNode;
 import mothcross.membership.Membership;
+import mothcross.membership.NodeState;
 import mothcross.membership.Purge;
-import mothcross.membership.Standing;
-import mothcross.membership.Told;
+import mothcross.membership.SnapshotFormat;
 import org.testng.annotations.Test;
 
 /**
@@ -20,7 +20,7 @@
 public class BelievedRulesTest {
     private static final double FLOOR = 0.2, WARM = 10_000, BREAKS = 3, SPAN = 1000, UNITS = 4, WORK_MS = 300,
         PURGE_TAKES = 6000;
-    private static final Ages AGES = new Ages(10_000, 100_000, 5000, 3, 1000, 8000, 0.5, 3000, 1000);
+    private static final AgeLimits AGES = new AgeLimits(10_000, 100_000, 5000, 3, 1000, 8000, 0.5, 3000, 1000);
     private static final List<String> IDS = List.of("c0", "c1", "c2", "c3", "p", "o");
 
     private static final class Box {
@@ -105,7 +105,7 @@
             round(to -> {
                 to.listStarted(Director.LIST_RESTORED);
                 to.listFinished();
-                if (disk != null) m.restore(ListFile.read(disk, "f", name, w.now, 1000).kept(), w.now);
+                if (disk != null) m.restore(SnapshotFormat.decode(disk, "f", name, w.now, 1000).snapshot(), w.now);
                 for (Purge p : m.purges()) to.purged(p.object(), p.group(), Math.max(0, w.now - p.at()));
             });
             tick();
@@ -121,7 +121,7 @@
                 for (Map.Entry<String, Object[]> e : pending.entrySet()) {
                     String id = e.getKey();
                     to.nodeListed(IDS.indexOf(id), id, 0, id.equals("p") ? 1 : id.equals("o") ? 2 : 0, 0,
-                        ((Standing) e.getValue()[0]).use, UNITS, (double) e.getValue()[1]);
+                        ((NodeState) e.getValue()[0]).directorStatus, UNITS, (double) e.getValue()[1]);
                 }
                 pending.clear();
                 to.listFinished();
@@ -132,7 +132,7 @@
         void tick() {
             w.at(w.now + 500, () -> {
                 if (dead) return;
-                round(to -> m.ticks(w.now));
+                round(to -> m.tick(w.now));
                 tick();
             });
         }
@@ -149,18 +149,18 @@
                         purged.put(e.group, e.at);
                     } else {
                         boolean first = e.number == 1;
-                        m.begins(e.number, first, w.now);
+                        m.listStarted(e.number, first, w.now);
                         for (String id : first ? IDS : List.of(e.id)) {
                             double since = w.boxes.get(id).startedAt;
-                            m.told(id, id, 1, "here", "k", 0, first ? 0 : e.standing, UNITS, since, w.now);
+                            m.nodeListed(id, id, 1, "here", "k", 0, first ? 0 : e.standing, UNITS, since, w.now);
                         }
-                        m.ends(w.now);
+                        m.listFinished(w.now);
                         if (e.standing == Director.IN_SERVICE) out.remove(e.id);
                         else out.add(e.id);
                     }
                 });
             }
-            round(to -> m.standsBehind(w.log.size(), w.now));
+            round(to -> m.confirmUpTo(w.log.size(), w.now));
         }
 
         void ask(int group) {
@@ -176,7 +176,7 @@
                 + " answers"));
         }
 
-        @Override public void changed(Told entry, Standing was, Standing is, double coldSince, String why) {
+        @Override public void changed(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
             pending.put(entry.id(), new Object[] {is, coldSince});
         }
 
@@ -199,7 +199,7 @@
                 w.worst = Math.max(w.worst, part);
                 assertTrue(part <= 1, where + " rule 4: pushed over, " + part);
             }
-            if (m.standing(id) == Standing.OLD) w.cautious++;
+            if (m.stateOf(id) == NodeState.OLD) w.cautious++;
             w.sent++;
             a.hops++;
             a.out++;
@@ -316,7 +316,7 @@
             for (int d = 0; d < 3; d++) {
                 Run r = runs.get(d);
                 r.dead = true;
-                disks[d] = ListFile.bytes(r.m.kept("f", "d" + d, w.now));
+                disks[d] = SnapshotFormat.encode(r.m.snapshot("f", "d" + d, w.now));
                 toldOut.get(d).clear();
                 toldOut.get(d).addAll(r.out);
                 purged.get(d).clear();
--- a/src/test/java/mothcross/expr/ExprTest.java
+++ b/src/test/java/mothcross/expr/ExprTest.java
@@ -15,12 +15,14 @@
 
     /** What the random expressions read; header:a is optional and bounded, header:free has no bound. */
     private static Inputs inputs() {
-        return new Inputs().add("target", Type.bytes(40), 0, Inputs.Past.CUT, true)
-            .add("group", Type.INT.orAbsent(), 1, Inputs.Past.CUT, true).add("size", Type.SIZE, 2, Inputs.Past.CUT,
-                true)
-            .add("wait", Type.DURATION.orAbsent(), 3, Inputs.Past.CUT, false)
-            .add("retry", Type.BOOL, 4, Inputs.Past.CUT, false).add("number", Type.INT, 5, Inputs.Past.CUT, true)
-            .add("client", Type.ADDRESS, 6, Inputs.Past.CUT, true).header("a", 24, Inputs.Past.CUT, true);
+        return new Inputs().add("target", Type.bytes(40), 0, Inputs.Overflow.TRUNCATE, true)
+            .add("group", Type.INT.asOptional(), 1, Inputs.Overflow.TRUNCATE, true)
+            .add("size", Type.SIZE, 2, Inputs.Overflow.TRUNCATE, true)
+            .add("wait", Type.DURATION.asOptional(), 3, Inputs.Overflow.TRUNCATE, false)
+            .add("retry", Type.BOOL, 4, Inputs.Overflow.TRUNCATE, false)
+            .add("number", Type.INT, 5, Inputs.Overflow.TRUNCATE, true)
+            .add("client", Type.ADDRESS, 6, Inputs.Overflow.TRUNCATE, true)
+            .header("a", 24, Inputs.Overflow.TRUNCATE, true);
     }
 
     private static Frame.Request request(Map<String, Object> values, Inputs inputs) {
@@ -55,16 +57,16 @@
                 Program.Expression e = p.compile(taken ? yes[0] : no[0], 100_000);
                 Frame f = new Frame(p);
                 f.begin(request(sample(), in), NOW);
-                String got = e.shown(f);
+                String got = e.describe(f);
                 if (!taken) wrong.add(line + ": taken as " + e.type());
                 else if (!got.equals(yes[1].strip())) wrong.add(line + ": is " + got);
                 if (f.steps() > e.cost()) wrong.add(line + ": " + f.steps() + " steps, foreseen " + e.cost());
-            } catch (Refused e) {
-                String[] shown = e.shown().split("\n");
+            } catch (ExpressionException e) {
+                String[] shown = e.describe().split("\n");
                 boolean right = !taken && e.part().equals(no[1].strip().replace("<end>", ""))
                     && shown[2].indexOf('^') == 1 + e.column();
-                if (!taken) for (String word : no[2].split(" \\.\\.\\. ")) right &= e.shown().contains(word.strip());
-                if (!right) wrong.add(line + " at '" + e.part() + "'\n" + e.shown());
+                if (!taken) for (String word : no[2].split(" \\.\\.\\. ")) right &= e.describe().contains(word.strip());
+                if (!right) wrong.add(line + " at '" + e.part() + "'\n" + e.describe());
             }
         }
         assertTrue(wrong.isEmpty(), String.join("\n", wrong));
@@ -173,17 +175,17 @@
             Program.Expression e;
             try {
                 e = p.compile(text, Long.MAX_VALUE - 1);
-            } catch (Refused x) {
-                throw new AssertionError("seed " + seed + "\n" + x.shown(), x);
+            } catch (ExpressionException x) {
+                throw new AssertionError("seed " + seed + "\n" + x.describe(), x);
             }
             assertEquals(e.type().kind(), kind, text);
-            Tree tree = Parser.parse(text);
+            SyntaxTree tree = Parser.parse(text);
             Frame f = new Frame(p);
             for (int i = 0; i < 40; i++) {
                 Map<String, Object> asked = hostile(r);
                 f.begin(request(asked, in), NOW);
                 Object want = new Slow(cut(asked), NOW).value(tree), got = switch (kind) {
-                    case BOOL -> e.truth(f);
+                    case BOOL -> e.evaluateBoolean(f);
                     case INT -> e.whole(f);
                     case DOUBLE -> e.number(f) + 0.0;
                     default -> {
@@ -194,8 +196,8 @@
                 String where = "seed " + seed + ": " + text + " for " + Slow.text(asked.get("target"));
                 if (want instanceof byte[] b) assertEquals(Slow.text(got), Slow.text(b), where);
                 else assertEquals(got, want instanceof Double d ? d + 0.0 : want, where);
-                assertTrue(f.steps() <= e.cost() && f.steps() <= p.worst(), where + ": " + f.steps() + " steps of "
-                    + e.cost());
+                assertTrue(f.steps() <= e.cost() && f.steps() <= p.worstCaseSteps(), where + ": " + f.steps()
+                    + " steps of " + e.cost());
                 pairs++;
             }
         }
@@ -222,7 +224,7 @@
             try {
                 new Program(inputs()).compile(ill, Long.MAX_VALUE - 1);
                 fail("seed " + seed + " is taken: " + ill);
-            } catch (Refused e) {
+            } catch (ExpressionException e) {
                 refused++;
             }
         }
--- a/src/test/java/mothcross/expr/Reference.java
+++ b/src/test/java/mothcross/expr/Reference.java
@@ -4,9 +4,9 @@
 
 /** The slow reference for those outside of the package: an expression parsed once, walked for each request. */
 public final class Reference {
-    private final Tree tree;
+    private final SyntaxTree tree;
 
-    public Reference(String text) throws Refused {
+    public Reference(String text) throws ExpressionException {
         tree = Parser.parse(text);
     }
 
--- a/src/test/java/mothcross/expr/Slow.java
+++ b/src/test/java/mothcross/expr/Slow.java
@@ -17,8 +17,8 @@
         this.now = now;
     }
 
-    Object value(Tree t) {
-        if (t instanceof Tree.Number n) {
+    Object value(SyntaxTree t) {
+        if (t instanceof SyntaxTree.Number n) {
             double unit = switch (n.unit()) {
                 case "s" -> 1000;
                 case "m" -> 60_000;
@@ -29,26 +29,26 @@
             if (n.unit().isEmpty() && n.digits().indexOf('.') < 0) return Long.parseLong(n.digits());
             return Double.parseDouble(n.digits()) * unit;
         }
-        if (t instanceof Tree.Text x) return x.bytes();
-        if (t instanceof Tree.Truth x) return x.value();
-        if (t instanceof Tree.Name x) return request.get(x.name());
-        if (t instanceof Tree.Choice c) return value((boolean) value(c.condition()) ? c.yes() : c.no());
-        if (t instanceof Tree.Unary u) {
+        if (t instanceof SyntaxTree.Text x) return x.bytes();
+        if (t instanceof SyntaxTree.Truth x) return x.value();
+        if (t instanceof SyntaxTree.Name x) return request.get(x.name());
+        if (t instanceof SyntaxTree.Choice c) return value((boolean) value(c.condition()) ? c.yes() : c.no());
+        if (t instanceof SyntaxTree.Unary u) {
             Object a = value(u.a());
             if (u.op().equals("!")) return !(boolean) a;
             return a instanceof Long l ? (Object) clamp(0, '-', l) : (Object) (0 - (double) a);
         }
-        if (t instanceof Tree.Piece p) {
-            Tree.Call c = (Tree.Call) p.of();
+        if (t instanceof SyntaxTree.Piece p) {
+            SyntaxTree.Call c = (SyntaxTree.Call) p.of();
             int i = (int) (long) value(p.index());
             String[] pieces = cut(c);
             return i < pieces.length ? bytes(pieces[i]) : null;
         }
-        if (t instanceof Tree.Binary b) return binary(b);
-        return call((Tree.Call) t);
+        if (t instanceof SyntaxTree.Binary b) return binary(b);
+        return call((SyntaxTree.Call) t);
     }
 
-    private String[] cut(Tree.Call c) {
+    private String[] cut(SyntaxTree.Call c) {
         String s = text(value(c.args().get(0))), at = text(value(c.args().get(1)));
         int most = (int) (long) value(c.args().get(2));
         java.util.List<String> all = new java.util.ArrayList<>();
@@ -73,7 +73,7 @@
         return r.signum() < 0 ? Long.MIN_VALUE : Long.MAX_VALUE;
     }
 
-    private Object binary(Tree.Binary t) {
+    private Object binary(SyntaxTree.Binary t) {
         switch (t.op()) {
             case "&&" -> {
                 return (boolean) value(t.a()) & (boolean) value(t.b());
@@ -87,9 +87,9 @@
             }
             case "in" -> {
                 Object a = value(t.a());
-                if (t.b() instanceof Tree.Range r) return compare(a, value(r.low())) >= 0 && compare(a,
+                if (t.b() instanceof SyntaxTree.Range r) return compare(a, value(r.low())) >= 0 && compare(a,
                     value(r.high())) <= 0;
-                return ((Tree.Among) t.b()).all().stream().anyMatch(x -> same(a, value(x)));
+                return ((SyntaxTree.Among) t.b()).all().stream().anyMatch(x -> same(a, value(x)));
             }
             default -> { }
         }
@@ -136,7 +136,7 @@
         return Double.compare(((Number) a).doubleValue() + 0.0, ((Number) b).doubleValue() + 0.0);
     }
 
-    private Object call(Tree.Call t) {
+    private Object call(SyntaxTree.Call t) {
         if (t.name().equals("header")) return request.get("header:" + text(value(t.args().get(0))).toLowerCase());
         Object a = t.args().isEmpty() ? null : value(t.args().get(0));
         Object b = t.args().size() < 2 ? null : value(t.args().get(1));
--- a/src/test/java/mothcross/membership/MembershipTest.java
+++ b/src/test/java/mothcross/membership/MembershipTest.java
@@ -35,19 +35,19 @@
 
     /** A membership and what it has told the module. */
     private static final class Play implements Membership.Changes {
-        Ages ages;
+        AgeLimits ages;
         Membership m;
-        final Map<String, Standing> module = new HashMap<>();
+        final Map<String, NodeState> module = new HashMap<>();
         final Map<String, Double> cold = new HashMap<>();
 
-        Play(Ages ages, long seed) {
+        Play(AgeLimits ages, long seed) {
             this.ages = ages;
             m = new Membership(ages, PURGES_RUN, new SplittableRandom(seed), this);
         }
 
-        @Override public void changed(Told entry, Standing was, Standing is, double coldSince, String why) {
-            Standing had = module.get(entry.id());
-            assertEquals(had == Standing.GONE && was == null ? null : had, was, "what the module was told of "
+        @Override public void changed(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
+            NodeState had = module.get(entry.id());
+            assertEquals(had == NodeState.GONE && was == null ? null : had, was, "what the module was told of "
                 + entry.id());
             module.put(entry.id(), is);
             cold.put(entry.id(), coldSince);
@@ -55,17 +55,17 @@
 
         /** Killed and started again: only what the disk holds goes over. */
         void restart(double now) {
-            byte[] bytes = ListFile.bytes(m.kept("f", "d", now));
-            ListFile.Result r = ListFile.read(bytes, "f", "d", now, ages.skew());
-            assertTrue(r.kept() != null, r.text());
+            byte[] bytes = SnapshotFormat.encode(m.snapshot("f", "d", now));
+            SnapshotFormat.Result r = SnapshotFormat.decode(bytes, "f", "d", now, ages.clockSkewMs());
+            assertTrue(r.snapshot() != null, r.text());
             module.clear();
             m = new Membership(ages, PURGES_RUN, new SplittableRandom(1), this);
-            m.restore(r.kept(), now);
+            m.restore(r.snapshot(), now);
         }
 
         void list(double t, boolean whole, long event, List<String> entries) {
-            Membership.Taken taken = m.begins(event, whole, t);
-            if (taken == Membership.Taken.KNOWN_ALREADY || taken == Membership.Taken.OLDER) return;
+            Membership.UpdateResult taken = m.listStarted(event, whole, t);
+            if (taken == Membership.UpdateResult.KNOWN_ALREADY || taken == Membership.UpdateResult.OLDER) return;
             for (String e : entries) {
                 String[] p = e.split(",");
                 String[] id = p[0].split(":");
@@ -76,15 +76,15 @@
                     if (x.equals("gone")) standing = Director.REMOVED;
                     if (x.startsWith("since=")) since = Double.parseDouble(x.substring(6));
                 }
-                m.told(id[0], id.length > 1 ? id[1] : id[0], 1, "here", "cache", 0, standing, 4, since, t);
+                m.nodeListed(id[0], id.length > 1 ? id[1] : id[0], 1, "here", "cache", 0, standing, 4, since, t);
             }
-            m.ends(t);
+            m.listFinished(t);
         }
     }
 
     @Test(dataProvider = "scenarios")
     public void plays(String name, Path file) throws Exception {
-        Play play = new Play(new Ages(10_000, 100_000, 5000, 3, 1000, 8000, 0.5, 3000, 1000), 7);
+        Play play = new Play(new AgeLimits(10_000, 100_000, 5000, 3, 1000, 8000, 0.5, 3000, 1000), 7);
         int number = 0, checks = 0;
         for (String raw : Files.readAllLines(file)) {
             number++;
@@ -102,14 +102,14 @@
             switch (what) {
                 case "whole", "changes", "empty" -> play.list(t, !what.equals("changes"), Long.parseLong(first),
                     p.subList(3, p.size()));
-                case "same" -> play.m.standsBehind(Long.parseLong(first), t);
-                case "behind" -> play.m.startsOverFrom(Long.parseLong(first), t);
+                case "same" -> play.m.confirmUpTo(Long.parseLong(first), t);
+                case "behind" -> play.m.resetIfUnusable(Long.parseLong(first), t);
                 case "purge" -> play.m.purged(Long.parseLong(first), -1, Integer.parseInt(p.get(3)),
                     Double.parseDouble(p.get(4)), t);
                 case "answers" -> play.m.answered(first, t);
                 case "refuses" -> play.m.failed(first, true, t);
                 case "resets" -> play.m.failed(first, false, t);
-                case "tick" -> play.m.ticks(t);
+                case "tick" -> play.m.tick(t);
                 case "restart" -> play.restart(t);
                 default -> throw new IllegalArgumentException(where);
             }
@@ -121,22 +121,22 @@
         switch (p.get(1)) {
             case "purges" -> assertEquals(play.m.purges().size(), Integer.parseInt(p.get(2)), where);
             case "event" -> assertEquals(play.m.number(), Long.parseLong(p.get(2)), where);
-            case "took" -> assertEquals(play.m.taken(Membership.Taken.valueOf(p.get(2))), Long.parseLong(p.get(3)),
-                where);
+            case "took" -> assertEquals(play.m.updateCount(Membership.UpdateResult.valueOf(p.get(2))),
+                Long.parseLong(p.get(3)), where);
             case "urgent" -> assertEquals(play.m.takeUrgent(), Boolean.parseBoolean(p.get(2)), where);
             default -> {
-                Standing s = p.get(2).equals("unknown") ? null : Standing.valueOf(p.get(2));
-                assertEquals(play.m.standing(p.get(1)), s, where + ": " + play.m.why(p.get(1)));
+                NodeState s = p.get(2).equals("unknown") ? null : NodeState.valueOf(p.get(2));
+                assertEquals(play.m.stateOf(p.get(1)), s, where + ": " + play.m.reason(p.get(1)));
                 if (s != null) assertEquals(play.module.get(p.get(1)), s, where + ", as the module has it");
                 if (p.size() < 4) return;
-                double cold = p.get(3).equals("long") ? Belief.LONG : Double.parseDouble(p.get(3));
+                double cold = p.get(3).equals("long") ? NodeEntry.LONG : Double.parseDouble(p.get(3));
                 assertEquals(play.cold.get(p.get(1)), cold, where);
             }
         }
     }
 
     /** How far a standing is trusted; what drains or is gone is not compared. */
-    private static int trust(Standing s) {
+    private static int trust(NodeState s) {
         return switch (s) {
             case TOLD -> 5;
             case RECENT -> 4;
@@ -155,7 +155,7 @@
     @Test public void randomHistories() {
         for (long seed = 1; seed <= 400; seed++) {
             SplittableRandom chance = new SplittableRandom(seed);
-            Play play = new Play(new Ages(10_000, 100_000, 5000, 3, 1000, 8000, 0.5, 3000, 1000), seed);
+            Play play = new Play(new AgeLimits(10_000, 100_000, 5000, 3, 1000, 8000, 0.5, 3000, 1000), seed);
             String history = "seed " + seed;
             Map<String, Integer> told = new HashMap<>();          // the checker's own: by id, as told last
             Map<Integer, Double> purges = new HashMap<>();
@@ -191,10 +191,10 @@
                 } else if (what == 8) {
                     play.list(t, false, event, List.of("a,gone", "b,gone"));     // known already: nothing of it counts
                 }
-                play.m.ticks(t);
+                play.m.tick(t);
                 String where = history + ", step " + step;
                 for (Map.Entry<String, Integer> e : told.entrySet()) {
-                    Standing s = play.m.standing(e.getKey());
+                    NodeState s = play.m.stateOf(e.getKey());
                     if (e.getValue() != Director.IN_SERVICE) assertTrue(s == null || !s.usable(), where + " " + e
                         + " " + s);
                     assertEquals(play.module.get(e.getKey()), s == null ? play.module.get(e.getKey()) : s, where);
@@ -205,7 +205,7 @@
                     boolean kept = play.m.purges().stream().anyMatch(p -> p.group() == e.getKey());
                     if (t - e.getValue() < PURGES_RUN - 1) assertTrue(kept, where + " purge " + e);
                 }
-                Standing one = play.m.standing("older"), other = play.m.standing("fresher");
+                NodeState one = play.m.stateOf("older"), other = play.m.stateOf("fresher");
                 if (one != null && other != null) assertTrue(trust(one) <= trust(other), where + ": " + one + " "
                     + other);
             }
@@ -213,43 +213,44 @@
         }
     }
 
-    private static Kept sample(int boxes) {
-        Play play = new Play(Ages.USUAL, 1);
+    private static MembershipSnapshot sample(int boxes) {
+        Play play = new Play(AgeLimits.DEFAULTS, 1);
         List<String> all = new ArrayList<>();
         for (int i = 0; i < boxes; i++) all.add("s-" + i + (i % 3 == 1 ? ",drains" : "") + (i % 4 == 0 ? ",since=5"
             : ""));
         play.list(1000, true, 41, all);
         play.m.purged(42, 77, -1, 1500, 1600);
         play.m.purged(43, -1, 9, 1500, 1600);
-        return play.m.kept("fleet", "d1", 2000);
+        return play.m.snapshot("fleet", "d1", 2000);
     }
 
     /** Each byte cut, each bit flipped: a refusal with its reason, never half a list. */
     @Test public void everyByteCutOrFlipped() {
-        byte[] whole = ListFile.bytes(sample(7));
-        assertEquals(ListFile.read(whole, "fleet", "d1", 2000, 0).kept(), sample(7));
+        byte[] whole = SnapshotFormat.encode(sample(7));
+        assertEquals(SnapshotFormat.decode(whole, "fleet", "d1", 2000, 0).snapshot(), sample(7));
         for (int n = 0; n < whole.length; n++) {
-            ListFile.Result r = ListFile.read(java.util.Arrays.copyOf(whole, n), "fleet", "d1", 2000, 0);
-            assertTrue(r.kept() == null && (n == 0) == (r.refusal() == ListFile.Refusal.EMPTY), "cut at " + n);
+            SnapshotFormat.Result r = SnapshotFormat.decode(java.util.Arrays.copyOf(whole, n), "fleet", "d1", 2000, 0);
+            assertTrue(r.snapshot() == null && (n == 0) == (r.error() == SnapshotFormat.ReadError.EMPTY),
+                "cut at " + n);
             for (int bit = 0; bit < 8; bit++) {
                 byte[] b = whole.clone();
                 b[n] ^= (byte) (1 << bit);
-                ListFile.Result x = ListFile.read(b, "fleet", "d1", 2000, 0);
-                assertTrue(x.kept() == null && !x.text().isEmpty(), "byte " + n + " bit " + bit);
+                SnapshotFormat.Result x = SnapshotFormat.decode(b, "fleet", "d1", 2000, 0);
+                assertTrue(x.snapshot() == null && !x.text().isEmpty(), "byte " + n + " bit " + bit);
             }
         }
-        assertEquals(ListFile.read(java.util.Arrays.copyOf(whole, whole.length + 1), null, null, 2000, 0).refusal(),
-            ListFile.Refusal.TORN);
+        byte[] longer = java.util.Arrays.copyOf(whole, whole.length + 1);
+        assertEquals(SnapshotFormat.decode(longer, null, null, 2000, 0).error(), SnapshotFormat.ReadError.TORN);
     }
 
     @Test public void anothersListIsRefused() {
-        byte[] b = ListFile.bytes(sample(3));
-        Object[][] cases = {{"other", "d1", 2000.0, ListFile.Refusal.OTHER_FLEET}, {"fleet", "d2", 2000.0,
-            ListFile.Refusal.OTHER_DIRECTOR}, {"fleet", "d1", 900.0, ListFile.Refusal.FUTURE}, {null, null, 1500.0,
-                null},
+        byte[] b = SnapshotFormat.encode(sample(3));
+        Object[][] cases = {{"other", "d1", 2000.0, SnapshotFormat.ReadError.OTHER_FLEET},
+            {"fleet", "d2", 2000.0, SnapshotFormat.ReadError.OTHER_DIRECTOR},
+            {"fleet", "d1", 900.0, SnapshotFormat.ReadError.FUTURE}, {null, null, 1500.0, null},
             {"fleet", "d1", 31.5e9, null}};
         for (Object[] c : cases) {
-            assertEquals(ListFile.read(b, (String) c[0], (String) c[1], (double) c[2], 500).refusal(), c[3]);
+            assertEquals(SnapshotFormat.decode(b, (String) c[0], (String) c[1], (double) c[2], 500).error(), c[3]);
         }
     }
 
@@ -257,7 +258,7 @@
     @Test public void writesKeepTheirBoundsOfDelayAndRate() {
         for (long seed = 1; seed <= 200; seed++) {
             SplittableRandom chance = new SplittableRandom(seed);
-            WritePlan plan = new WritePlan(100, 1000);
+            WriteScheduler plan = new WriteScheduler(100, 1000);
             double t = 0, began = -1e9, urgentSince = Double.NaN, freeSince = 0, endsAt = Double.NaN;
             int writes = 0;
             for (int i = 0; i < 3000; i++, t += 1) {
@@ -286,7 +287,7 @@
             }
             assertTrue(writes > 5, "writes " + writes);
         }
-        WritePlan full = new WritePlan(100, 1000);
+        WriteScheduler full = new WriteScheduler(100, 1000);
         full.changed(true, 0);
         double t = 0;
         for (int i = 0; i < 10; i++) {
--- a/src/test/java/mothcross/net/Fleet.java
+++ b/src/test/java/mothcross/net/Fleet.java
@@ -8,13 +8,13 @@
 import java.util.function.BooleanSupplier;
 import java.util.regex.Pattern;
 import mothcross.Director;
-import mothcross.membership.Ages;
-import mothcross.membership.Kept;
-import mothcross.membership.ListFile;
+import mothcross.membership.AgeLimits;
+import mothcross.membership.ListedNode;
+import mothcross.membership.MembershipSnapshot;
 import mothcross.membership.Purge;
-import mothcross.membership.Told;
+import mothcross.membership.SnapshotFormat;
 import mothcross.operators.Remembering;
-import mothcross.route.Rules;
+import mothcross.route.RouteRules;
 import mothcross.standin.Box;
 import mothcross.standin.Discovery;
 import org.pcollections.HashTreePMap;
@@ -30,7 +30,7 @@
     private final List<Box> others = new ArrayList<>();
     static final double MINUTE = 60_000, DAY = 86_400_000;
     /** Recent is ten minutes, old a day; what waits in tests waits briefly. */
-    static final Ages AGES = new Ages(10 * MINUTE, DAY, 30_000, 3, 200, 1000, 0.5, 30_000, 5000);
+    static final AgeLimits AGES = new AgeLimits(10 * MINUTE, DAY, 30_000, 3, 200, 1000, 0.5, 30_000, 5000);
 
     Fleet(int caches) throws Exception {
         for (int i = 0; i < caches; i++) this.caches.add(new Box(i + 1, Box.CACHE));
@@ -52,18 +52,18 @@
     /** What {@code name} kept, as told so long ago; boxes in {@code old} longer. */
     Path keeps(String name, double ageMs, double oldMs, List<Box> old, Box... boxes) throws Exception {
         double now = System.currentTimeMillis();
-        Map<String, Told> told = new HashMap<>();
+        Map<String, ListedNode> told = new HashMap<>();
         for (Box b : boxes) {
             double at = now - (old.contains(b) ? oldMs : ageMs);
-            told.put(b.id(), new Told(b.id(), "127.0.0.1", b.port(), "here", List.of("cache", "parent", "origin")
+            told.put(b.id(), new ListedNode(b.id(), "127.0.0.1", b.port(), "here", List.of("cache", "parent", "origin")
                 .get(b.kind()), 0, Director.IN_SERVICE, b.units(), 0, at, 0, false));
         }
-        return keeps(name, new Kept("fleet", name, now - ageMs, 10, now - ageMs, HashTreePMap.from(told),
+        return keeps(name, new MembershipSnapshot("fleet", name, now - ageMs, 10, now - ageMs, HashTreePMap.from(told),
             List.<Purge>of()));
     }
 
-    Path keeps(String name, Kept kept) throws Exception {
-        return Files.write(file(name), ListFile.bytes(kept));
+    Path keeps(String name, MembershipSnapshot kept) throws Exception {
+        return Files.write(file(name), SnapshotFormat.encode(kept));
     }
 
     Path file(String name) {
@@ -89,7 +89,7 @@
         return Start.of(JsonParser.parseString(toldText(name)).getAsJsonObject(), null, false, 0);
     }
 
-    Remembering remembering(String name, Ages ages) {
+    Remembering remembering(String name, AgeLimits ages) {
         return new Remembering(file(name), "fleet", ages, 100, 1000);
     }
 
@@ -105,7 +105,7 @@
     }
 
     /** One that is told the list by discovery, with these rules. */
-    Life routed(String name, Rules rules) throws Exception {
+    Life routed(String name, RouteRules rules) throws Exception {
         Life l = new Life(told(name), remembering(name, AGES), rules);
         lives.add(l);
         l.begin();
@@ -136,7 +136,7 @@
     static String standing(Life l, Box b) {
         l.desk().enter();
         try {
-            return String.valueOf(l.remembered().membership().standing(b.id()));
+            return String.valueOf(l.remembered().membership().stateOf(b.id()));
         } finally {
             l.desk().leave();
         }
--- a/src/test/java/mothcross/net/KilledTest.java
+++ b/src/test/java/mothcross/net/KilledTest.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import mothcross.Director;
-import mothcross.membership.Kept;
-import mothcross.membership.ListFile;
-import mothcross.membership.Told;
+import mothcross.membership.ListedNode;
+import mothcross.membership.MembershipSnapshot;
+import mothcross.membership.SnapshotFormat;
 import mothcross.operators.Remembering;
 import mothcross.standin.Box;
 import mothcross.standin.Discovery;
@@ -89,19 +89,23 @@
             } finally {
                 p.destroyForcibly().waitFor();
             }
-            ListFile.Result r = new ListOnDisk(f.file("d1"), "fleet", "d1").read(System.currentTimeMillis(), 5000);
-            assertTrue(r != null && r.kept() != null, "seed " + seed + ": " + r);
-            Kept k = r.kept();
+            SnapshotFormat.Result r = new ListOnDisk(f.file("d1"), "fleet", "d1").read(System.currentTimeMillis(),
+                5000);
+            assertTrue(r != null && r.snapshot() != null, "seed " + seed + ": " + r);
+            MembershipSnapshot k = r.snapshot();
             int due = 0;
             for (Map.Entry<Long, Long> e : f.discovery.writtenAt.entrySet()) {
                 if (killed - e.getValue() <= STATED_MS * 1e6) continue;
                 due++;
-                assertTrue(k.number() >= e.getKey(), "seed " + seed + ": event " + e.getKey() + ", told "
-                    + (killed - e.getValue()) / 1e6 + " ms before the kill, is not on disk; the last is " + k.number());
+                assertTrue(k.lastEvent() >= e.getKey(), "seed " + seed + ": event " + e.getKey() + ", told "
+                    + (killed - e.getValue()) / 1e6 + " ms before the kill, is not on disk; the last is "
+                    + k.lastEvent());
             }
             Map<String, Integer> onDisk = new TreeMap<>();
-            for (Told t : k.entries().values()) if (t.told() != Director.REMOVED) onDisk.put(t.id(), t.told());
-            assertEquals(onDisk, after.get((int) k.number()), "seed " + seed + ": the list after event " + k.number());
+            for (ListedNode t : k.entries().values()) if (t.status() != Director.REMOVED) onDisk.put(t.id(),
+                t.status());
+            assertEquals(onDisk, after.get((int) k.lastEvent()), "seed " + seed + ": the list after event "
+                + k.lastEvent());
             return due;
         }
     }
--- a/src/test/java/mothcross/net/MeasureMembership.java
+++ b/src/test/java/mothcross/net/MeasureMembership.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import mothcross.Director;
-import mothcross.membership.Ages;
-import mothcross.membership.Kept;
-import mothcross.membership.ListFile;
+import mothcross.membership.AgeLimits;
+import mothcross.membership.ListedNode;
 import mothcross.membership.Membership;
-import mothcross.membership.Told;
+import mothcross.membership.MembershipSnapshot;
+import mothcross.membership.SnapshotFormat;
 import mothcross.standin.Box;
 import mothcross.standin.Clients;
 import mothcross.standin.Discovery;
@@ -23,8 +23,8 @@
  */
 public final class MeasureMembership {
     private static final double HOUR = 3_600_000;
-    private static final Ages BELIEVES_ALL = new Ages(3650 * Fleet.DAY, 3650 * Fleet.DAY, 30_000, 1_000_000, 200, 1000,
-        0.5, 30_000, 5000);
+    private static final AgeLimits BELIEVES_ALL = new AgeLimits(3650 * Fleet.DAY, 3650 * Fleet.DAY, 30_000, 1_000_000,
+        200, 1000, 0.5, 30_000, 5000);
 
     private MeasureMembership() { }
 
@@ -65,7 +65,7 @@
         some.shutdown();
     }
 
-    private static double[] run(String mix, int withheld, Ages ages, boolean list) throws Exception {
+    private static double[] run(String mix, int withheld, AgeLimits ages, boolean list) throws Exception {
         try (Fleet f = new Fleet(8)) {
             f.start.put("directors", "2");
             boolean mixed = mix.startsWith("mixed");
@@ -151,32 +151,33 @@
             Arrays.fill(best, 1e9);
             long bytes = 0;
             for (int round = 0; round < 15; round++) {
-                Map<String, Told> told = new HashMap<>();
+                Map<String, ListedNode> told = new HashMap<>();
                 for (int i = 0; i < n; i++) {
-                    told.put("s-" + i, new Told("s-" + i, "10.0." + i / 250 + "." + i % 250, 80, "here", "cache", 0,
-                        Director.IN_SERVICE, 4, 0, 1000, 0, true));
+                    told.put("s-" + i, new ListedNode("s-" + i, "10.0." + i / 250 + "." + i % 250, 80, "here", "cache",
+                        0, Director.IN_SERVICE, 4, 0, 1000, 0, true));
                 }
-                Kept k = new Kept("fleet", "d1", 1000, 10, 1000, HashTreePMap.from(told), List.of());
+                MembershipSnapshot k = new MembershipSnapshot("fleet", "d1", 1000, 10, 1000, HashTreePMap.from(told),
+                    List.of());
                 double[] t = new double[7];
                 t[0] = System.nanoTime();
-                byte[] b = ListFile.bytes(k);
+                byte[] b = SnapshotFormat.encode(k);
                 t[1] = System.nanoTime();
                 ListOnDisk disk = new ListOnDisk(file, "fleet", "d1");
                 disk.write(k);
                 t[2] = System.nanoTime();
-                Membership m = new Membership(Ages.USUAL, 1000, new SplittableRandom(1), (e, was, is, cold, why) ->
-                    { });
-                m.restore(disk.read(2000, 0).kept(), 2000);
+                Membership m = new Membership(AgeLimits.DEFAULTS, 1000, new SplittableRandom(1),
+                    (e, was, is, cold, why) -> { });
+                m.restore(disk.read(2000, 0).snapshot(), 2000);
                 t[3] = System.nanoTime();
-                m.begins(11, true, 3000);
-                for (Told x : told.values()) {
-                    m.told(x.id(), x.host(), x.port(), x.place(), x.kind(), 0, Director.IN_SERVICE, 4, 0, 3000);
+                m.listStarted(11, true, 3000);
+                for (ListedNode x : told.values()) {
+                    m.nodeListed(x.id(), x.host(), x.port(), x.zone(), x.kind(), 0, Director.IN_SERVICE, 4, 0, 3000);
                 }
-                m.ends(3000);
+                m.listFinished(3000);
                 t[4] = System.nanoTime();
-                m.ticks(3500);
+                m.tick(3500);
                 t[5] = System.nanoTime();
-                m.kept("fleet", "d1", 3500);
+                m.snapshot("fleet", "d1", 3500);
                 t[6] = System.nanoTime();
                 for (int i = 0; i < 6; i++) best[i] = Math.min(best[i], (t[i + 1] - t[i]) / 1e6);
                 bytes = b.length;
--- a/src/test/java/mothcross/net/MeasureRoutes.java
+++ b/src/test/java/mothcross/net/MeasureRoutes.java
@@ -6,7 +6,7 @@
 import mothcross.expr.Inputs;
 import mothcross.expr.Program;
 import mothcross.expr.Type;
-import mothcross.route.Rules;
+import mothcross.route.RouteRules;
 import mothcross.standin.Box;
 import mothcross.standin.Clients;
 
@@ -34,16 +34,17 @@
         System.exit(0);
     }
 
-    private static Rules rules(List<Rules.Rule> all) {
-        return new Rules(5000, 1_000_000, Map.of("header:X-Office", new Rules.Reads(32, false, true)), Map.of(), all);
+    private static RouteRules rules(List<RouteRules.Rule> all) {
+        return new RouteRules(5000, 1_000_000, Map.of("header:X-Office",
+            new RouteRules.InputDeclaration(32, false, true)), Map.of(), all);
     }
 
-    private static Rules table(int n) {
-        List<Rules.Rule> all = new ArrayList<>();
+    private static RouteRules table(int n) {
+        List<RouteRules.Rule> all = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             String match = i % 2 == 0 ? "(hex(object) ?? -1) in " + (1_000_000_000L + i) + ".." + (1_000_000_000L + i)
                 : "(header('X-Office') ?? '') == 'office-" + i + "'";
-            all.add(new Rules.Rule("r" + i, match, null, null, 1, -1, 403, null));
+            all.add(new RouteRules.Rule("r" + i, match, null, null, 1, -1, 403, null));
         }
         return rules(all);
     }
@@ -54,7 +55,7 @@
         for (int round = 0; round < 2; round++) {
             for (int n : new int[] {0, 10, 1000}) {
                 try (Fleet f = new Fleet(4)) {
-                    Life d = n == 0 ? f.routed("d1", (Rules) null) : f.routed("d1", table(n));
+                    Life d = n == 0 ? f.routed("d1", (RouteRules) null) : f.routed("d1", table(n));
                     double rate;
                     try (Clients load = new Clients(d.port(), 16, 0, 1, 0)) {
                         load.awaitHandled(20_000);
@@ -96,9 +97,9 @@
             + "share | its own |");
         System.out.println("| --- | --- | --- | --- |");
         for (boolean limited : new boolean[] {false, true}) {
-            Rules.Held held = new Rules.Held("header('X-Office') ?? ''", 30, 30, 256);
-            Rules rules = rules(List.of(new Rules.Rule("office", "has(header('X-Office'))", null, null, 1, -1, 0,
-                limited ? held : null)));
+            RouteRules.RateLimit held = new RouteRules.RateLimit("header('X-Office') ?? ''", 30, 30, 256);
+            RouteRules rules = rules(List.of(new RouteRules.Rule("office", "has(header('X-Office'))", null, null, 1,
+                -1, 0, limited ? held : null)));
             try (Fleet f = new Fleet(2)) {
                 f.start.put("directors", "3");
                 for (Box b : f.caches) b.paced(110);
@@ -174,8 +175,8 @@
             + "| ns a foreseen step |");
         System.out.println("| --- | --- | --- | --- | --- | --- |");
         for (String text : functions) {
-            Inputs in = new Inputs().add("target", Type.bytes(256), 0, Inputs.Past.CUT, true)
-                .add("client", Type.ADDRESS, 1, Inputs.Past.CUT, true);
+            Inputs in = new Inputs().add("target", Type.bytes(256), 0, Inputs.Overflow.TRUNCATE, true)
+                .add("client", Type.ADDRESS, 1, Inputs.Overflow.TRUNCATE, true);
             Program p = new Program(in);
             Program.Expression e = p.compile(text, 1_000_000);
             Frame f = new Frame(p);
@@ -190,7 +191,7 @@
                 byte[] b = now;
                 f.begin((number, into, slot) -> into.put(slot, number == 0 ? b : client, 0, number == 0 ? b.length
                     : 16), 0);
-                e.truth(f);
+                e.evaluateBoolean(f);
                 if (f.steps() >= most) {
                     most = f.steps();
                     best = now;
@@ -206,7 +207,7 @@
                 for (int k = 0; k < 2000; k++) {
                     f.begin((number, into, slot) -> into.put(slot, number == 0 ? hard : client, 0, number == 0
                         ? hard.length : 16), 0);
-                    e.truth(f);
+                    e.evaluateBoolean(f);
                 }
                 double ns = (System.nanoTime() - t) / 2000.0;
                 slowest = i < 10 ? 0 : Math.max(slowest, ns);
--- a/src/test/java/mothcross/net/RememberedTest.java
+++ b/src/test/java/mothcross/net/RememberedTest.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import mothcross.Director;
-import mothcross.membership.Ages;
-import mothcross.membership.Kept;
-import mothcross.membership.ListFile;
+import mothcross.membership.AgeLimits;
+import mothcross.membership.MembershipSnapshot;
+import mothcross.membership.SnapshotFormat;
 import mothcross.operators.Remembering;
 import mothcross.standin.Box;
 import mothcross.standin.Clients;
@@ -64,15 +64,15 @@
                 f.discovery.open();
                 Fleet.until("event 1", () -> Fleet.event(d) == 1);
                 assertEquals(c.status(2, 10, 3), 200);
-                Fleet.until("kept", () -> kept(f, "d1") != null && kept(f, "d1").number() == 1);
+                Fleet.until("kept", () -> kept(f, "d1") != null && kept(f, "d1").lastEvent() == 1);
                 assertEquals(kept(f, "d1").entries().size(), 3);
             }
         }
     }
 
-    private static Kept kept(Fleet f, String name) {
-        ListFile.Result r = new ListOnDisk(f.file(name), "fleet", name).read(System.currentTimeMillis(), 5000);
-        return r == null ? null : r.kept();
+    private static MembershipSnapshot kept(Fleet f, String name) {
+        SnapshotFormat.Result r = new ListOnDisk(f.file(name), "fleet", name).read(System.currentTimeMillis(), 5000);
+        return r == null ? null : r.snapshot();
     }
 
     /** Comes and goes every few hundred ms, mostly with nothing new: no event is lost, nothing is believed twice. */
@@ -179,13 +179,13 @@
      * That the stand-in does fall is shown by directors that believe every entry.
      */
     @Test public void threeDirectorsSpareAColdBox() throws Exception {
-        assertTrue(pushed(new Ages(3650 * Fleet.DAY, 3650 * Fleet.DAY, 30_000, 1000, 200, 1000, 0.5, 30_000, 5000)) > 1,
-            "believing all pushes it over");
+        assertTrue(pushed(new AgeLimits(3650 * Fleet.DAY, 3650 * Fleet.DAY, 30_000, 1000, 200, 1000, 0.5, 30_000,
+            5000)) > 1, "believing all pushes it over");
         double most = pushed(Fleet.AGES);
         assertTrue(most > 0 && most <= 1, "of what it bears: " + most);
     }
 
-    private static double pushed(Ages ages) throws Exception {
+    private static double pushed(AgeLimits ages) throws Exception {
         try (Fleet f = new Fleet(2)) {
             f.start.put("directors", "3");
             for (String name : List.of("d1", "d2", "d3")) f.keeps(name, HOUR, 0, List.of(), f.all());
@@ -213,7 +213,7 @@
             Life second = f.director("d1");
             Fleet.until("told", () -> Fleet.event(second) == 1 && Fleet.event(first) == 1);
             long event = f.discovery.changes(Discovery.DRAINING, f.caches.get(0));
-            Fleet.until("both", () -> Fleet.event(second) == event && kept(f, "d1").number() == event);
+            Fleet.until("both", () -> Fleet.event(second) == event && kept(f, "d1").lastEvent() == event);
             assertEquals(second.remembered().writesDone, 0);
             assertTrue(first.remembered().writesDone > 0);
         }
@@ -259,7 +259,7 @@
             AtomicInteger tries = new AtomicInteger();
             ListOnDisk disk = new ListOnDisk(f.file("d1"), "fleet", "d1");
             ListKeeper full = new ListKeeper() {
-                @Override public ListFile.Result read(double now, double skew) {
+                @Override public SnapshotFormat.Result read(double now, double skew) {
                     return disk.read(now, skew);
                 }
 
@@ -267,7 +267,7 @@
                     return disk.mayWrite();
                 }
 
-                @Override public void write(Kept list) throws IOException {
+                @Override public void write(MembershipSnapshot list) throws IOException {
                     if (tries.incrementAndGet() <= 2) throw new IOException("No space left on device");
                     disk.write(list);
                 }
@@ -296,7 +296,7 @@
             f.discovery.changes(Discovery.DRAINING, f.caches.get(0));
             long event = f.discovery.purge(17, now);
             long told = System.nanoTime();
-            Fleet.until("on disk", () -> kept(f, "d1") != null && kept(f, "d1").number() == event);
+            Fleet.until("on disk", () -> kept(f, "d1") != null && kept(f, "d1").lastEvent() == event);
             double took = (System.nanoTime() - told) / 1e6;
             f.discovery.withhold();
             f.lives.remove(d);
@@ -366,7 +366,7 @@
                 ServeTest.hangUp(p, err, "reload: the file is read anew");
                 f.discovery.silent(true);
                 ServeTest.awaitLine(err, ".*list: TOLD to OLD.*");
-                Fleet.until("kept", () -> kept(f, "d1") != null && kept(f, "d1").number() == 1);
+                Fleet.until("kept", () -> kept(f, "d1") != null && kept(f, "d1").lastEvent() == 1);
                 p.destroy();
                 assertEquals(p.waitFor(), 0);
             } finally {
--- a/src/test/java/mothcross/net/RoutesTest.java
+++ b/src/test/java/mothcross/net/RoutesTest.java
@@ -5,7 +5,7 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.*;
-import mothcross.route.Rules;
+import mothcross.route.RouteRules;
 import mothcross.standin.Box;
 import mothcross.standin.Clients;
 import org.testng.annotations.Test;
@@ -13,13 +13,14 @@
 /** Routes in a real director on sockets: what clients get, where lookups go, and tables exchanged under load. */
 @Test(timeOut = 60_000)
 public class RoutesTest {
-    private static Rules rules(Rules.Rule... all) {
-        return new Rules(2000, 100_000, Map.of("header:X-Office", new Rules.Reads(16, true, true)), Map.of(),
-            List.of(all));
+    private static RouteRules rules(RouteRules.Rule... all) {
+        return new RouteRules(2000, 100_000, Map.of("header:X-Office",
+            new RouteRules.InputDeclaration(16, true, true)), Map.of(), List.of(all));
     }
 
-    private static Rules.Rule rule(String name, String match, String key, int hops, int status, Rules.Held limit) {
-        return new Rules.Rule(name, match, null, key, 1, hops, status, limit);
+    private static RouteRules.Rule rule(String name, String match, String key, int hops, int status,
+        RouteRules.RateLimit limit) {
+        return new RouteRules.Rule(name, match, null, key, 1, hops, status, limit);
     }
 
     /** The answer's head to a request with these header lines. */
@@ -38,7 +39,7 @@
             Life d = f.routed("d1", rules(rule("shut", "starts(object, 'ff')", null, -1, 403, null),
                 rule("one", "starts(object, 'aa')", "first(object, 2)", -1, 0, null),
                 rule("held", "(header('X-Office') ?? '') != ''", null, -1, 0,
-                    new Rules.Held("header('X-Office') ?? ''", 0.5, 2, 64))));
+                    new RouteRules.RateLimit("header('X-Office') ?? ''", 0.5, 2, 64))));
             assertTrue(ask(d.port(), "/api/v2/books/ff01", "").startsWith("HTTP/1.1 403 "));
             for (int i = 0; i < 12; i++) assertTrue(ask(d.port(), "/api/v2/books/aa" + i,
                 "").startsWith("HTTP/1.1 200 "));
@@ -82,11 +83,11 @@
      */
     public void tablesAreExchangedUnderLoad() throws Exception {
         try (Fleet f = new Fleet(2)) {
-            Rules a = rules(rule("even", "starts(object, '0000')", null, -1, 403, null), rule("odd", "true", "'k'", 1,
-                0, null));
-            Rules b = rules(rule("even", "starts(object, '0000')", null, -1, 0, null), rule("odd", "true", null, -1,
-                404, null));
-            Rules bad = rules(rule("even", "starts(object, 7)", null, -1, 0, null), rule("odd",
+            RouteRules a = rules(rule("even", "starts(object, '0000')", null, -1, 403, null),
+                rule("odd", "true", "'k'", 1, 0, null));
+            RouteRules b = rules(rule("even", "starts(object, '0000')", null, -1, 0, null),
+                rule("odd", "true", null, -1, 404, null));
+            RouteRules bad = rules(rule("even", "starts(object, 7)", null, -1, 0, null), rule("odd",
                 "contains(target, 'x')", null, -1, 0, null));
             Life d = f.routed("d1", a);
             Start told = f.told("d1");
@@ -94,7 +95,7 @@
                 load.awaitHandled(0);
                 Fleet.until("asked", () -> load.asked.get() > 100);
                 for (int i = 0; i < 100; i++) {
-                    Rules next = i % 3 == 2 ? bad : i % 3 == 1 ? b : a;
+                    RouteRules next = i % 3 == 2 ? bad : i % 3 == 1 ? b : a;
                     String fault = "";
                     try {
                         d.reload(told, f.remembering("d1", Fleet.AGES), next);
--- a/src/test/java/mothcross/operators/OperatorsTest.java
+++ b/src/test/java/mothcross/operators/OperatorsTest.java
@@ -120,14 +120,15 @@
         assertNull(OperatorsFile.of(FILE, "{}").part(Part.MEMBERSHIP));
         OperatorsFile f = OperatorsFile.of(FILE, with(", \"recent_s\": 7"));
         Remembering r = f.part(Part.MEMBERSHIP);
-        assertEquals(r.ages().recent(), 7000.0);
-        assertEquals(r.ages().old(), 86_400_000.0);
+        assertEquals(r.ages().recentMs(), 7000.0);
+        assertEquals(r.ages().oldMs(), 86_400_000.0);
         assertTrue(f.show().contains("\"recent_s\": 7.0") && f.show().contains("\"skew_s\": 5.0"), f.show());
     }
 
     @Test public void theExampleIsTaken() throws Exception {
         OperatorsFile f = OperatorsFile.read(Path.of("deploy", "operators.jsonnet"));
-        assertEquals(f.part(Part.MEMBERSHIP).ages(), mothcross.membership.Ages.USUAL, "the example shows the defaults");
+        assertEquals(f.part(Part.MEMBERSHIP).ages(), mothcross.membership.AgeLimits.DEFAULTS,
+            "the example shows the defaults");
     }
 
     /** Templates at fault, without end, too large, or reading what is not theirs: one reason each, in bounded time. */
--- a/src/test/java/mothcross/route/RouteBench.java
+++ b/src/test/java/mothcross/route/RouteBench.java
@@ -4,11 +4,11 @@
 import java.util.*;
 import java.util.concurrent.TimeUnit;
 import mothcross.expr.Dispatch;
+import mothcross.expr.ExpressionException;
 import mothcross.expr.Frame;
 import mothcross.expr.Inputs;
 import mothcross.expr.Program;
 import mothcross.expr.Reference;
-import mothcross.expr.Refused;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -47,8 +47,8 @@
     private int next;
 
     @Setup(Level.Trial)
-    public void prepare() throws Refused {
-        Inputs in = Asked.inputs().header("X-Office", 32, Inputs.Past.CUT, true);
+    public void prepare() throws ExpressionException {
+        Inputs in = RequestInputs.inputs().header("X-Office", 32, Inputs.Overflow.TRUNCATE, true);
         Program p = new Program(in);
         p.name("volume", "hex(object) ?? -1");
         List<Program.Expression> all = new ArrayList<>();
@@ -69,7 +69,8 @@
                 object = bytes(Integer.toHexString(i * 397 % (100 * rules)));
             byte[] office = i % 3 == 0 ? null : bytes("office-" + i * 7 % rules);
             asked[i] = (number, f, slot) -> {
-                byte[] b = number == Asked.WORKLOAD ? workload : number == Asked.OBJECT ? object : office;
+                byte[] b = number == RequestInputs.WORKLOAD ? workload : number == RequestInputs.OBJECT ? object
+                    : office;
                 if (b != null) f.put(slot, b, 0, b.length);
             };
             Map<String, Object> v = new HashMap<>(Map.of("workload", workload, "object", object));
--- a/src/test/java/mothcross/route/RouteTest.java
+++ b/src/test/java/mothcross/route/RouteTest.java
@@ -27,21 +27,24 @@
             false);
     }
 
-    private static Rules.Rule rule(String name, String match, String workload, String key) {
-        return new Rules.Rule(name, match, workload, key, 1, -1, 0, null);
+    private static RouteRules.Rule rule(String name, String match, String workload, String key) {
+        return new RouteRules.Rule(name, match, workload, key, 1, -1, 0, null);
     }
 
-    private static Rules.Rule held(String name, String match, String key, double perS, double atOnce, int keys) {
-        return new Rules.Rule(name, match, null, null, 1, -1, 0, new Rules.Held(key, perS, atOnce, keys));
+    private static RouteRules.Rule held(String name, String match, String key, double perS, double atOnce, int keys) {
+        return new RouteRules.Rule(name, match, null, null, 1, -1, 0,
+            new RouteRules.RateLimit(key, perS, atOnce, keys));
     }
 
-    static Rules rules(Rules.Rule... all) {
-        return new Rules(2000, 1_000_000, Map.of("header:X-Office", new Rules.Reads(32, true, true), "header:X-Free",
-            new Rules.Reads(64, false, false), "target", new Rules.Reads(300, false, true)),
+    static RouteRules rules(RouteRules.Rule... all) {
+        return new RouteRules(2000, 1_000_000, Map.of(
+            "header:X-Office", new RouteRules.InputDeclaration(32, true, true),
+            "header:X-Free", new RouteRules.InputDeclaration(64, false, false),
+            "target", new RouteRules.InputDeclaration(300, false, true)),
             Map.of("volume", "decimal(split(target, '/', 6)[4] ?? '') ?? -1"), List.of(all));
     }
 
-    static RouteTable table(Rules rules, RouteTable before) {
+    static RouteTable table(RouteRules rules, RouteTable before) {
         List<String> faults = new ArrayList<>();
         RouteTable t = RouteTable.compile(rules, NAMES, ALL, 1, 6, before, faults);
         assertTrue(faults.isEmpty(), String.join("\n", faults));
@@ -66,10 +69,10 @@
         @Override public void read(int number, Frame f, int slot) {
             byte[] b = number >= Inputs.FIRST_HEADER ? headers[number - Inputs.FIRST_HEADER].equals("x-office")
                 ? office : free
-                : number == Asked.WORKLOAD ? workload : number == Asked.OBJECT ? object : number == Asked.TARGET
-                    ? target : null;
+                : number == RequestInputs.WORKLOAD ? workload : number == RequestInputs.OBJECT ? object
+                : number == RequestInputs.TARGET ? target : null;
             if (b != null) f.put(slot, b, 0, b.length);
-            if (number == Asked.RETRY) f.put(slot, retry ? 1L : 0L);
+            if (number == RequestInputs.RETRY) f.put(slot, retry ? 1L : 0L);
         }
     }
 
@@ -98,23 +101,24 @@
             {rule("a", "object", null, null), "is to be a truth, this is bytes"},
             {rule("a", "group == 1", null, null), "line 1, column 1: may be absent"},
             {rule("a", "contains(first(target, 300), '" + "x".repeat(40) + "')", null, null), "the budget is 2000"},
-            {new Rules.Rule("a", "true", null, null, 1, 6, 0, null), ".hops = 6 is no narrowing; the settings allow 5"},
+            {new RouteRules.Rule("a", "true", null, null, 1, 6, 0, null),
+            ".hops = 6 is no narrowing; the settings allow 5"},
         };
         for (Object[] c : cases) {
             List<String> faults = new ArrayList<>();
-            assertNull(RouteTable.compile(rules((Rules.Rule) c[0]), NAMES, ALL, 1, 6, null, faults), "taken, not: "
+            assertNull(RouteTable.compile(rules((RouteRules.Rule) c[0]), NAMES, ALL, 1, 6, null, faults), "taken, not: "
                 + c[1]);
             assertTrue(faults.size() == 1 && faults.get(0).contains((String) c[1]), faults + " for " + c[1]);
         }
         List<String> all = new ArrayList<>();
-        Rules many = new Rules(2000, 1_000_000, Map.of("nothing", new Rules.Reads(3, true, true)), Map.of("x", "1 +",
-            "Y", "2"),
+        RouteRules many = new RouteRules(2000, 1_000_000, Map.of("nothing",
+            new RouteRules.InputDeclaration(3, true, true)), Map.of("x", "1 +", "Y", "2"),
             List.of(rule("a", "1", null, null), rule("a", "true", null, "retry"), rule("b", "x", null, null)));
         assertNull(RouteTable.compile(many, NAMES, ALL, 1, 6, null, all));
         assertEquals(all.size(), 7, "all at once: " + String.join("\n", all));
         List<String> dear = new ArrayList<>();
-        Rules costly = new Rules(2000, 300, rules().reads(), rules().names(), List.of(rule("a", "volume == 1", null,
-            null)));
+        RouteRules costly = new RouteRules(2000, 300, rules().reads(), rules().names(),
+            List.of(rule("a", "volume == 1", null, null)));
         assertNull(RouteTable.compile(costly, NAMES, ALL, 1, 6, null, dear));
         assertTrue(dear.get(0).startsWith("routes: one request could cost "), dear.toString());
     }
@@ -122,34 +126,34 @@
     @Test public void whatALookupBecomes() {
         RouteTable t = table(rules(rule("range", "workload == 'pages' && volume in 100..199", "cards",
             "first(object, 2)"),
-            new Rules.Rule("few", "volume in 200..299", null, null, 0.25, 1, 0, null),
-            new Rules.Rule("shut", "starts(object, 'ff')", null, null, 1, -1, 403, null),
+            new RouteRules.Rule("few", "volume in 200..299", null, null, 0.25, 1, 0, null),
+            new RouteRules.Rule("shut", "starts(object, 'ff')", null, null, 1, -1, 403, null),
             held("held", "(header('X-Office') ?? '') != ''", "header('X-Office') ?? ''", 2, 2, 64)), null);
         RouteTable.Outcome o = route(t, "/api/v2/pages/150/piece-1", null, 0);
-        assertEquals(t.name(o.rule) + o.workload + o.placed + o.status + o.mostHops, "range1true06");
-        long by = o.placedBy;
-        assertEquals(route(t, "/api/v2/pages/159/piece-7", null, 0).placedBy, by,
+        assertEquals(t.name(o.rule) + o.workload + o.hasPlacementKey + o.status + o.maxHops, "range1true06");
+        long by = o.placementKey;
+        assertEquals(route(t, "/api/v2/pages/159/piece-7", null, 0).placementKey, by,
             "the same two digits, the same place");
-        assertTrue(route(t, "/api/v2/pages/160/piece-7", null, 0).placedBy != by);
+        assertTrue(route(t, "/api/v2/pages/160/piece-7", null, 0).placementKey != by);
         o = route(t, "/api/v2/pages/250/piece-1", null, 0);
-        assertEquals(t.name(o.rule) + o.workload + o.placed + o.mostHops + o.weight, "few0false20.25");
+        assertEquals(t.name(o.rule) + o.workload + o.hasPlacementKey + o.maxHops + o.importanceShare, "few0false20.25");
         // Percent-encoding is not undone: as sent it is no number, and no rule for numbers takes it.
         assertEquals(t.name(route(t, "/api/v2/pages/1%350/piece-1", null, 0).rule), "none");
         o = route(t, "/api/v2/pages/ff00/piece-1", null, 0);
-        assertEquals(o.status + o.why, "403rule");
+        assertEquals(o.status + o.reason, "403rule");
         for (int i = 0; i < 2; i++) assertEquals(route(t, "/api/v2/pages/1/", "muc", 1000).status, 0);
         o = route(t, "/api/v2/pages/1/", "muc", 1000);
-        assertEquals(o.status + o.why + o.comeBackAfter, "429limit500.0");
+        assertEquals(o.status + o.reason + o.retryAfterMs, "429limit500.0");
         assertEquals(route(t, "/api/v2/pages/1/", "lech", 1000).status, 0, "another key");
         assertEquals(route(t, "/api/v2/pages/1/", "muc", 1500).status, 0, "at the time it was told");
         o = route(t, "/api/v2/pages/1/", "m".repeat(33), 1500);
-        assertEquals(o.status + o.why, "431header:x-office");
+        assertEquals(o.status + o.reason, "431header:x-office");
         assertTrue(t.line().contains("held 6 (held back 1)") && t.line().contains("too long 1"), t.line());
     }
 
     /** A new table keeps the counts of limits whose rule and key are the same; a refused one changes nothing. */
     @Test public void limitsOutliveAReload() {
-        Rules.Rule r = held("held", "true", "header('X-Office') ?? ''", 1, 1, 64);
+        RouteRules.Rule r = held("held", "true", "header('X-Office') ?? ''", 1, 1, 64);
         RouteTable t = table(rules(r), null);
         assertEquals(route(t, "/x", "muc", 0).status, 0);
         assertNull(RouteTable.compile(rules(held("held", "true", "header('X-Office') ?? ''", 1000, 1, 64), rule("b",
@@ -170,7 +174,7 @@
      */
     /** A part of a part: none passes, then as many at once and a second as the part says; what was used stays used. */
     @Test public void limitsFollowTheirPart() {
-        Limit l = new Limit(10, 8, 64);
+        RateLimiter l = new RateLimiter(10, 8, 64);
         l.times(0);
         assertEquals(l.take(7, 0), Double.POSITIVE_INFINITY, "nothing passes");
         l.times(1.25);
@@ -185,7 +189,7 @@
     }
 
     @Test public void limitsUnderAFloodOfKeys() {
-        Limit l = new Limit(1, 5, 4096);
+        RateLimiter l = new RateLimiter(1, 5, 4096);
         SplittableRandom r = new SplittableRandom(3);
         int greedy = 0, modest = 0, modestAsked = 0;
         double t = 0;
@@ -208,7 +212,7 @@
     @Test public void neverStricterThanExactBuckets() {
         for (long seed = 1; seed <= 50; seed++) {
             SplittableRandom r = new SplittableRandom(seed);
-            Limit l = new Limit(5, 3, 16);
+            RateLimiter l = new RateLimiter(5, 3, 16);
             Map<Long, double[]> exact = new LinkedHashMap<>();
             double t = 0;
             int more = 0;
@@ -237,7 +241,7 @@
 
     /** Heads at their limit: no more steps than foreseen, and after a while nothing allocated. */
     @Test public void hostileHeadsCostWhatWasForeseen() {
-        List<Rules.Rule> all = new ArrayList<>();
+        List<RouteRules.Rule> all = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             all.add(rule("r" + i, List.of("volume in " + i + ".." + (i + 3) + " && workload != 'pages'",
                 "starts(object, '" + i + "')"
@@ -245,7 +249,7 @@
                     "(header('X-Free') ?? '') in ['a"
                 + i + "']").get(i % 4), null, i % 3 == 0 ? "lower(object) + '" + i + "'" : null));
         }
-        RouteTable t = table(rules(all.toArray(Rules.Rule[]::new)), null);
+        RouteTable t = table(rules(all.toArray(RouteRules.Rule[]::new)), null);
         List<Request> asked = new ArrayList<>();
         for (String h : HOSTILE) {
             Request r = new Request(h, t);
@@ -255,7 +259,7 @@
         }
         for (int i = 0; i < 3000; i++) {
             t.route(asked.get(i % asked.size()), 0, 6, i);
-            assertTrue(t.steps() <= t.worst(), t.steps() + " of " + t.worst());
+            assertTrue(t.steps() <= t.worstCaseSteps(), t.steps() + " of " + t.worstCaseSteps());
         }
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         long me = Thread.currentThread().getId(), before = threads.getThreadAllocatedBytes(me);
@@ -264,6 +268,6 @@
         for (int i = 0; i < 10_000; i++) t.route(asked.get(i % asked.size()), 0, 6, i);
         long bytes = threads.getThreadAllocatedBytes(me) - before - idle;
         assertTrue(bytes < 10_000, bytes + " bytes in 10,000 requests");
-        assertNotNull(t.explained(asked.get(4), 0, 0));
+        assertNotNull(t.explain(asked.get(4), 0, 0));
     }
 }
