--- a/src/main/java/mothcross/net/Remembered.java
+++ b/src/main/java/mothcross/net/Remembered.java
@@ -29,7 +29,7 @@
  * clock of ages, which goes by elapsed time since the start so that a clock set anew ages nothing. Must never decide
  * what is believed, and never wait for the disk under the desk's lock.
  */
-final class Remembered implements News, Witness, Membership.Changes {
+final class Remembered implements News, Witness, Membership.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(Remembered.class);
     private static final double TICK_MS = 500;
     private static final int MOST_LINES = 20;               // of single boxes in a second; the rest is summed up
@@ -138,7 +138,7 @@
         plan = times;
         plan.changed(false, now());
         desk.round(to -> {
-            membership.ages(anew, now());
+            membership.setAgeLimits(anew, now());
             flush(to);
         });
     }
@@ -146,11 +146,11 @@
     // ---- news ----
 
     @Override public long last() {
-        return membership.number();
+        return membership.lastEvent();
     }
 
     @Override public boolean hearsAgain(boolean wholeList) {
-        return wholeList || membership.behind();
+        return wholeList || membership.discoveryBehind();
     }
 
     @Override public boolean begins(Director to, long number, int news) {
@@ -168,7 +168,7 @@
     private void older(long number) {
         if (saidOlder) return;
         saidOlder = true;
-        LOG.atWarn().addKeyValue("event", number).addKeyValue("known", membership.number())
+        LOG.atWarn().addKeyValue("event", number).addKeyValue("known", membership.lastEvent())
             .log("list: discovery is behind what is known; its list is not taken");
     }
 
@@ -207,7 +207,7 @@
             older(number);
             return membership.resetIfUnusable(number, now());
         }
-        if (number == membership.number()) back(trusted - before, dropped - lost);
+        if (number == membership.lastEvent()) back(trusted - before, dropped - lost);
         flush(to);
         return false;
     }
@@ -215,7 +215,7 @@
     @Override public void silent(String why) {
         if (silent) return;
         silent = true;
-        LOG.atInfo().addKeyValue("why", why).addKeyValue("event", membership.number())
+        LOG.atInfo().addKeyValue("why", why).addKeyValue("event", membership.lastEvent())
             .log("list: discovery is silent; the list ages from now on");
     }
 
@@ -223,7 +223,7 @@
         saidOlder = false;
         if (!silent) return;
         silent = false;
-        LOG.atInfo().addKeyValue("event", membership.number()).addKeyValue("first", !heardOfDiscovery)
+        LOG.atInfo().addKeyValue("event", membership.lastEvent()).addKeyValue("first", !heardOfDiscovery)
             .addKeyValue("trusted", trustedNow).addKeyValue("dropped", droppedNow).log("list: discovery is back");
         heardOfDiscovery = true;
     }
@@ -241,7 +241,7 @@
 
     // ---- what is believed, to the module ----
 
-    @Override public void changed(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
+    @Override public void stateChanged(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
         pending.put(entry.id(), new Change(entry, is, coldSince));
         boolean first = was == null;
         if (is.directorStatus == Director.IN_SERVICE && !first && was.directorStatus != Director.IN_SERVICE) trusted++;
@@ -298,14 +298,14 @@
     };
 
     private void writeWhenDue(double now) {
-        double at = plan.due();
+        double at = plan.nextWriteAt();
         if (!writes || at == Double.POSITIVE_INFINITY) return;
         if (at > now) {
             desk.timers.set(due, desk.clock() + at - now);
             return;
         }
         desk.timers.cancel(due);
-        plan.begins(now);
+        plan.writeStarted(now);
         MembershipSnapshot kept = membership.snapshot(fleet, director, Math.max(now, System.currentTimeMillis()));
         synchronized (this) {
             toWrite = kept;
@@ -342,7 +342,7 @@
 
     private void written(String failed) {
         double now = now();
-        plan.ended(failed == null, now);
+        plan.writeEnded(failed == null, now);
         if (failed == null) {
             writesDone++;
             if (!stayed) LOG.atInfo().log("list: written again");
@@ -360,10 +360,10 @@
         desk.locked(() -> {
             double now = now();
             if (membership.takeDirty()) plan.changed(true, now);
-            boolean left = writes && plan.due() != Double.POSITIVE_INFINITY;
+            boolean left = writes && plan.nextWriteAt() != Double.POSITIVE_INFINITY;
             synchronized (this) {
                 if (left) toWrite = membership.snapshot(fleet, director, Math.max(now, System.currentTimeMillis()));
-                if (left) plan.begins(now);
+                if (left) plan.writeStarted(now);
                 stopped = true;
                 notifyAll();
             }
@@ -390,9 +390,9 @@
         StringBuilder s = new StringBuilder("; list:");
         for (NodeState x : NodeState.values()) {
             int n = membership.count(x);
-            if (n > 0) s.append(' ').append(x.word()).append(' ').append(n);
+            if (n > 0) s.append(' ').append(x.label()).append(' ').append(n);
         }
-        s.append(", event ").append(membership.number()).append(", written ").append(writesDone).append(" (failed ")
+        s.append(", event ").append(membership.lastEvent()).append(", written ").append(writesDone).append(" (failed ")
             .append(writesFailed).append(')');
         for (Membership.UpdateResult t : Membership.UpdateResult.values()) {
             boolean told = t != Membership.UpdateResult.APPLIED && membership.updateCount(t) > 0;
--- a/src/test/java/mothcross/net/RememberedTest.java
+++ b/src/test/java/mothcross/net/RememberedTest.java
@@ -414,7 +414,7 @@
     private static boolean behind(Life d) {
         d.desk().enter();
         try {
-            return d.remembered().membership().behind();
+            return d.remembered().membership().discoveryBehind();
         } finally {
             d.desk().leave();
         }
