--- a/src/main/java/mothcross/membership/Membership.java
+++ b/src/main/java/mothcross/membership/Membership.java
@@ -12,275 +12,343 @@
 import org.pcollections.PMap;
 
 /**
- * What is believed about the boxes of the fleet while discovery may be down: the list, how old each entry's
- * word is, what the boxes show of themselves, and what news changes. States and moves stand at {@link NodeEntry}
- * and {@link NodeState}. It is told the time, the chance and all news, and says through {@link Listener} what
- * changes for the module. Must never read a clock, a file or a socket, never apply an event twice, and never
- * hold up or soften a drain.
+ * The cache nodes a director may use while service discovery is silent or stale: the node list, how old the
+ * information on each node is, the evidence from the nodes' own answers, and the purges that still apply. The states
+ * and transitions of an entry are described at {@link NodeEntry} and {@link NodeState}.
+ *
+ * <p>Time, randomness and all input are passed in; state changes are reported through {@link Listener}. The class
+ * reads no clock, file or socket, applies no discovery event twice, and never delays or revokes a drain.
  */
 public final class Membership {
-    /** What the module, the log and the disk are told. */
+    /** Receives the state changes of nodes. */
     public interface Listener {
-        /** The entry's use, address or start is another one than was said before. */
-        void stateChanged(ListedNode entry, NodeState was, NodeState is, double coldSince, String why);
+        /**
+         * A node's state, address or start time has changed.
+         *
+         * @param was the state reported before; null for a new entry
+         * @param startedAt when the node started, for its slow start: 0 where unknown, {@link NodeEntry#WARM} where
+         *     it is known to be warm; Unix ms
+         */
+        void stateChanged(ListedNode entry, NodeState was, NodeState is, double startedAt, String reason);
     }
 
-    /** What became of a list or event of discovery. */
+    /** The result of applying a snapshot or delta from discovery. */
     public enum UpdateResult { APPLIED, KNOWN_ALREADY, OLDER, EMPTY, SHRUNK, STARTED_OVER, DRAINS_ONLY }
 
-    private static final int FEW = 4;                       // so many cannot shrink strongly
-    private static final double NOTED_PART = 10;            // an answer is noted down after a tenth of the recent age
-
-    private AgeLimits ages;
-    private final SplittableRandom chance;
-    private final Listener changes;
-    private final double purgesRunMs;
-    private final Map<String, NodeEntry> beliefs = new LinkedHashMap<>();  // by id; what is gone leaves by age
-    private final Map<String, NodeEntry> byAddress = new HashMap<>();      // the one box that is at an address
-    private final List<Purge> purges = new ArrayList<>();                  // in the order told; run out by time
-    private PMap<String, ListedNode> kept = HashTreePMap.empty();
+    /** Below this many usable nodes a smaller snapshot is never treated as shrunk. */
+    private static final int MIN_NODES_FOR_SHRINK_CHECK = 4;
+    /** A node's answer is saved once it is newer than the saved one by more than the recent age divided by this. */
+    private static final double ANSWER_SAVES_PER_RECENT_AGE = 10;
+
+    private AgeLimits limits;
+    private final SplittableRandom random;
+    private final Listener listener;
+    private final double purgeRetentionMs;
+    /** All entries by node id; removed ones stay until they age out. */
+    private final Map<String, NodeEntry> entriesById = new LinkedHashMap<>();
+    /** The one node that has each address. */
+    private final Map<String, NodeEntry> entriesByAddress = new HashMap<>();
+    /** In the order received; dropped when they expire. */
+    private final List<Purge> purges = new ArrayList<>();
+    private PMap<String, ListedNode> persistedNodes = HashTreePMap.empty();
     private long lastEvent;
-    private double confirmedAt = Double.NEGATIVE_INFINITY;      // discovery stood behind the whole list
-    private boolean everTold;                               // any list in this run
-    private boolean urgent, dirty;
-    // The list being read.
-    private boolean whole, sawAny, discoveryBehind, drainsOnly;
-    private int namedInService, inServiceBefore, unlistedCount;
-    private final long[][] moves = new long[NodeState.values().length][NodeState.values().length];
-    private final long[] taken = new long[UpdateResult.values().length];
-
-    /** A purge is kept for {@code purgesRunMs} after it was issued. */
-    public Membership(AgeLimits ages, double purgesRunMs, SplittableRandom chance, Listener changes) {
-        this.ages = ages;
-        this.purgesRunMs = purgesRunMs;
-        this.chance = chance;
-        this.changes = changes;
-    }
-
-    /** Other figures hold from now on. */
-    public void setAgeLimits(AgeLimits anew, double now) {
-        ages = anew;
+    /** When discovery last confirmed the whole list. */
+    private double confirmedAt = Double.NEGATIVE_INFINITY;
+    /** Whether any list was applied since the process started. */
+    private boolean listAppliedThisRun;
+    private boolean urgent;
+    private boolean dirty;
+    private boolean discoveryBehind;
+    private final long[][] transitionCounts = new long[NodeState.values().length][NodeState.values().length];
+    private final long[] updateCounts = new long[UpdateResult.values().length];
+
+    // The update being read.
+    private boolean readingSnapshot;
+    private boolean drainsOnly;
+    private boolean hasEntries;
+    private int listedInService;
+    private int usableBefore;
+    private int unlistedCount;
+
+    /** @param purgeRetentionMs how long a purge is kept after it was issued */
+    public Membership(AgeLimits limits, double purgeRetentionMs, SplittableRandom random, Listener listener) {
+        this.limits = limits;
+        this.purgeRetentionMs = purgeRetentionMs;
+        this.random = random;
+        this.listener = listener;
+    }
+
+    /** Replaces the age limits and re-evaluates all entries. */
+    public void setAgeLimits(AgeLimits newLimits, double now) {
+        limits = newLimits;
         tick(now);
     }
 
-    // ---- the start ----
+    // ---- start ----
 
-    /** What the disk holds. Nothing of it counts as told in this run. */
-    public void restore(MembershipSnapshot from, double now) {
-        lastEvent = from.lastEvent();
-        confirmedAt = from.confirmedAt();
-        for (ListedNode t : from.entries().values()) {
-            NodeEntry b = new NodeEntry(t);
-            beliefs.put(t.id(), b);
-            if (t.status() != Director.REMOVED) byAddress.put(t.address(), b);
-            // Never shown to the module before: warm unless the list said when it started.
-            if (t.startedAt() == 0) b.startedAt = NodeEntry.WARM;
-            settle(b, now);
+    /** Loads a saved snapshot. None of its entries counts as confirmed in this run. */
+    public void restore(MembershipSnapshot snapshot, double now) {
+        lastEvent = snapshot.lastEvent();
+        confirmedAt = snapshot.confirmedAt();
+        for (ListedNode node : snapshot.entries().values()) {
+            NodeEntry entry = new NodeEntry(node);
+            entriesById.put(node.id(), entry);
+            if (node.status() != Director.REMOVED) entriesByAddress.put(node.address(), entry);
+            // A restored node is warm unless discovery reported when it started.
+            if (node.startedAt() == 0) entry.startedAt = NodeEntry.WARM;
+            settle(entry, now);
         }
-        for (Purge p : from.purges()) if (now - p.at() <= purgesRunMs) purges.add(p);
-        kept = from.entries();
+        for (Purge purge : snapshot.purges()) {
+            if (now - purge.at() <= purgeRetentionMs) purges.add(purge);
+        }
+        persistedNodes = snapshot.entries();
     }
 
+    /** The purges that still apply. */
     public List<Purge> purges() {
         return purges;
     }
 
-    // ---- news of discovery ----
+    // ---- updates from discovery ----
 
+    /** The number of the last discovery event that was applied. */
     public long lastEvent() {
         return lastEvent;
     }
 
     /**
-     * A list or changes begin; where this says KNOWN_ALREADY or OLDER, no entries may follow. A whole list that is
-     * older than what is known says nothing new; it is taken only once nothing known is usable any more, since then
-     * anything is better and nothing of it can be contradicted. While discovery is behind what is known, its events
-     * bear numbers that were others' here: of their changes only drains and boxes gone are taken, which are never
-     * wrong to keep.
+     * Begins a snapshot or a delta. After KNOWN_ALREADY or OLDER no entries may follow.
+     *
+     * <p>A snapshot older than the known list carries nothing new. It is applied only once no known node is usable:
+     * any list is better then, and there is nothing it could contradict. While discovery is behind the known list,
+     * the numbers of its events stood for other events here; of their deltas only drains and removals are applied,
+     * which are always safe.
      */
-    public UpdateResult listStarted(long event, boolean wholeList, double now) {
+    public UpdateResult listStarted(long event, boolean isSnapshot, double now) {
         if (event <= lastEvent) {
-            boolean none = beliefs.values().stream().noneMatch(b -> b.state.usable());
-            if (!wholeList && discoveryBehind) {
-                whole = false;
+            boolean noneUsable = entriesById.values().stream().noneMatch(entry -> entry.state.usable());
+            if (!isSnapshot && discoveryBehind) {
+                readingSnapshot = false;
                 drainsOnly = true;
-                return count(UpdateResult.DRAINS_ONLY);
+                return countResult(UpdateResult.DRAINS_ONLY);
             }
-            if (!wholeList || event == lastEvent || !none) {
-                return count(event == lastEvent || !wholeList ? UpdateResult.KNOWN_ALREADY : UpdateResult.OLDER);
+            if (!isSnapshot || event == lastEvent || !noneUsable) {
+                boolean known = event == lastEvent || !isSnapshot;
+                return countResult(known ? UpdateResult.KNOWN_ALREADY : UpdateResult.OLDER);
             }
-            startOver(now);
-            begin(event, true);
-            return count(UpdateResult.STARTED_OVER);
+            reset(now);
+            beginUpdate(event, true);
+            return countResult(UpdateResult.STARTED_OVER);
         }
-        begin(event, wholeList);
-        return count(UpdateResult.APPLIED);
+        beginUpdate(event, isSnapshot);
+        return countResult(UpdateResult.APPLIED);
     }
 
-    private void begin(long event, boolean wholeList) {
+    private void beginUpdate(long event, boolean isSnapshot) {
         lastEvent = event;
-        whole = wholeList;
-        discoveryBehind = drainsOnly = false;
-        sawAny = false;
-        namedInService = unlistedCount = 0;
-        inServiceBefore = 0;
-        for (NodeEntry b : beliefs.values()) {
-            b.listedInSnapshot = false;
-            if (b.state.usable()) inServiceBefore++;
+        readingSnapshot = isSnapshot;
+        discoveryBehind = false;
+        drainsOnly = false;
+        hasEntries = false;
+        listedInService = 0;
+        unlistedCount = 0;
+        usableBefore = 0;
+        for (NodeEntry entry : entriesById.values()) {
+            entry.listedInSnapshot = false;
+            if (entry.state.usable()) usableBefore++;
         }
     }
 
-    /** One entry of the list or changes that have begun. */
-    public void nodeListed(String id, String host, int port, String place, String kind, int cell, int standing,
-                     double units, double startedAt, double now) {
-        sawAny = true;
-        ListedNode t = new ListedNode(id, host, port, place, kind, cell, standing, units, startedAt, now, 0, true);
-        NodeEntry b = beliefs.get(id);
-        if (b == null && standing == Director.REMOVED || drainsOnly && standing == Director.IN_SERVICE) return;
-        boolean isNew = b == null;
+    /**
+     * Applies one entry of the update that was begun.
+     *
+     * @param status IN_SERVICE, DRAINING or REMOVED of {@link Director}
+     * @param startedAt when the node started, Unix ms; 0 where discovery does not know
+     */
+    public void nodeListed(String id, String host, int port, String zone, String kind, int cell, int status,
+                           double units, double startedAt, double now) {
+        hasEntries = true;
+        ListedNode node = new ListedNode(id, host, port, zone, kind, cell, status, units, startedAt, now, 0, true);
+        NodeEntry entry = entriesById.get(id);
+        if (entry == null && status == Director.REMOVED || drainsOnly && status == Director.IN_SERVICE) return;
+        boolean isNew = entry == null;
         if (isNew) {
-            beliefs.put(id, b = new NodeEntry(t));
-            // The first list of a run tells of boxes that have run; what comes later with no start time is
-            // taken for just started.
-            if (startedAt == 0) b.startedAt = whole && !everTold ? NodeEntry.WARM : now;
+            entry = new NodeEntry(node);
+            entriesById.put(id, entry);
+            // The first snapshot of a run lists nodes that were running before. A node that is listed later without a
+            // start time is taken to have just started.
+            if (startedAt == 0) entry.startedAt = readingSnapshot && !listAppliedThisRun ? NodeEntry.WARM : now;
+        }
+        boolean moved = !isNew && !entry.listed.address().equals(node.address());
+        boolean restarted = !isNew && startedAt != 0 && startedAt != entry.listed.startedAt();
+        boolean returned = !isNew && entry.listed.status() == Director.REMOVED;
+        boolean withheld = !Double.isNaN(entry.withheldAt);
+        if (moved || restarted || returned) entry.resetEvidence();
+        if (moved && entriesByAddress.get(entry.listed.address()) == entry) {
+            entriesByAddress.remove(entry.listed.address());
+        }
+        if (startedAt != 0) {
+            entry.startedAt = startedAt;
+        } else if (moved || returned && !withheld) {
+            // Moved or came back without a start time: taken to have just started.
+            entry.startedAt = now;
+        } else if (!isNew) {
+            entry.startedAt = reportedStart(entry);
         }
-        boolean moved = !isNew && !b.listed.address().equals(t.address());
-        boolean restarted = !isNew && startedAt != 0 && startedAt != b.listed.startedAt();
-        boolean back = !isNew && b.listed.status() == Director.REMOVED;
-        boolean withheld = !Double.isNaN(b.withheldAt);
-        if (moved || restarted || back) b.resetEvidence();
-        if (moved && byAddress.get(b.listed.address()) == b) byAddress.remove(b.listed.address());
-        if (startedAt != 0) b.startedAt = startedAt;
-        // As warm as it was told to be; but one that moved or came back without saying when has just started.
-        else if (moved || back && !withheld) b.startedAt = now;
-        else if (!isNew) b.startedAt = known(b);
-        double answered = moved || restarted || back || isNew ? 0 : b.listed.answeredAt();
-        b.listed = answered > 0 ? t.withAnsweredAt(answered) : t;
-        if (startedAt == 0 && b.startedAt > NodeEntry.WARM) b.listed = b.listed.withStartedAt(b.startedAt);
-        b.withheldAt = Double.NaN;
-        b.confirmedThisRun = b.listedInSnapshot = true;
-        if (standing == Director.IN_SERVICE) namedInService++;
-        if (standing == Director.REMOVED) b.reason = "told that it is gone";
-        else takeAddress(b, now);
-        keep(b, standing != Director.IN_SERVICE);
-        settle(b, now, moved || restarted);
-    }
-
-    /** One box an address: whoever was told last has it, and what was there before is gone. */
-    private void takeAddress(NodeEntry b, double now) {
-        NodeEntry before = byAddress.put(b.listed.address(), b);
-        if (before == null || before == b || before.listed.status() == Director.REMOVED) return;
-        gone(before, "its address is that of " + b.listed.id() + " now", now);
+        double answeredAt = moved || restarted || returned || isNew ? 0 : entry.listed.answeredAt();
+        entry.listed = answeredAt > 0 ? node.withAnsweredAt(answeredAt) : node;
+        if (startedAt == 0 && entry.startedAt > NodeEntry.WARM) {
+            entry.listed = entry.listed.withStartedAt(entry.startedAt);
+        }
+        entry.withheldAt = Double.NaN;
+        entry.confirmedThisRun = true;
+        entry.listedInSnapshot = true;
+        if (status == Director.IN_SERVICE) listedInService++;
+        if (status == Director.REMOVED) entry.reason = "discovery reported it removed";
+        else claimAddress(entry, now);
+        persist(entry, status != Director.IN_SERVICE);
+        settle(entry, now, moved || restarted);
+    }
+
+    /** An address has one node: the one listed last. The node that had it before is removed. */
+    private void claimAddress(NodeEntry entry, double now) {
+        NodeEntry previous = entriesByAddress.put(entry.listed.address(), entry);
+        if (previous == null || previous == entry || previous.listed.status() == Director.REMOVED) return;
+        remove(previous, "its address now belongs to " + entry.listed.id(), now);
     }
 
     /**
-     * The list or changes end. What a whole list leaves out is gone, and nothing is sent there from now on, also
-     * where the list is strongly shrunken: rule 3 knows no doubt. But then it is withheld for a while in place of
-     * forgotten, so that a list mended soon finds it as it was. An empty list names no box of this fleet, its
-     * origin neither: it tells of no drain. What was known stays and ages, and discovery stands behind none of it
-     * until it names it again.
+     * Ends the update. Nothing is sent from now on to a node that a snapshot omits, even where the snapshot is shrunk
+     * (rule 3 of the operators has no exception). The nodes missing from a shrunk snapshot are withheld for a while
+     * before they are removed, so that a list corrected soon finds them unchanged.
+     *
+     * <p>An empty snapshot lists no node of this fleet, not even its origin, so it is not evidence of any drain. The
+     * known nodes stay and age, and count as unconfirmed until discovery lists them again.
      */
     public UpdateResult listFinished(double now) {
         if (drainsOnly) return UpdateResult.DRAINS_ONLY;
-        if (whole && !sawAny && inServiceBefore > 0) {
-            for (NodeEntry b : beliefs.values()) {
-                if (b.listed.status() != Director.IN_SERVICE) continue;
-                b.listed = b.listed.unconfirmed(confirmedAt);
-                keep(b, false);
+        if (readingSnapshot && !hasEntries && usableBefore > 0) {
+            for (NodeEntry entry : entriesById.values()) {
+                if (entry.listed.status() != Director.IN_SERVICE) continue;
+                entry.listed = entry.listed.unconfirmed(confirmedAt);
+                persist(entry, false);
             }
-            return count(UpdateResult.EMPTY);
+            return countResult(UpdateResult.EMPTY);
         }
         UpdateResult result = UpdateResult.APPLIED;
-        if (whole) {
-            boolean shrunk = inServiceBefore >= FEW && namedInService < ages.shrunkBelow() * inServiceBefore;
-            for (NodeEntry b : new ArrayList<>(beliefs.values())) {
-                if (b.listedInSnapshot || b.listed.status() == Director.REMOVED) continue;
-                unlistedCount++;
-                if (!shrunk) gone(b, "missing from the whole list", now);
-                else if (Double.isNaN(b.withheldAt)) {
-                    b.withheldAt = now;
-                    keep(b, true);
-                    settle(b, now);
-                }
-            }
-            if (shrunk) result = count(UpdateResult.SHRUNK);
+        if (readingSnapshot) {
+            boolean shrunk = usableBefore >= MIN_NODES_FOR_SHRINK_CHECK
+                && listedInService < limits.shrunkBelow() * usableBefore;
+            dropUnlisted(shrunk, now);
+            if (shrunk) result = countResult(UpdateResult.SHRUNK);
         }
-        everTold = true;
+        listAppliedThisRun = true;
         dirty = true;
-        heard(now);
+        confirm(now);
         return result;
     }
 
-    /** How many the whole list read last left out. */
+    /** Removes the nodes that the snapshot omits, or withholds them where it is shrunk. */
+    private void dropUnlisted(boolean shrunk, double now) {
+        for (NodeEntry entry : new ArrayList<>(entriesById.values())) {
+            if (entry.listedInSnapshot || entry.listed.status() == Director.REMOVED) continue;
+            unlistedCount++;
+            if (!shrunk) {
+                remove(entry, "missing from a discovery snapshot", now);
+            } else if (Double.isNaN(entry.withheldAt)) {
+                entry.withheldAt = now;
+                persist(entry, true);
+                settle(entry, now);
+            }
+        }
+    }
+
+    /** How many nodes the last snapshot omitted. */
     public int unlistedCount() {
         return unlistedCount;
     }
 
+    /** Records a purge of {@code object}, or of {@code group} where {@code object} is -1, issued at {@code at}. */
     public void purged(long event, long object, int group, double at, double now) {
         if (event <= lastEvent && !discoveryBehind) return;
         lastEvent = Math.max(lastEvent, event);
-        purges.removeIf(p -> now - p.at() > purgesRunMs);
+        purges.removeIf(purge -> now - purge.at() > purgeRetentionMs);
         purges.add(new Purge(object, group, at));
-        dirty = urgent = true;
+        dirty = true;
+        urgent = true;
     }
 
     /**
-     * Discovery says that {@code event} is its last. Where that is ours it stands behind the list; with an
-     * earlier one it is older than what we know and stands behind nothing: false.
+     * Discovery reports {@code event} as its last. If that is the last event applied here, it confirms the list. If it
+     * is earlier, discovery is behind the known list and confirms nothing.
+     *
+     * @return false where discovery is behind
      */
     public boolean confirmUpTo(long event, double now) {
         discoveryBehind = event < lastEvent;
         if (discoveryBehind) return false;
-        if (event == lastEvent) heard(now);
+        if (event == lastEvent) confirm(now);
         return true;
     }
 
-    /** Whether discovery's last event, as it says, is one before ours. */
+    /** Whether the last event that discovery reports is earlier than the last one applied here. */
     public boolean discoveryBehind() {
         return discoveryBehind;
     }
 
-    /** With nothing known that is usable, an older discovery is better than none: true where all is forgotten. */
+    /**
+     * Drops the list if discovery is behind it and no known node is usable: an older discovery is then better than
+     * none.
+     *
+     * @return true where the list was dropped
+     */
     public boolean resetIfUnusable(long event, double now) {
-        if (event >= lastEvent || beliefs.values().stream().anyMatch(b -> b.state.usable())) return false;
-        startOver(now);
-        count(UpdateResult.STARTED_OVER);
+        if (event >= lastEvent) return false;
+        if (entriesById.values().stream().anyMatch(entry -> entry.state.usable())) return false;
+        reset(now);
+        countResult(UpdateResult.STARTED_OVER);
         return true;
     }
 
-    private void heard(double now) {
-        boolean late = now - confirmedAt > ages.recentMs();
+    private void confirm(double now) {
+        boolean late = now - confirmedAt > limits.recentMs();
         confirmedAt = now;
-        for (NodeEntry b : beliefs.values()) {
-            if (!b.listed.confirmed()) continue;
-            if (b.confirmedThisRun && !late) continue;
-            // It says that nothing is new since the event that is known here, so every entry is told again.
-            b.confirmedThisRun = true;
-            if (b.listed.status() == Director.IN_SERVICE) b.startedAt = known(b);
-            settle(b, now);
+        for (NodeEntry entry : entriesById.values()) {
+            if (!entry.listed.confirmed()) continue;
+            if (entry.confirmedThisRun && !late) continue;
+            // No event is newer than the last one applied here, so every entry is confirmed as if listed again.
+            entry.confirmedThisRun = true;
+            if (entry.listed.status() == Director.IN_SERVICE) entry.startedAt = reportedStart(entry);
+            settle(entry, now);
         }
     }
 
-    private static double known(NodeEntry b) {
-        return b.listed.startedAt() != 0 ? b.listed.startedAt() : NodeEntry.WARM;
+    private static double reportedStart(NodeEntry entry) {
+        return entry.listed.startedAt() != 0 ? entry.listed.startedAt() : NodeEntry.WARM;
     }
 
-    /** All is forgotten, and the numbers begin anew: only what discovery tells next is believed. */
-    private void startOver(double now) {
-        for (NodeEntry b : new ArrayList<>(beliefs.values())) {
-            if (b.listed.status() != Director.REMOVED) gone(b, "the list is started over", now);
+    /** Removes all nodes and restarts event numbering: only what discovery reports next is used. */
+    private void reset(double now) {
+        for (NodeEntry entry : new ArrayList<>(entriesById.values())) {
+            if (entry.listed.status() != Director.REMOVED) {
+                remove(entry, "the list was reset to an older discovery state", now);
+            }
         }
         lastEvent = 0;
         discoveryBehind = false;
         confirmedAt = Double.NEGATIVE_INFINITY;
     }
 
-    // ---- what boxes show ----
+    // ---- evidence from the nodes ----
 
     /**
-     * How a hop ended, in the module's words, as evidence about its node and the source it named (null: none).
-     * {@code silent}: nothing came from the node since the hop was sent. What only went down with another hop's
-     * fault shows nothing.
+     * Uses the end of a hop as evidence about its node and about the fill source that the node named. A hop that
+     * failed only because of another hop's fault is no evidence.
+     *
+     * @param source id of the fill source; null where there is none
+     * @param outcome how the hop ended, a constant of {@link Director}
+     * @param note what the node added to the outcome, a constant of {@link Director}
+     * @param silent whether nothing was received from the node since the hop was sent
      */
     public void hopEnded(String node, String source, int outcome, int note, boolean silent, double now) {
         switch (outcome) {
@@ -302,137 +370,158 @@
         }
     }
 
+    /** Records that the node answered. */
     public void nodeAnswered(String id, double now) {
-        NodeEntry b = beliefs.get(id);
-        if (b == null) return;
-        boolean fresh = b.answered(now, ages);
-        if (fresh || now - b.listed.answeredAt() > ages.recentMs() / NOTED_PART) {
-            b.listed = fresh ? b.listed.withAnsweredAt(now).withStartedAt(now) : b.listed.withAnsweredAt(now);
-            keep(b, false);
+        NodeEntry entry = entriesById.get(id);
+        if (entry == null) return;
+        boolean justStarted = entry.answered(now, limits);
+        double saveAfterMs = limits.recentMs() / ANSWER_SAVES_PER_RECENT_AGE;
+        if (justStarted || now - entry.listed.answeredAt() > saveAfterMs) {
+            ListedNode answered = entry.listed.withAnsweredAt(now);
+            entry.listed = justStarted ? answered.withStartedAt(now) : answered;
+            persist(entry, false);
         }
-        if (b.state != NodeState.TOLD) settle(b, now);
+        if (entry.state != NodeState.TOLD) settle(entry, now);
     }
 
-    /** {@code refused}: no connection came up; else one was cut off, or ended in silence, under a hop. */
+    /**
+     * Records that the node failed.
+     *
+     * @param refused whether no connection could be established; otherwise one was reset, or timed out, during a hop
+     */
     public void nodeFailed(String id, boolean refused, double now) {
-        NodeEntry b = beliefs.get(id);
-        if (b == null) return;
-        b.failed(refused, now, ages, chance.nextDouble());
-        if (b.state != NodeState.TOLD) settle(b, now);
+        NodeEntry entry = entriesById.get(id);
+        if (entry == null) return;
+        entry.failed(refused, now, limits, random.nextDouble());
+        if (entry.state != NodeState.TOLD) settle(entry, now);
     }
 
     // ---- time ----
 
-    /** Moves what has aged; to be called about once a second. What is gone for long is forgotten. */
+    /** Re-evaluates all entries and drops expired ones; to be called about once a second. */
     public void tick(double now) {
-        for (NodeEntry b : beliefs.values()) settle(b, now);
-        boolean left = beliefs.values().removeIf(b -> {
-            boolean over = !b.state.usable() && b.state != NodeState.REFUSED
-                && now - Math.max(b.listed.listedAt(), b.listed.status() == Director.IN_SERVICE && b.listed.confirmed()
-                    ? confirmedAt : 0) > 2 * ages.oldMs();
-            if (!over) return false;
-            if (b.listed.status() != Director.REMOVED) gone(b, "told too long ago", now);
-            kept = kept.minus(b.listed.id());
+        for (NodeEntry entry : entriesById.values()) settle(entry, now);
+        boolean dropped = entriesById.values().removeIf(entry -> {
+            if (!expired(entry, now)) return false;
+            if (entry.listed.status() != Director.REMOVED) remove(entry, "last listed too long ago", now);
+            persistedNodes = persistedNodes.minus(entry.listed.id());
             return true;
         });
-        dirty |= left | purges.removeIf(p -> now - p.at() > purgesRunMs);
+        dirty |= dropped | purges.removeIf(purge -> now - purge.at() > purgeRetentionMs);
+    }
+
+    /** Whether the entry is unused and was last listed or confirmed more than twice the old age ago. */
+    private boolean expired(NodeEntry entry, double now) {
+        if (entry.state.usable() || entry.state == NodeState.REFUSED) return false;
+        boolean confirmed = entry.listed.status() == Director.IN_SERVICE && entry.listed.confirmed();
+        return now - Math.max(entry.listed.listedAt(), confirmed ? confirmedAt : 0) > 2 * limits.oldMs();
     }
 
-    private void gone(NodeEntry b, String why, double now) {
-        b.listed = b.listed.withStatus(Director.REMOVED, now);
-        b.reason = why;
-        b.withheldAt = Double.NaN;
-        byAddress.remove(b.listed.address(), b);
-        keep(b, true);
-        settle(b, now);
+    private void remove(NodeEntry entry, String reason, double now) {
+        entry.listed = entry.listed.withStatus(Director.REMOVED, now);
+        entry.reason = reason;
+        entry.withheldAt = Double.NaN;
+        entriesByAddress.remove(entry.listed.address(), entry);
+        persist(entry, true);
+        settle(entry, now);
     }
 
-    private void settle(NodeEntry b, double now) {
-        settle(b, now, false);
+    private void settle(NodeEntry entry, double now) {
+        settle(entry, now, false);
     }
 
-    private void settle(NodeEntry b, double now, boolean anew) {
-        NodeState was = b.state, is = b.evaluate(now, confirmedAt, ages);
-        if (is == was && !anew) return;
-        // A withheld box that stays away is gone for good.
-        if (is == NodeState.GONE && b.listed.status() != Director.REMOVED) {
-            gone(b, b.reason, now);
+    /** Moves the entry to its current state and reports the change; {@code force} reports an unchanged state too. */
+    private void settle(NodeEntry entry, double now, boolean force) {
+        NodeState was = entry.state;
+        NodeState is = entry.evaluate(now, confirmedAt, limits);
+        if (is == was && !force) return;
+        // A node that was withheld for too long is removed for good.
+        if (is == NodeState.GONE && entry.listed.status() != Director.REMOVED) {
+            remove(entry, entry.reason, now);
             return;
         }
-        b.state = is;
-        moves[was == null ? is.ordinal() : was.ordinal()][is.ordinal()]++;
-        if (is == NodeState.OLD) b.markUnconfirmed(now);
-        changes.stateChanged(b.listed, was, is, b.startedAt, b.reason);
+        entry.state = is;
+        transitionCounts[was == null ? is.ordinal() : was.ordinal()][is.ordinal()]++;
+        if (is == NodeState.OLD) entry.markUnconfirmed(now);
+        listener.stateChanged(entry.listed, was, is, entry.startedAt, entry.reason);
     }
 
-    private void keep(NodeEntry b, boolean atOnce) {
-        kept = kept.plus(b.listed.id(), b.listed);
+    private void persist(NodeEntry entry, boolean isUrgent) {
+        persistedNodes = persistedNodes.plus(entry.listed.id(), entry.listed);
         dirty = true;
-        urgent |= atOnce;
+        urgent |= isUrgent;
     }
 
-    // ---- what is kept, and what is shown ----
+    // ---- saved state and inspection ----
 
-    /** True once after something changed that the disk should hold. */
+    /** Whether something to be saved changed since the last call. */
     public boolean takeDirty() {
         boolean was = dirty;
         dirty = false;
         return was;
     }
 
-    /** True once after a drain, a box gone or a purge. */
+    /** Whether there was a drain, a removal or a purge since the last call. */
     public boolean takeUrgent() {
         boolean was = urgent;
         urgent = false;
         return was;
     }
 
-    /** What the disk should hold now. Withheld boxes are kept as gone: after a restart nobody waits for them. */
+    /** What to save now. Withheld nodes are saved as removed: a restart does not wait for them. */
     public MembershipSnapshot snapshot(String fleet, String director, double now) {
-        PMap<String, ListedNode> all = kept;
-        for (NodeEntry b : beliefs.values()) {
-            if (b.state == NodeState.WITHHELD) {
-                all = all.plus(b.listed.id(), b.listed.withStatus(Director.REMOVED, b.withheldAt));
+        PMap<String, ListedNode> nodes = persistedNodes;
+        for (NodeEntry entry : entriesById.values()) {
+            if (entry.state == NodeState.WITHHELD) {
+                nodes = nodes.plus(entry.listed.id(), entry.listed.withStatus(Director.REMOVED, entry.withheldAt));
             }
         }
-        return new MembershipSnapshot(fleet, director, now, lastEvent, confirmedAt, all, List.copyOf(purges));
+        return new MembershipSnapshot(fleet, director, now, lastEvent, confirmedAt, nodes, List.copyOf(purges));
     }
 
+    /** The node's state; null for an unknown node. */
     public NodeState stateOf(String id) {
-        NodeEntry b = beliefs.get(id);
-        return b == null ? null : b.state;
+        NodeEntry entry = entriesById.get(id);
+        return entry == null ? null : entry.state;
     }
 
+    /** Why the node is in its state, for operators. */
     public String reason(String id) {
-        NodeEntry b = beliefs.get(id);
-        return b == null ? "not known" : b.reason;
+        NodeEntry entry = entriesById.get(id);
+        return entry == null ? "unknown node" : entry.reason;
     }
 
+    /** What is known of all nodes, removed ones included. */
     public Collection<ListedNode> entries() {
-        return beliefs.values().stream().map(b -> b.listed).toList();
+        return entriesById.values().stream().map(entry -> entry.listed).toList();
     }
 
-    public int count(NodeState s) {
-        int n = 0;
-        for (NodeEntry b : beliefs.values()) if (b.state == s) n++;
-        return n;
+    /** How many entries are in the state. */
+    public int count(NodeState state) {
+        int count = 0;
+        for (NodeEntry entry : entriesById.values()) {
+            if (entry.state == state) count++;
+        }
+        return count;
     }
 
+    /** When discovery last confirmed the whole list, Unix ms. */
     public double confirmedAt() {
         return confirmedAt;
     }
 
-    /** How often entries went from one standing to another; a new one counts as staying where it began. */
+    /** How often entries went from one state to another; a new entry counts as going from its first state to itself. */
     public long transitionCount(NodeState from, NodeState to) {
-        return moves[from.ordinal()][to.ordinal()];
+        return transitionCounts[from.ordinal()][to.ordinal()];
     }
 
-    public long updateCount(UpdateResult t) {
-        return taken[t.ordinal()];
+    /** How often updates had the result. */
+    public long updateCount(UpdateResult result) {
+        return updateCounts[result.ordinal()];
     }
 
-    private UpdateResult count(UpdateResult t) {
-        taken[t.ordinal()]++;
-        return t;
+    private UpdateResult countResult(UpdateResult result) {
+        updateCounts[result.ordinal()]++;
+        return result;
     }
 }
--- a/src/main/java/mothcross/membership/MembershipSnapshot.java
+++ b/src/main/java/mothcross/membership/MembershipSnapshot.java
@@ -4,9 +4,16 @@
 import org.pcollections.PMap;
 
 /**
- * All that a director keeps over a restart, as it stood at one moment: a view that later news leaves as it is, so
- * that it can be written while lookups go on. {@code lastEvent} is that of the last event, {@code confirmedAt} when
- * discovery last stood behind the whole of it.
+ * The membership that a director saves across restarts, as it was at one moment. It is immutable, so it can be
+ * written while updates and lookups go on.
+ *
+ * @param fleet the name of the fleet
+ * @param director the name of the director that saved it
+ * @param savedAt when it was taken, Unix ms
+ * @param lastEvent the number of the last discovery event applied
+ * @param confirmedAt when discovery last confirmed the whole list, Unix ms
+ * @param entries the nodes by id
+ * @param purges the purges that still apply
  */
 public record MembershipSnapshot(String fleet, String director, double savedAt, long lastEvent, double confirmedAt,
-                   PMap<String, ListedNode> entries, List<Purge> purges) { }
+                                 PMap<String, ListedNode> entries, List<Purge> purges) { }
--- a/src/main/java/mothcross/membership/NodeEntry.java
+++ b/src/main/java/mothcross/membership/NodeEntry.java
@@ -3,107 +3,150 @@
 import mothcross.Director;
 
 /**
- * What is believed about one box, and why. One switch moves it, by age and by what the box itself showed:
+ * The state of one cache node, the reason for it, and the evidence from the node's own answers. {@link #evaluate}
+ * derives the state from the age of the information and from that evidence:
  *
  * <pre>
  *  to         from                        when
- *  TOLD       any                         discovery names it as in service, or stands behind the list again
- *  RECENT     (disk)                      in service, told within the recent age
- *  OLD        TOLD, RECENT, PROVEN        past the recent age without an answer lately; a reset or a refused
- *                                         connection where only an answer held it; (disk) past the recent age
- *  OLD        RECENT                      refused as often in a row as the operators allow
- *  OLD        REFUSED                     its wait is over: it is tried again
+ *  TOLD       any                         discovery lists it as in service, or confirms the list again
+ *  RECENT     (restored)                  in service, confirmed within the recent age
+ *  OLD        TOLD, RECENT, PROVEN        past the recent age without an answer lately; a connection reset or refused
+ *                                         where only an answer kept it in use; (restored) past the recent age
+ *  OLD        RECENT                      as many connection refusals in a row as the operators allow
+ *  OLD        REFUSED                     its retry time has come
  *  PROVEN     OLD, TOLD, RECENT           past the recent age, and it answered lately
- *  REFUSED    OLD, RECENT                 a connection to it did not come up: waits, each time twice as long
- *  WITHHELD   any in use                  missing from a strongly shrunken whole list
- *  TOO_OLD    any in use                  neither told nor heard within the old age
- *  DRAINING   any                         told so
- *  GONE       any                         told so, or missing from a whole list, or withheld too long, or its
- *                                         address is another's now
+ *  REFUSED    OLD, RECENT                 a connection failed: waits for a retry, with exponential backoff
+ *  WITHHELD   any in use                  missing from a shrunk snapshot
+ *  TOO_OLD    any in use                  neither confirmed nor answering within the old age
+ *  DRAINING   any                         discovery says so
+ *  GONE       any                         discovery says so; missing from a snapshot; withheld too long; its address
+ *                                         now belongs to another node
  * </pre>
  *
- * Owns the evidence; must never be moved by a box's answer to a better standing than discovery's word allows.
+ * An answer never gives a node a better state than the status that discovery reported allows.
  */
 final class NodeEntry {
+    /** {@link #startedAt} of a node that has run for long enough to need no slow start. */
+    static final double WARM = 1;
+    /** A retry delay is multiplied by this share plus a random part of {@link #RETRY_JITTER_SHARE}. */
+    private static final double MIN_RETRY_SHARE = 0.75;
+    private static final double RETRY_JITTER_SHARE = 0.5;
+    /** Keeps the doubled retry delay finite before {@link AgeLimits#maxRetryMs} bounds it. */
+    private static final int MAX_RETRY_DOUBLINGS = 30;
+
+    /** What discovery last reported. */
     ListedNode listed;
+    /** Null until the entry is first evaluated. */
     NodeState state;
     String reason = "new";
-    boolean confirmedThisRun;                       // named in this run, not only read from the disk
-    boolean listedInSnapshot;                         // in the whole list being read
-    boolean unknownBefore = true;          // never shown to the module as in use
-    double startedAt;                      // for the module: 0 untold, else a time; LONG where known to be warm
+    /** Listed or confirmed since this process started, not only restored from disk. */
+    boolean confirmedThisRun;
+    /** In the snapshot that is being read. */
+    boolean listedInSnapshot;
+    /** Start time used for slow start: 0 where unknown, {@link #WARM} where known to be warm; Unix ms. */
+    double startedAt;
+    /** When the node was first missing from a shrunk snapshot; NaN while it is not withheld. */
     double withheldAt = Double.NaN;
-    private double answeredAt = Double.NEGATIVE_INFINITY, firstAnswerAt = Double.NaN, triedAgainAt;
-    private int refusals, waits;
-    static final double WARM = 1;
+    private double answeredAt = Double.NEGATIVE_INFINITY;
+    private double firstAnswerAt = Double.NaN;
+    private double retryAt;
+    private int connectionRefusals;
+    private int retries;
 
-    NodeEntry(ListedNode told) {
-        this.listed = told;
-        this.startedAt = told.startedAt();
+    NodeEntry(ListedNode listed) {
+        this.listed = listed;
+        this.startedAt = listed.startedAt();
     }
 
-    /** Its process may be another one now: nothing it showed counts any more. */
+    /** Discards all evidence, as the process at this address may be another one now. */
     void resetEvidence() {
         answeredAt = Double.NEGATIVE_INFINITY;
         firstAnswerAt = Double.NaN;
-        refusals = waits = 0;
-        triedAgainAt = 0;
+        connectionRefusals = 0;
+        retries = 0;
+        retryAt = 0;
     }
 
-    /** From now on nobody can say when its process started: its next answer is taken for a first one. */
+    /** The start of the node's process is unknown from now on: its next answer counts as its first one. */
     void markUnconfirmed(double now) {
         firstAnswerAt = Double.NaN;
         startedAt = now;
     }
 
-    /** True where its process must be taken for one that started just now: nobody told, or it was away. */
-    boolean answered(double now, AgeLimits ages) {
-        boolean away = refusals >= ages.maxRefusals() || Double.isNaN(firstAnswerAt) && state == NodeState.OLD;
-        refusals = waits = 0;
+    /**
+     * Records an answer.
+     *
+     * @return whether the process must be taken to have just started: nothing confirmed it, or it was unreachable
+     */
+    boolean answered(double now, AgeLimits limits) {
+        boolean justStarted = connectionRefusals >= limits.maxRefusals()
+            || Double.isNaN(firstAnswerAt) && state == NodeState.OLD;
+        connectionRefusals = 0;
+        retries = 0;
         answeredAt = now;
         if (Double.isNaN(firstAnswerAt)) firstAnswerAt = now;
-        if (away) startedAt = now;
-        return away;
+        if (justStarted) startedAt = now;
+        return justStarted;
     }
 
-    /** A connection that never came up ({@code refused}), or one cut off under a hop. */
-    void failed(boolean refused, double now, AgeLimits ages, double chance) {
+    /**
+     * Records a failure.
+     *
+     * @param refused whether no connection could be established; otherwise one was lost during a hop
+     * @param random a random number from 0 to 1 for the retry's jitter
+     */
+    void failed(boolean refused, double now, AgeLimits limits, double random) {
         firstAnswerAt = Double.NaN;
         answeredAt = Double.NEGATIVE_INFINITY;
         if (!refused) return;
-        refusals++;
-        boolean gone = state == NodeState.OLD || state == NodeState.RECENT && refusals >= ages.maxRefusals();
-        if (!gone) return;
-        double wait = Math.min(ages.maxRetryMs(), ages.retryMs() * Math.pow(2, Math.min(30, waits++)));
-        triedAgainAt = now + wait * (0.75 + 0.5 * chance);
+        connectionRefusals++;
+        boolean unreachable = state == NodeState.OLD
+            || state == NodeState.RECENT && connectionRefusals >= limits.maxRefusals();
+        if (!unreachable) return;
+        int doublings = Math.min(MAX_RETRY_DOUBLINGS, retries++);
+        double delayMs = Math.min(limits.maxRetryMs(), limits.retryMs() * Math.pow(2, doublings));
+        retryAt = now + delayMs * (MIN_RETRY_SHARE + RETRY_JITTER_SHARE * random);
     }
 
-    /** Where it should stand now; sets the reason. {@code heardAt}: when discovery last stood behind the list. */
-    NodeState evaluate(double now, double heardAt, AgeLimits ages) {
-        if (listed.status() == Director.DRAINING) return is(NodeState.DRAINING, "told that it drains");
-        if (listed.status() == Director.REMOVED) return is(NodeState.GONE, reason);
+    /**
+     * The state that the entry should have now; also sets the reason.
+     *
+     * @param listConfirmedAt when discovery last confirmed the whole list
+     */
+    NodeState evaluate(double now, double listConfirmedAt, AgeLimits limits) {
+        if (listed.status() == Director.DRAINING) {
+            return withReason(NodeState.DRAINING, "discovery reported it draining");
+        }
+        if (listed.status() == Director.REMOVED) return withReason(NodeState.GONE, reason);
         if (!Double.isNaN(withheldAt)) {
-            if (now - withheldAt <= ages.withheldMs()) return is(NodeState.WITHHELD, "missing from a shrunken list");
-            return is(NodeState.GONE, "missing from a shrunken list for too long");
+            if (now - withheldAt <= limits.withheldMs()) {
+                return withReason(NodeState.WITHHELD, "missing from a shrunk snapshot");
+            }
+            return withReason(NodeState.GONE, "missing from a shrunk snapshot for too long");
+        }
+        double confirmedAt = listed.confirmed() ? Math.max(listed.listedAt(), listConfirmedAt) : listed.listedAt();
+        double ageMs = now - confirmedAt;
+        boolean retryPending = now < retryAt;
+        if (ageMs <= limits.recentMs() && confirmedThisRun) {
+            return withReason(NodeState.TOLD, "confirmed by discovery in this run");
+        }
+        if (ageMs <= limits.recentMs() && connectionRefusals < limits.maxRefusals() && !retryPending) {
+            return withReason(NodeState.RECENT, "confirmed by discovery recently, before the restart");
         }
-        double age = now - (listed.confirmed() ? Math.max(listed.listedAt(), heardAt) : listed.listedAt());
-        double seen = Math.max(listed.answeredAt(), answeredAt);
-        boolean waiting = now < triedAgainAt;
-        if (age <= ages.recentMs() && confirmedThisRun) return is(NodeState.TOLD, "told in this run");
-        if (age <= ages.recentMs() && refusals < ages.maxRefusals() && !waiting) {
-            return is(NodeState.RECENT, "told before the restart, not long ago");
+        if (now - answeredAt <= limits.answerValidMs()) {
+            return withReason(NodeState.PROVEN, "discovery is silent, but the node answers");
         }
-        boolean answers = now - answeredAt <= ages.answerValidMs();
-        if (answers) return is(NodeState.PROVEN, "discovery is silent, but the box answers");
-        if (age > ages.oldMs() && now - seen > ages.oldMs()) {
-            return is(NodeState.TOO_OLD, "neither told nor heard for long");
+        double lastAnswerAt = Math.max(listed.answeredAt(), answeredAt);
+        if (ageMs > limits.oldMs() && now - lastAnswerAt > limits.oldMs()) {
+            return withReason(NodeState.TOO_OLD, "neither confirmed nor answering for too long");
         }
-        if (waiting) return is(NodeState.REFUSED, "its connections do not come up");
-        return is(NodeState.OLD, refusals > 0 ? "not reached, tried again" : "not told for long, nor heard");
+        if (retryPending) return withReason(NodeState.REFUSED, "connections to it fail");
+        return withReason(NodeState.OLD, connectionRefusals > 0 ? "connection failed, retrying"
+            : "neither confirmed nor answering recently");
     }
 
-    private NodeState is(NodeState s, String explanation) {
-        reason = explanation;
-        return s;
+    private NodeState withReason(NodeState newState, String newReason) {
+        reason = newReason;
+        return newState;
     }
 }
--- a/src/main/java/mothcross/membership/NodeState.java
+++ b/src/main/java/mothcross/membership/NodeState.java
@@ -1,40 +1,40 @@
 package mothcross.membership;
 
+import java.util.Locale;
 import mothcross.Director;
 
-/**
- * Where an entry of the list stands, and what the module is told of it. Must never say how it came there:
- * {@link NodeEntry} moves entries.
- */
+/** The state of a node in the membership list; {@link NodeEntry} describes the transitions. */
 public enum NodeState {
-    /** Discovery named it in this run, or said within the recent age that nothing is new. */
+    /** Discovery listed it in this run, or confirmed the list within the recent age. */
     TOLD(Director.IN_SERVICE),
-    /** From the disk, and told within the recent age. */
+    /** Restored from disk, and confirmed within the recent age. */
     RECENT(Director.IN_SERVICE),
-    /** Past the recent age, but the box itself answers. */
+    /** Past the recent age, but the node itself answers. */
     PROVEN(Director.IN_SERVICE),
-    /** Past the recent age and not heard of in this run: used cautiously. */
+    /** Past the recent age without an answer lately: used cautiously. */
     OLD(Director.UNCONFIRMED),
-    /** Not there when it was asked for; it is tried again after a while. */
+    /** Could not be connected to; retried after a delay. */
     REFUSED(Director.REMOVED),
-    /** Missing from a whole list that shrank strongly: not used, not yet forgotten. */
+    /** Missing from a shrunk snapshot: not used, but not yet removed. */
     WITHHELD(Director.REMOVED),
     /** Past the old age: not used. */
     TOO_OLD(Director.REMOVED),
     DRAINING(Director.DRAINING),
     GONE(Director.REMOVED);
 
-    /** As the module knows it. */
+    /** The status that the director is given, a constant of {@link Director}. */
     public final int directorStatus;
 
-    NodeState(int use) {
-        this.directorStatus = use;
+    NodeState(int directorStatus) {
+        this.directorStatus = directorStatus;
     }
 
+    /** The lower-case name that logs, counters and {@code list show} print. */
     public String label() {
-        return name().toLowerCase(java.util.Locale.ROOT);
+        return name().toLowerCase(Locale.ROOT);
     }
 
+    /** Whether the director may send lookups to a node in this state. */
     public boolean usable() {
         return directorStatus == Director.IN_SERVICE || directorStatus == Director.UNCONFIRMED;
     }
--- a/src/main/java/mothcross/membership/SnapshotFormat.java
+++ b/src/main/java/mothcross/membership/SnapshotFormat.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.zip.CRC32C;
 import mothcross.Director;
@@ -13,173 +14,248 @@
 import org.pcollections.PMap;
 
 /**
- * The bytes that a kept list rests in: a head of 24 bytes (magic 8, version 4, length of the body 4, CRC32C of
- * the body 4, CRC32C of the 20 bytes before 4), then the body. Big-endian; texts as a length of two bytes and
- * UTF-8. Owns the form only; must never give back half a list, or one that it is not sure of.
+ * The binary form of a saved {@link MembershipSnapshot}: a header of 24 bytes (magic 8, version 4, body length 4,
+ * CRC32C of the body 4, CRC32C of the preceding 20 bytes 4), then the body. Numbers are big-endian; strings are a
+ * length of two bytes and UTF-8. Decoding returns a whole, verified snapshot or an error, never a part of one.
  */
 public final class SnapshotFormat {
-    /** Why bytes are no list that may be used; each has a counter and a row in the operators' page. */
+    /** Why bytes cannot be used as a snapshot; each has a counter and a row in the operators' page. */
     public enum ReadError { EMPTY, NOT_A_LIST, OTHER_VERSION, TORN, DAMAGED, OTHER_FLEET, OTHER_DIRECTOR, FUTURE,
         UNREADABLE }
 
-    /** The reason and the text beside it; failure is a value here. */
+    /**
+     * The result of reading a snapshot.
+     *
+     * @param snapshot null where reading failed
+     * @param error null where reading succeeded
+     * @param text describes the error; empty where reading succeeded
+     */
     public record Result(MembershipSnapshot snapshot, ReadError error, String text) {
-        public static Result failed(ReadError r, String text) {
-            return new Result(null, r, text);
+        /** A failed read. */
+        public static Result failed(ReadError error, String text) {
+            return new Result(null, error, text);
         }
     }
 
     private static final long MAGIC = 0x6d6f74686c697374L;            // "mothlist"
-    private static final int VERSION = 1, HEAD = 24, UNBACKED = 4;
+    private static final int VERSION = 1;
+    private static final int HEADER_BYTES = 24;
+    /** Added to a node's status where no confirmation of the whole list covers it. */
+    private static final int UNCONFIRMED_FLAG = 4;
+    /** Port, zone, kind and cell of a node as int, its status and flag as one byte. */
+    private static final int NODE_INTS_BYTES = 17;
+    /** The shortest node: two empty strings, {@link #NODE_INTS_BYTES}, four doubles. */
+    private static final int MIN_NODE_BYTES = 53;
+    private static final int MIN_STRING_BYTES = 2;
+    private static final int PURGE_BYTES = 20;
+    private static final int INITIAL_BUFFER_BYTES = 4096;
+    private static final int MAX_STRING_BYTES = 0xffff;
 
     private SnapshotFormat() { }
 
-    public static byte[] encode(MembershipSnapshot k) {
-        Writer w = new Writer();
-        w.room(HEAD).position(HEAD);
-        w.text(k.fleet());
-        w.text(k.director());
-        w.number(k.savedAt());
-        w.room(8).putLong(k.lastEvent());
-        w.number(k.confirmedAt());
-        // Places and kinds are few: each is written once.
-        Map<String, Integer> names = new HashMap<>();
-        List<String> order = new ArrayList<>();
-        for (ListedNode t : k.entries().values()) {
-            for (String s : List.of(t.zone(), t.kind())) {
-                if (names.putIfAbsent(s, order.size()) == null) order.add(s);
+    /** The snapshot in its binary form. */
+    public static byte[] encode(MembershipSnapshot snapshot) {
+        Writer writer = new Writer();
+        writer.reserve(HEADER_BYTES).position(HEADER_BYTES);
+        writer.putString(snapshot.fleet());
+        writer.putString(snapshot.director());
+        writer.putDouble(snapshot.savedAt());
+        writer.reserve(Long.BYTES).putLong(snapshot.lastEvent());
+        writer.putDouble(snapshot.confirmedAt());
+        // There are few zones and kinds: each name is written once.
+        Map<String, Integer> nameIndex = new HashMap<>();
+        List<String> names = new ArrayList<>();
+        for (ListedNode node : snapshot.entries().values()) {
+            for (String name : List.of(node.zone(), node.kind())) {
+                if (nameIndex.putIfAbsent(name, names.size()) == null) names.add(name);
             }
         }
-        w.room(4).putInt(order.size());
-        order.forEach(w::text);
-        w.room(4).putInt(k.entries().size());
-        for (ListedNode t : k.entries().values()) {
-            w.text(t.id());
-            w.text(t.host());
-            w.room(17).putInt(t.port()).putInt(names.get(t.zone())).putInt(names.get(t.kind())).putInt(t.cell())
-                .put((byte) (t.status() | (t.confirmed() ? 0 : UNBACKED)));
-            w.number(t.units());
-            w.number(t.startedAt());
-            w.number(t.listedAt());
-            w.number(t.answeredAt());
-        }
-        w.room(4).putInt(k.purges().size());
-        for (Purge p : k.purges()) w.room(20).putLong(p.object()).putInt(p.group()).putDouble(p.at());
-        return w.sealed();
+        writer.putInt(names.size());
+        names.forEach(writer::putString);
+        writer.putInt(snapshot.entries().size());
+        for (ListedNode node : snapshot.entries().values()) writeNode(writer, node, nameIndex);
+        writer.putInt(snapshot.purges().size());
+        for (Purge purge : snapshot.purges()) {
+            writer.reserve(PURGE_BYTES).putLong(purge.object()).putInt(purge.group()).putDouble(purge.at());
+        }
+        return writer.finish();
+    }
+
+    private static void writeNode(Writer writer, ListedNode node, Map<String, Integer> nameIndex) {
+        writer.putString(node.id());
+        writer.putString(node.host());
+        writer.reserve(NODE_INTS_BYTES)
+            .putInt(node.port())
+            .putInt(nameIndex.get(node.zone()))
+            .putInt(nameIndex.get(node.kind()))
+            .putInt(node.cell())
+            .put((byte) (node.status() | (node.confirmed() ? 0 : UNCONFIRMED_FLAG)));
+        writer.putDouble(node.units());
+        writer.putDouble(node.startedAt());
+        writer.putDouble(node.listedAt());
+        writer.putDouble(node.answeredAt());
     }
 
-    /** The list in these bytes, if it is one of this fleet and director (null: of any) and not from later on. */
-    public static Result decode(byte[] bytes, String fleet, String director, double now, double skew) {
+    /**
+     * Reads a snapshot.
+     *
+     * @param fleet the fleet that it must belong to; null: any
+     * @param director the director that must have saved it; null: any
+     * @param clockSkewMs how far after {@code now} it may have been saved
+     */
+    public static Result decode(byte[] bytes, String fleet, String director, double now, double clockSkewMs) {
         if (bytes.length == 0) return Result.failed(ReadError.EMPTY, "the file is empty");
-        if (bytes.length < HEAD) return Result.failed(ReadError.TORN, "only " + bytes.length + " bytes, a head has "
-            + HEAD);
+        if (bytes.length < HEADER_BYTES) {
+            return Result.failed(ReadError.TORN, "only " + bytes.length + " bytes, the header has " + HEADER_BYTES);
+        }
         ByteBuffer in = ByteBuffer.wrap(bytes);
-        if (in.getLong() != MAGIC) return Result.failed(ReadError.NOT_A_LIST, "it does not begin as a kept list does");
-        int version = in.getInt(), length = in.getInt(), sum = in.getInt(), headSum = in.getInt();
-        if (headSum != sum(bytes, 0, HEAD - 4)) return Result.failed(ReadError.DAMAGED, "its head is damaged");
+        if (in.getLong() != MAGIC) {
+            return Result.failed(ReadError.NOT_A_LIST, "not a membership snapshot: unknown magic number");
+        }
+        int version = in.getInt();
+        int bodyLength = in.getInt();
+        int bodyChecksum = in.getInt();
+        int headerChecksum = in.getInt();
+        if (headerChecksum != checksum(bytes, 0, HEADER_BYTES - Integer.BYTES)) {
+            return Result.failed(ReadError.DAMAGED, "checksum mismatch in the header");
+        }
         if (version != VERSION) {
             return Result.failed(ReadError.OTHER_VERSION, "version " + version + ", this program reads " + VERSION);
         }
-        if (length != bytes.length - HEAD) {
-            return Result.failed(ReadError.TORN, "its body has " + (bytes.length - HEAD) + " bytes in place of "
-                + length);
+        if (bodyLength != bytes.length - HEADER_BYTES) {
+            return Result.failed(ReadError.TORN, "the body has " + (bytes.length - HEADER_BYTES)
+                + " bytes, the header says " + bodyLength);
+        }
+        if (bodyChecksum != checksum(bytes, HEADER_BYTES, bodyLength)) {
+            return Result.failed(ReadError.DAMAGED, "checksum mismatch in the body");
         }
-        if (sum != sum(bytes, HEAD, length)) return Result.failed(ReadError.DAMAGED, "its body is damaged");
-        MembershipSnapshot k;
+        MembershipSnapshot snapshot;
         try {
-            k = body(in);
+            snapshot = readBody(in);
         } catch (BufferUnderflowException | IndexOutOfBoundsException | IllegalArgumentException e) {
-            return Result.failed(ReadError.DAMAGED, "its body does not fit its form");
+            return Result.failed(ReadError.DAMAGED, "the body is malformed");
         }
-        if (fleet != null && !fleet.equals(k.fleet())) {
-            return Result.failed(ReadError.OTHER_FLEET, "it is of fleet '" + k.fleet() + "', this is '" + fleet + "'");
+        if (fleet != null && !fleet.equals(snapshot.fleet())) {
+            return Result.failed(ReadError.OTHER_FLEET,
+                "saved for fleet '" + snapshot.fleet() + "', this is '" + fleet + "'");
         }
-        if (director != null && !director.equals(k.director())) {
+        if (director != null && !director.equals(snapshot.director())) {
             return Result.failed(ReadError.OTHER_DIRECTOR,
-                "it is of director '" + k.director() + "', this is '" + director + "'");
+                "saved by director '" + snapshot.director() + "', this is '" + director + "'");
         }
-        if (k.savedAt() > now + skew) {
-            return Result.failed(ReadError.FUTURE, String.format(java.util.Locale.ROOT,
-                "it was written %.0f s from now: the clock went back", (k.savedAt() - now) / 1000));
+        if (snapshot.savedAt() > now + clockSkewMs) {
+            return Result.failed(ReadError.FUTURE, String.format(Locale.ROOT,
+                "saved %.0f s in the future: the clock went back", (snapshot.savedAt() - now) / 1000));
         }
-        return new Result(k, null, "");
+        return new Result(snapshot, null, "");
     }
 
-    private static MembershipSnapshot body(ByteBuffer in) {
-        String fleet = text(in), director = text(in);
-        double savedAt = number(in);
-        long number = in.getLong();
-        double heardAt = number(in);
-        String[] names = new String[count(in, 2)];
-        for (int i = 0; i < names.length; i++) names[i] = text(in);
-        Map<String, ListedNode> entries = new HashMap<>();
-        for (int i = count(in, 53); i > 0; i--) {
-            String id = text(in), host = text(in);
-            int port = in.getInt(), place = in.getInt(), kind = in.getInt(), cell = in.getInt(), flags = in.get();
-            int told = flags & ~UNBACKED;
-            if (told < Director.IN_SERVICE || told > Director.REMOVED) throw new IllegalArgumentException("standing");
-            entries.put(id, new ListedNode(id, host, port, names[place], names[kind], cell, told, number(in),
-                number(in), number(in), number(in), (flags & UNBACKED) == 0));
+    private static MembershipSnapshot readBody(ByteBuffer in) {
+        String fleet = readString(in);
+        String director = readString(in);
+        double savedAt = readDouble(in);
+        long lastEvent = in.getLong();
+        double confirmedAt = readDouble(in);
+        String[] names = new String[readCount(in, MIN_STRING_BYTES)];
+        for (int i = 0; i < names.length; i++) names[i] = readString(in);
+        Map<String, ListedNode> nodes = new HashMap<>();
+        for (int i = readCount(in, MIN_NODE_BYTES); i > 0; i--) {
+            ListedNode node = readNode(in, names);
+            nodes.put(node.id(), node);
         }
         List<Purge> purges = new ArrayList<>();
-        for (int i = count(in, 20); i > 0; i--) purges.add(new Purge(in.getLong(), in.getInt(), number(in)));
-        if (in.hasRemaining()) throw new IllegalArgumentException("bytes left");
-        PMap<String, ListedNode> all = HashTreePMap.from(entries);
-        return new MembershipSnapshot(fleet, director, savedAt, number, heardAt, all, purges);
+        for (int i = readCount(in, PURGE_BYTES); i > 0; i--) {
+            purges.add(new Purge(in.getLong(), in.getInt(), readDouble(in)));
+        }
+        if (in.hasRemaining()) throw new IllegalArgumentException("trailing bytes");
+        PMap<String, ListedNode> entries = HashTreePMap.from(nodes);
+        return new MembershipSnapshot(fleet, director, savedAt, lastEvent, confirmedAt, entries, purges);
+    }
+
+    private static ListedNode readNode(ByteBuffer in, String[] names) {
+        String id = readString(in);
+        String host = readString(in);
+        int port = in.getInt();
+        int zone = in.getInt();
+        int kind = in.getInt();
+        int cell = in.getInt();
+        int flags = in.get();
+        int status = flags & ~UNCONFIRMED_FLAG;
+        if (status < Director.IN_SERVICE || status > Director.REMOVED) {
+            throw new IllegalArgumentException("unknown node status");
+        }
+        boolean confirmed = (flags & UNCONFIRMED_FLAG) == 0;
+        double units = readDouble(in);
+        double startedAt = readDouble(in);
+        double listedAt = readDouble(in);
+        double answeredAt = readDouble(in);
+        return new ListedNode(id, host, port, names[zone], names[kind], cell, status, units, startedAt, listedAt,
+            answeredAt, confirmed);
     }
 
-    private static int count(ByteBuffer in, int least) {
-        int n = in.getInt();
-        if (n < 0 || n > in.remaining() / least) throw new IllegalArgumentException("count");
-        return n;
+    /** A number of items; the remaining bytes must be able to hold them. */
+    private static int readCount(ByteBuffer in, int minItemBytes) {
+        int count = in.getInt();
+        if (count < 0 || count > in.remaining() / minItemBytes) throw new IllegalArgumentException("implausible count");
+        return count;
     }
 
-    private static double number(ByteBuffer in) {
-        double d = in.getDouble();
-        if (Double.isNaN(d)) throw new IllegalArgumentException("number");
-        return d;
+    private static double readDouble(ByteBuffer in) {
+        double value = in.getDouble();
+        if (Double.isNaN(value)) throw new IllegalArgumentException("number is NaN");
+        return value;
     }
 
-    private static String text(ByteBuffer in) {
-        byte[] b = new byte[in.getShort() & 0xffff];
-        in.get(b);
-        return new String(b, StandardCharsets.UTF_8);
+    private static String readString(ByteBuffer in) {
+        byte[] bytes = new byte[in.getShort() & MAX_STRING_BYTES];
+        in.get(bytes);
+        return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private static int sum(byte[] bytes, int from, int length) {
-        CRC32C c = new CRC32C();
-        c.update(bytes, from, length);
-        return (int) c.getValue();
+    private static int checksum(byte[] bytes, int from, int length) {
+        CRC32C crc = new CRC32C();
+        crc.update(bytes, from, length);
+        return (int) crc.getValue();
     }
 
+    /** A buffer that grows as it is written to. */
     private static final class Writer {
-        private ByteBuffer out = ByteBuffer.allocate(4096);
+        private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
 
-        ByteBuffer room(int n) {
-            if (out.remaining() < n) {
-                ByteBuffer more = ByteBuffer.allocate(Math.max(2 * out.capacity(), out.capacity() + n));
-                out = more.put(out.flip());
+        ByteBuffer reserve(int byteCount) {
+            if (buffer.remaining() < byteCount) {
+                int capacity = Math.max(2 * buffer.capacity(), buffer.capacity() + byteCount);
+                buffer = ByteBuffer.allocate(capacity).put(buffer.flip());
             }
-            return out;
+            return buffer;
         }
 
-        void number(double d) {
-            room(8).putDouble(d);
+        void putInt(int value) {
+            reserve(Integer.BYTES).putInt(value);
         }
 
-        void text(String s) {
-            byte[] b = s.getBytes(StandardCharsets.UTF_8);
-            if (b.length > 0xffff) throw new IllegalArgumentException("a name of " + b.length + " bytes");
-            room(2 + b.length).putShort((short) b.length).put(b);
+        void putDouble(double value) {
+            reserve(Double.BYTES).putDouble(value);
+        }
+
+        void putString(String value) {
+            byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
+            if (bytes.length > MAX_STRING_BYTES) {
+                throw new IllegalArgumentException("a string of " + bytes.length + " bytes; at most "
+                    + MAX_STRING_BYTES + " can be saved");
+            }
+            reserve(MIN_STRING_BYTES + bytes.length).putShort((short) bytes.length).put(bytes);
         }
 
-        byte[] sealed() {
-            byte[] all = new byte[out.position()];
-            out.flip().get(all);
-            ByteBuffer head = ByteBuffer.wrap(all);
-            head.putLong(MAGIC).putInt(VERSION).putInt(all.length - HEAD).putInt(sum(all, HEAD, all.length - HEAD));
-            head.putInt(sum(all, 0, HEAD - 4));
-            return all;
+        /** All bytes, with the header filled in. */
+        byte[] finish() {
+            byte[] bytes = new byte[buffer.position()];
+            buffer.flip().get(bytes);
+            int bodyLength = bytes.length - HEADER_BYTES;
+            ByteBuffer header = ByteBuffer.wrap(bytes);
+            header.putLong(MAGIC).putInt(VERSION).putInt(bodyLength).putInt(checksum(bytes, HEADER_BYTES, bodyLength));
+            header.putInt(checksum(bytes, 0, HEADER_BYTES - Integer.BYTES));
+            return bytes;
         }
     }
 }
--- a/src/main/java/mothcross/membership/WriteScheduler.java
+++ b/src/main/java/mothcross/membership/WriteScheduler.java
@@ -1,54 +1,63 @@
 package mothcross.membership;
 
 /**
- * When the list is written to disk: urgent changes (a drain, a box gone, a purge) within one bound, others
- * gathered within a longer one, never two writes closer together than the shorter bound, and after a failure
- * later and later. Decides about times only; must never hold the list itself.
+ * Schedules the writes of the membership to disk. Urgent changes (a drain, a removal, a purge) are written within one
+ * bound, others are batched within a longer one; writes start no closer together than half the shorter bound, and
+ * failed writes are retried with exponential backoff. It decides about times only and does not hold the data.
  */
 public final class WriteScheduler {
-    /** Doubling waits after failed writes begin and end here, ms. */
-    private static final double FIRST_RETRY = 1000, LAST_RETRY = 60_000;
-    private final double urgentMs, gatherMs;
-    private double changedAt = Double.NaN, urgentAt = Double.NaN, startedAt = Double.NEGATIVE_INFINITY;
+    private static final double FIRST_RETRY_MS = 1000;
+    private static final double MAX_RETRY_MS = 60_000;
+    /** Keeps the doubled retry delay finite before {@link #MAX_RETRY_MS} bounds it. */
+    private static final int MAX_RETRY_DOUBLINGS = 20;
+
+    private final double urgentMs;
+    private final double batchMs;
+    private double changedAt = Double.NaN;
+    private double urgentAt = Double.NaN;
+    private double startedAt = Double.NEGATIVE_INFINITY;
     private double notBefore = Double.NEGATIVE_INFINITY;
     private int failures;
     private boolean writing;
 
-    /** Half of each bound is for gathering, the other half for the write itself. */
-    public WriteScheduler(double urgentMs, double gatherMs) {
+    /** Half of each bound is for batching changes, the other half for the write itself. */
+    public WriteScheduler(double urgentMs, double batchMs) {
         this.urgentMs = urgentMs / 2;
-        this.gatherMs = Math.max(gatherMs, urgentMs) / 2;
+        this.batchMs = Math.max(batchMs, urgentMs) / 2;
     }
 
+    /** Something to be written has changed. */
     public void changed(boolean urgent, double now) {
         if (Double.isNaN(changedAt)) changedAt = now;
         if (urgent && Double.isNaN(urgentAt)) urgentAt = now;
     }
 
-    /** When the next write is to begin; infinite while nothing is to be written or a write is under way. */
+    /** When the next write is to start; infinite while there is nothing to write or a write is in progress. */
     public double nextWriteAt() {
         if (writing || Double.isNaN(changedAt)) return Double.POSITIVE_INFINITY;
-        double wanted = Double.isNaN(urgentAt) ? changedAt + gatherMs
-            : Math.min(urgentAt, changedAt + gatherMs);
-        return Math.max(notBefore, Math.max(wanted, startedAt + urgentMs));
+        double batchEndsAt = changedAt + batchMs;
+        double wantedAt = Double.isNaN(urgentAt) ? batchEndsAt : Math.min(urgentAt, batchEndsAt);
+        return Math.max(notBefore, Math.max(wantedAt, startedAt + urgentMs));
     }
 
-    /** A write begins with all that has changed so far. */
+    /** A write of all changes so far has started. */
     public void writeStarted(double now) {
         writing = true;
         startedAt = now;
-        changedAt = urgentAt = Double.NaN;
+        changedAt = Double.NaN;
+        urgentAt = Double.NaN;
     }
 
-    /** The write has ended; what a failed one held still has to be written. */
-    public void writeEnded(boolean held, double now) {
+    /** The write has ended; the changes of a failed one still have to be written. */
+    public void writeEnded(boolean succeeded, double now) {
         writing = false;
-        if (held) {
+        if (succeeded) {
             failures = 0;
             notBefore = Double.NEGATIVE_INFINITY;
             return;
         }
-        notBefore = now + Math.min(LAST_RETRY, FIRST_RETRY * Math.pow(2, Math.min(20, failures++)));
+        double delayMs = FIRST_RETRY_MS * Math.pow(2, Math.min(MAX_RETRY_DOUBLINGS, failures++));
+        notBefore = now + Math.min(MAX_RETRY_MS, delayMs);
         if (Double.isNaN(changedAt)) changedAt = now;
     }
 }
