--- a/src/test/java/mothcross/membership/MembershipTest.java
+++ b/src/test/java/mothcross/membership/MembershipTest.java
@@ -13,132 +13,164 @@
 import org.testng.annotations.Test;
 
 /**
- * Plays the scenario files of the membership. A line is a time in ms and what comes: {@code whole EVENT
- * ID[:HOST][,drains|,gone]
- * [,since=MS] ...}, {@code changes EVENT ...}, {@code empty EVENT}, {@code same EVENT} (nothing new), {@code purge
- * EVENT GROUP AT},
- * {@code answers}, {@code refuses}, {@code resets ID}, {@code tick}, {@code restart} (through the bytes of the disk,
- * at that time);
- * or {@code = ID STANDING [cold=MS|long]} and {@code = purges N}, {@code = took WHAT N}. {@code ages recent=MS ...}
- * first.
+ * Runs the scenario files of the membership, and random histories against a reference model. A line of a scenario is
+ * a time in ms and an input:
+ *
+ * <pre>
+ *  snapshot EVENT ID[:HOST][,draining|,removed][,started=MS] ...
+ *  delta EVENT ID...                     as in a snapshot
+ *  empty EVENT                           an empty snapshot
+ *  confirm EVENT                         discovery reports its last event
+ *  reset-if-unusable EVENT
+ *  purge EVENT GROUP ISSUED_AT
+ *  answers ID, refuses ID, resets ID     a node answers, refuses a connection, resets one
+ *  tick
+ *  restart                               saved, encoded, decoded and restored at that time
+ * </pre>
+ *
+ * or, with no time, an expectation:
+ *
+ * <pre>
+ *  = ID STATE [STARTED_AT|warm]          STATE "unknown": no such entry
+ *  = purges COUNT
+ *  = event NUMBER
+ *  = result RESULT COUNT                 how often updates had the result
+ *  = urgent true|false
+ * </pre>
  */
 public class MembershipTest {
-    private static final double PURGES_RUN = 20_000;
+    private static final double PURGE_RETENTION_MS = 20_000;
+    private static final AgeLimits LIMITS = new AgeLimits(10_000, 100_000, 5000, 3, 1000, 8000, 0.5, 3000, 1000);
 
     @DataProvider
     public Object[][] scenarios() throws Exception {
-        URL at = MembershipTest.class.getResource("/membership");
-        try (Stream<Path> all = Files.list(Path.of(at.toURI()))) {
-            return all.sorted().map(p -> new Object[] {p.getFileName().toString(), p}).toArray(Object[][]::new);
+        URL folder = MembershipTest.class.getResource("/membership");
+        try (Stream<Path> files = Files.list(Path.of(folder.toURI()))) {
+            return files.sorted()
+                .map(file -> new Object[] {file.getFileName().toString(), file})
+                .toArray(Object[][]::new);
         }
     }
 
-    /** A membership and what it has told the module. */
-    private static final class Play implements Membership.Listener {
-        AgeLimits ages;
-        Membership m;
-        final Map<String, NodeState> module = new HashMap<>();
-        final Map<String, Double> cold = new HashMap<>();
+    /** A membership, and what it has reported to its listener. */
+    private static final class Harness implements Membership.Listener {
+        final AgeLimits limits;
+        Membership membership;
+        final Map<String, NodeState> reportedStates = new HashMap<>();
+        final Map<String, Double> reportedStarts = new HashMap<>();
 
-        Play(AgeLimits ages, long seed) {
-            this.ages = ages;
-            m = new Membership(ages, PURGES_RUN, new SplittableRandom(seed), this);
+        Harness(AgeLimits limits, long seed) {
+            this.limits = limits;
+            membership = new Membership(limits, PURGE_RETENTION_MS, new SplittableRandom(seed), this);
         }
 
-        @Override public void stateChanged(ListedNode entry, NodeState was, NodeState is, double coldSince,
-                String why) {
-            NodeState had = module.get(entry.id());
-            assertEquals(had == NodeState.GONE && was == null ? null : had, was, "what the module was told of "
-                + entry.id());
-            module.put(entry.id(), is);
-            cold.put(entry.id(), coldSince);
+        @Override public void stateChanged(ListedNode node, NodeState was, NodeState is, double startedAt,
+                String reason) {
+            NodeState reported = reportedStates.get(node.id());
+            assertEquals(reported == NodeState.GONE && was == null ? null : reported, was,
+                "the state reported before for " + node.id());
+            reportedStates.put(node.id(), is);
+            reportedStarts.put(node.id(), startedAt);
         }
 
-        /** Killed and started again: only what the disk holds goes over. */
+        /** Simulates a crash and a restart: only what is saved survives. */
         void restart(double now) {
-            byte[] bytes = SnapshotFormat.encode(m.snapshot("f", "d", now));
-            SnapshotFormat.Result r = SnapshotFormat.decode(bytes, "f", "d", now, ages.clockSkewMs());
-            assertTrue(r.snapshot() != null, r.text());
-            module.clear();
-            m = new Membership(ages, PURGES_RUN, new SplittableRandom(1), this);
-            m.restore(r.snapshot(), now);
+            byte[] bytes = SnapshotFormat.encode(membership.snapshot("f", "d", now));
+            SnapshotFormat.Result result = SnapshotFormat.decode(bytes, "f", "d", now, limits.clockSkewMs());
+            assertTrue(result.snapshot() != null, result.text());
+            reportedStates.clear();
+            membership = new Membership(limits, PURGE_RETENTION_MS, new SplittableRandom(1), this);
+            membership.restore(result.snapshot(), now);
         }
 
-        void list(double t, boolean whole, long event, List<String> entries) {
-            Membership.UpdateResult taken = m.listStarted(event, whole, t);
-            if (taken == Membership.UpdateResult.KNOWN_ALREADY || taken == Membership.UpdateResult.OLDER) return;
-            for (String e : entries) {
-                String[] p = e.split(",");
-                String[] id = p[0].split(":");
-                int standing = Director.IN_SERVICE;
-                double since = 0;
-                for (String x : p) {
-                    if (x.equals("drains")) standing = Director.DRAINING;
-                    if (x.equals("gone")) standing = Director.REMOVED;
-                    if (x.startsWith("since=")) since = Double.parseDouble(x.substring(6));
+        /** Applies a snapshot or a delta. */
+        void update(double now, boolean isSnapshot, long event, List<String> entries) {
+            Membership.UpdateResult result = membership.listStarted(event, isSnapshot, now);
+            if (result == Membership.UpdateResult.KNOWN_ALREADY || result == Membership.UpdateResult.OLDER) return;
+            for (String entry : entries) {
+                String[] parts = entry.split(",");
+                String[] idAndHost = parts[0].split(":");
+                int status = Director.IN_SERVICE;
+                double startedAt = 0;
+                for (String part : parts) {
+                    if (part.equals("draining")) status = Director.DRAINING;
+                    if (part.equals("removed")) status = Director.REMOVED;
+                    if (part.startsWith("started=")) startedAt = Double.parseDouble(part.substring(8));
                 }
-                m.nodeListed(id[0], id.length > 1 ? id[1] : id[0], 1, "here", "cache", 0, standing, 4, since, t);
+                String host = idAndHost.length > 1 ? idAndHost[1] : idAndHost[0];
+                membership.nodeListed(idAndHost[0], host, 1, "here", "cache", 0, status, 4, startedAt, now);
             }
-            m.listFinished(t);
+            membership.listFinished(now);
         }
     }
 
     @Test(dataProvider = "scenarios")
-    public void plays(String name, Path file) throws Exception {
-        Play play = new Play(new AgeLimits(10_000, 100_000, 5000, 3, 1000, 8000, 0.5, 3000, 1000), 7);
-        int number = 0, checks = 0;
-        for (String raw : Files.readAllLines(file)) {
-            number++;
-            String line = raw.replaceAll("#.*", "").strip();
+    public void scenario(String name, Path file) throws Exception {
+        Harness harness = new Harness(LIMITS, 7);
+        int lineNumber = 0;
+        int checks = 0;
+        for (String rawLine : Files.readAllLines(file)) {
+            lineNumber++;
+            String line = rawLine.replaceAll("#.*", "").strip();
             if (line.isEmpty()) continue;
-            List<String> p = new ArrayList<>(List.of(line.split(" +")));
-            String where = name + ":" + number + " " + line;
-            if (p.get(0).equals("=")) {
+            List<String> words = new ArrayList<>(List.of(line.split(" +")));
+            String where = name + ":" + lineNumber + " " + line;
+            if (words.get(0).equals("=")) {
                 checks++;
-                check(where, play, p);
-                continue;
-            }
-            double t = Double.parseDouble(p.get(0));
-            String what = p.get(1), first = p.size() > 2 ? p.get(2) : "";
-            switch (what) {
-                case "whole", "changes", "empty" -> play.list(t, !what.equals("changes"), Long.parseLong(first),
-                    p.subList(3, p.size()));
-                case "same" -> play.m.confirmUpTo(Long.parseLong(first), t);
-                case "behind" -> play.m.resetIfUnusable(Long.parseLong(first), t);
-                case "purge" -> play.m.purged(Long.parseLong(first), -1, Integer.parseInt(p.get(3)),
-                    Double.parseDouble(p.get(4)), t);
-                case "answers" -> play.m.nodeAnswered(first, t);
-                case "refuses" -> play.m.nodeFailed(first, true, t);
-                case "resets" -> play.m.nodeFailed(first, false, t);
-                case "tick" -> play.m.tick(t);
-                case "restart" -> play.restart(t);
-                default -> throw new IllegalArgumentException(where);
+                check(where, harness, words);
+            } else {
+                apply(where, harness, words);
             }
         }
         assertTrue(checks > 0, name + " checks nothing");
     }
 
-    private static void check(String where, Play play, List<String> p) {
-        switch (p.get(1)) {
-            case "purges" -> assertEquals(play.m.purges().size(), Integer.parseInt(p.get(2)), where);
-            case "event" -> assertEquals(play.m.lastEvent(), Long.parseLong(p.get(2)), where);
-            case "took" -> assertEquals(play.m.updateCount(Membership.UpdateResult.valueOf(p.get(2))),
-                Long.parseLong(p.get(3)), where);
-            case "urgent" -> assertEquals(play.m.takeUrgent(), Boolean.parseBoolean(p.get(2)), where);
+    private static void apply(String where, Harness harness, List<String> words) {
+        double now = Double.parseDouble(words.get(0));
+        String input = words.get(1);
+        String argument = words.size() > 2 ? words.get(2) : "";
+        Membership membership = harness.membership;
+        switch (input) {
+            case "snapshot", "delta", "empty" -> harness.update(now, !input.equals("delta"), Long.parseLong(argument),
+                words.subList(3, words.size()));
+            case "confirm" -> membership.confirmUpTo(Long.parseLong(argument), now);
+            case "reset-if-unusable" -> membership.resetIfUnusable(Long.parseLong(argument), now);
+            case "purge" -> membership.purged(Long.parseLong(argument), -1, Integer.parseInt(words.get(3)),
+                Double.parseDouble(words.get(4)), now);
+            case "answers" -> membership.nodeAnswered(argument, now);
+            case "refuses" -> membership.nodeFailed(argument, true, now);
+            case "resets" -> membership.nodeFailed(argument, false, now);
+            case "tick" -> membership.tick(now);
+            case "restart" -> harness.restart(now);
+            default -> throw new IllegalArgumentException(where);
+        }
+    }
+
+    private static void check(String where, Harness harness, List<String> words) {
+        Membership membership = harness.membership;
+        String subject = words.get(1);
+        String expected = words.get(2);
+        switch (subject) {
+            case "purges" -> assertEquals(membership.purges().size(), Integer.parseInt(expected), where);
+            case "event" -> assertEquals(membership.lastEvent(), Long.parseLong(expected), where);
+            case "result" -> assertEquals(membership.updateCount(Membership.UpdateResult.valueOf(expected)),
+                Long.parseLong(words.get(3)), where);
+            case "urgent" -> assertEquals(membership.takeUrgent(), Boolean.parseBoolean(expected), where);
             default -> {
-                NodeState s = p.get(2).equals("unknown") ? null : NodeState.valueOf(p.get(2));
-                assertEquals(play.m.stateOf(p.get(1)), s, where + ": " + play.m.reason(p.get(1)));
-                if (s != null) assertEquals(play.module.get(p.get(1)), s, where + ", as the module has it");
-                if (p.size() < 4) return;
-                double cold = p.get(3).equals("long") ? NodeEntry.WARM : Double.parseDouble(p.get(3));
-                assertEquals(play.cold.get(p.get(1)), cold, where);
+                NodeState state = expected.equals("unknown") ? null : NodeState.valueOf(expected);
+                assertEquals(membership.stateOf(subject), state, where + ": " + membership.reason(subject));
+                if (state != null) assertEquals(harness.reportedStates.get(subject), state, where + ", as reported");
+                if (words.size() < 4) return;
+                String started = words.get(3);
+                double startedAt = started.equals("warm") ? NodeEntry.WARM : Double.parseDouble(started);
+                assertEquals(harness.reportedStarts.get(subject), startedAt, where);
             }
         }
     }
 
-    /** How far a standing is trusted; what drains or is gone is not compared. */
-    private static int trust(NodeState s) {
-        return switch (s) {
+    /** How far a state is trusted; draining and removed nodes are not compared. */
+    private static int trustLevel(NodeState state) {
+        return switch (state) {
             case TOLD -> 5;
             case RECENT -> 4;
             case PROVEN -> 3;
@@ -149,154 +181,189 @@
     }
 
     /**
-     * Random histories of news, ages, answers and restarts, with a checker of its own that keeps only what was told:
-     * what drains or is gone is never used; numbers never fall; a purge outlives restarts while it runs; of two entries
-     * with the same evidence the one told later is trusted at least as far; the module has just what is believed.
+     * Random histories of updates, ageing, answers and restarts against a reference model that keeps only what was
+     * listed. A draining or removed node is never used; the event number never falls; a purge survives restarts while
+     * it applies; of two nodes with the same evidence the one listed later is trusted at least as far; and the
+     * listener was told the state that each node is in.
      */
     @Test public void randomHistories() {
-        for (long seed = 1; seed <= 400; seed++) {
-            SplittableRandom chance = new SplittableRandom(seed);
-            Play play = new Play(new AgeLimits(10_000, 100_000, 5000, 3, 1000, 8000, 0.5, 3000, 1000), seed);
-            String history = "seed " + seed;
-            Map<String, Integer> told = new HashMap<>();          // the checker's own: by id, as told last
-            Map<Integer, Double> purges = new HashMap<>();
-            double t = 0;
-            long event = 0, highest = 0;
-            // Twins differ in nothing but when they were told: first the older, then the fresher.
-            play.list(t, true, ++event, List.of("a", "b", "c", "d", "e", "older"));
-            for (String s : List.of("a", "b", "c", "d", "e")) told.put(s, Director.IN_SERVICE);
-            double older = t;
-            play.list(t + chance.nextInt(20_000), false, ++event, List.of("fresher"));
-            // Nobody stands behind the whole list again in this history, so that ages differ.
-            play.list(t, true, ++event, List.of());
-            for (int step = 0; step < 120; step++) {
-                t += chance.nextInt(100) == 0 ? chance.nextInt(200_000) : chance.nextInt(1500);
-                String id = List.of("a", "b", "c", "d", "e").get(chance.nextInt(5));
-                int what = chance.nextInt(10);
-                if (what == 0) {
-                    int standing = chance.nextInt(3);
-                    play.list(t, false, ++event, List.of(id + (standing == 1 ? ",drains" : standing == 2 ? ",gone"
-                        : "")));
-                    if (told.containsKey(id) || standing != Director.REMOVED) told.put(id, standing);
-                } else if (what == 1) {
-                    play.m.purged(++event, -1, step, t, t);
-                    purges.put(step, t);
-                } else if (what == 2) {
-                    play.restart(t);
-                } else if (what <= 5) {
-                    play.m.nodeAnswered(id, t);
-                    if (what == 5) for (String s : List.of("older", "fresher")) play.m.nodeAnswered(s, t);
-                } else if (what <= 7) {
-                    play.m.nodeFailed(id, what == 6, t);
-                    if (chance.nextInt(4) == 0) {
-                        for (String s : List.of("older", "fresher")) play.m.nodeFailed(s, false, t);
-                    }
-                } else if (what == 8) {
-                    play.list(t, false, event, List.of("a,gone", "b,gone"));     // known already: nothing of it counts
-                }
-                play.m.tick(t);
-                String where = history + ", step " + step;
-                for (Map.Entry<String, Integer> e : told.entrySet()) {
-                    NodeState s = play.m.stateOf(e.getKey());
-                    if (e.getValue() != Director.IN_SERVICE) assertTrue(s == null || !s.usable(), where + " " + e
-                        + " " + s);
-                    assertEquals(play.module.get(e.getKey()), s == null ? play.module.get(e.getKey()) : s, where);
-                }
-                assertTrue(play.m.lastEvent() >= highest && play.m.lastEvent() == event, where);
-                highest = play.m.lastEvent();
-                for (Map.Entry<Integer, Double> e : purges.entrySet()) {
-                    boolean kept = play.m.purges().stream().anyMatch(p -> p.group() == e.getKey());
-                    if (t - e.getValue() < PURGES_RUN - 1) assertTrue(kept, where + " purge " + e);
+        for (long seed = 1; seed <= 400; seed++) randomHistory(seed);
+    }
+
+    private static void randomHistory(long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        Harness harness = new Harness(LIMITS, seed);
+        Map<String, Integer> listedStatuses = new HashMap<>();
+        Map<Integer, Double> purgeTimes = new HashMap<>();
+        List<String> nodes = List.of("a", "b", "c", "d", "e");
+        // These two nodes get the same evidence and differ only in when they were listed.
+        List<String> twins = List.of("older", "fresher");
+        double now = 0;
+        long event = 0;
+        long highestEvent = 0;
+        harness.update(now, true, ++event, List.of("a", "b", "c", "d", "e", "older"));
+        for (String id : nodes) listedStatuses.put(id, Director.IN_SERVICE);
+        double olderListedAt = now;
+        harness.update(now + random.nextInt(20_000), false, ++event, List.of("fresher"));
+        // Nothing confirms the whole list after this empty snapshot, so the ages of the twins stay different.
+        harness.update(now, true, ++event, List.of());
+        for (int step = 0; step < 120; step++) {
+            now += random.nextInt(100) == 0 ? random.nextInt(200_000) : random.nextInt(1500);
+            String id = nodes.get(random.nextInt(5));
+            int input = random.nextInt(10);
+            if (input == 0) {
+                int status = random.nextInt(3);
+                String suffix = status == Director.DRAINING ? ",draining"
+                    : status == Director.REMOVED ? ",removed" : "";
+                harness.update(now, false, ++event, List.of(id + suffix));
+                if (listedStatuses.containsKey(id) || status != Director.REMOVED) listedStatuses.put(id, status);
+            } else if (input == 1) {
+                harness.membership.purged(++event, -1, step, now, now);
+                purgeTimes.put(step, now);
+            } else if (input == 2) {
+                harness.restart(now);
+            } else if (input <= 5) {
+                harness.membership.nodeAnswered(id, now);
+                if (input == 5) for (String twin : twins) harness.membership.nodeAnswered(twin, now);
+            } else if (input <= 7) {
+                harness.membership.nodeFailed(id, input == 6, now);
+                if (random.nextInt(4) == 0) {
+                    for (String twin : twins) harness.membership.nodeFailed(twin, false, now);
                 }
-                NodeState one = play.m.stateOf("older"), other = play.m.stateOf("fresher");
-                if (one != null && other != null) assertTrue(trust(one) <= trust(other), where + ": " + one + " "
-                    + other);
+            } else if (input == 8) {
+                // This event was applied already, so the delta must be ignored.
+                harness.update(now, false, event, List.of("a,removed", "b,removed"));
+            }
+            harness.membership.tick(now);
+            String where = "seed " + seed + ", step " + step;
+            checkStatuses(where, harness, listedStatuses);
+            long lastEvent = harness.membership.lastEvent();
+            assertTrue(lastEvent >= highestEvent && lastEvent == event, where);
+            highestEvent = lastEvent;
+            checkPurges(where, harness, purgeTimes, now);
+            NodeState older = harness.membership.stateOf("older");
+            NodeState fresher = harness.membership.stateOf("fresher");
+            if (older != null && fresher != null) {
+                assertTrue(trustLevel(older) <= trustLevel(fresher), where + ": " + older + " " + fresher);
+            }
+        }
+        assertTrue(olderListedAt <= now);
+    }
+
+    /** Draining and removed nodes are not used, and the listener was told each node's state. */
+    private static void checkStatuses(String where, Harness harness, Map<String, Integer> listedStatuses) {
+        for (Map.Entry<String, Integer> listed : listedStatuses.entrySet()) {
+            NodeState state = harness.membership.stateOf(listed.getKey());
+            if (listed.getValue() != Director.IN_SERVICE) {
+                assertTrue(state == null || !state.usable(), where + " " + listed + " " + state);
             }
-            assertTrue(older <= t);
+            NodeState reported = harness.reportedStates.get(listed.getKey());
+            assertEquals(reported, state == null ? reported : state, where);
         }
     }
 
-    private static MembershipSnapshot sample(int boxes) {
-        Play play = new Play(AgeLimits.DEFAULTS, 1);
-        List<String> all = new ArrayList<>();
-        for (int i = 0; i < boxes; i++) all.add("s-" + i + (i % 3 == 1 ? ",drains" : "") + (i % 4 == 0 ? ",since=5"
-            : ""));
-        play.list(1000, true, 41, all);
-        play.m.purged(42, 77, -1, 1500, 1600);
-        play.m.purged(43, -1, 9, 1500, 1600);
-        return play.m.snapshot("fleet", "d1", 2000);
+    private static void checkPurges(String where, Harness harness, Map<Integer, Double> purgeTimes, double now) {
+        for (Map.Entry<Integer, Double> issued : purgeTimes.entrySet()) {
+            boolean kept = harness.membership.purges().stream().anyMatch(purge -> purge.group() == issued.getKey());
+            if (now - issued.getValue() < PURGE_RETENTION_MS - 1) assertTrue(kept, where + " purge " + issued);
+        }
+    }
+
+    private static MembershipSnapshot sampleSnapshot(int nodeCount) {
+        Harness harness = new Harness(AgeLimits.DEFAULTS, 1);
+        List<String> entries = new ArrayList<>();
+        for (int i = 0; i < nodeCount; i++) {
+            entries.add("s-" + i + (i % 3 == 1 ? ",draining" : "") + (i % 4 == 0 ? ",started=5" : ""));
+        }
+        harness.update(1000, true, 41, entries);
+        harness.membership.purged(42, 77, -1, 1500, 1600);
+        harness.membership.purged(43, -1, 9, 1500, 1600);
+        return harness.membership.snapshot("fleet", "d1", 2000);
     }
 
-    /** Each byte cut, each bit flipped: a refusal with its reason, never half a list. */
-    @Test public void everyByteCutOrFlipped() {
-        byte[] whole = SnapshotFormat.encode(sample(7));
-        assertEquals(SnapshotFormat.decode(whole, "fleet", "d1", 2000, 0).snapshot(), sample(7));
-        for (int n = 0; n < whole.length; n++) {
-            SnapshotFormat.Result r = SnapshotFormat.decode(java.util.Arrays.copyOf(whole, n), "fleet", "d1", 2000, 0);
-            assertTrue(r.snapshot() == null && (n == 0) == (r.error() == SnapshotFormat.ReadError.EMPTY),
-                "cut at " + n);
+    /** A file cut at any byte or with any bit flipped is rejected with a reason, and no part of it is returned. */
+    @Test public void truncatedOrCorruptSnapshotIsRejected() {
+        byte[] bytes = SnapshotFormat.encode(sampleSnapshot(7));
+        assertEquals(SnapshotFormat.decode(bytes, "fleet", "d1", 2000, 0).snapshot(), sampleSnapshot(7));
+        for (int at = 0; at < bytes.length; at++) {
+            SnapshotFormat.Result truncated = SnapshotFormat.decode(Arrays.copyOf(bytes, at), "fleet", "d1", 2000, 0);
+            boolean isEmpty = truncated.error() == SnapshotFormat.ReadError.EMPTY;
+            assertTrue(truncated.snapshot() == null && (at == 0) == isEmpty, "cut at " + at);
             for (int bit = 0; bit < 8; bit++) {
-                byte[] b = whole.clone();
-                b[n] ^= (byte) (1 << bit);
-                SnapshotFormat.Result x = SnapshotFormat.decode(b, "fleet", "d1", 2000, 0);
-                assertTrue(x.snapshot() == null && !x.text().isEmpty(), "byte " + n + " bit " + bit);
+                byte[] corrupt = bytes.clone();
+                corrupt[at] ^= (byte) (1 << bit);
+                SnapshotFormat.Result result = SnapshotFormat.decode(corrupt, "fleet", "d1", 2000, 0);
+                assertTrue(result.snapshot() == null && !result.text().isEmpty(), "byte " + at + " bit " + bit);
             }
         }
-        byte[] longer = java.util.Arrays.copyOf(whole, whole.length + 1);
+        byte[] longer = Arrays.copyOf(bytes, bytes.length + 1);
         assertEquals(SnapshotFormat.decode(longer, null, null, 2000, 0).error(), SnapshotFormat.ReadError.TORN);
     }
 
-    @Test public void anothersListIsRefused() {
-        byte[] b = SnapshotFormat.encode(sample(3));
+    /** A snapshot of another fleet or director, or from the future, is rejected. */
+    @Test public void foreignSnapshotIsRejected() {
+        byte[] bytes = SnapshotFormat.encode(sampleSnapshot(3));
         Object[][] cases = {{"other", "d1", 2000.0, SnapshotFormat.ReadError.OTHER_FLEET},
             {"fleet", "d2", 2000.0, SnapshotFormat.ReadError.OTHER_DIRECTOR},
             {"fleet", "d1", 900.0, SnapshotFormat.ReadError.FUTURE}, {null, null, 1500.0, null},
             {"fleet", "d1", 31.5e9, null}};
         for (Object[] c : cases) {
-            assertEquals(SnapshotFormat.decode(b, (String) c[0], (String) c[1], (double) c[2], 500).error(), c[3]);
+            SnapshotFormat.Result result = SnapshotFormat.decode(bytes, (String) c[0], (String) c[1], (double) c[2],
+                500);
+            assertEquals(result.error(), c[3]);
         }
     }
 
-    /** Random changes and writes of random length: urgent ones begin within half the bound, and writes keep apart. */
+    /** Random changes and write durations: urgent writes start within half their bound, and writes keep apart. */
     @Test public void writesKeepTheirBoundsOfDelayAndRate() {
-        for (long seed = 1; seed <= 200; seed++) {
-            SplittableRandom chance = new SplittableRandom(seed);
-            WriteScheduler plan = new WriteScheduler(100, 1000);
-            double t = 0, began = -1e9, urgentSince = Double.NaN, freeSince = 0, endsAt = Double.NaN;
-            int writes = 0;
-            for (int i = 0; i < 3000; i++, t += 1) {
-                if (chance.nextInt(40) == 0) {
-                    boolean urgent = chance.nextInt(4) == 0;
-                    plan.changed(urgent, t);
-                    if (urgent && Double.isNaN(urgentSince)) urgentSince = t;
-                }
-                if (t >= endsAt) {
-                    plan.writeEnded(true, t);
-                    endsAt = Double.NaN;
-                    freeSince = t;
-                }
-                if (plan.nextWriteAt() > t) {
-                    double waits = t - Math.max(urgentSince, Math.max(freeSince, began + 50));
-                    assertTrue(Double.isNaN(urgentSince) || !Double.isNaN(endsAt) || waits <= 0, seed + " waits "
-                        + waits);
-                    continue;
-                }
-                assertTrue(t - began >= 50, seed + ": writes " + (t - began) + " ms apart");
-                plan.writeStarted(t);
-                writes++;
-                began = t;
-                urgentSince = Double.NaN;
-                endsAt = t + chance.nextInt(30);
+        for (long seed = 1; seed <= 200; seed++) checkWriteTimes(seed);
+    }
+
+    private static void checkWriteTimes(long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        WriteScheduler scheduler = new WriteScheduler(100, 1000);
+        double now = 0;
+        double writeStartedAt = -1e9;
+        double urgentSince = Double.NaN;
+        double idleSince = 0;
+        double writeEndsAt = Double.NaN;
+        int writes = 0;
+        for (int i = 0; i < 3000; i++, now += 1) {
+            if (random.nextInt(40) == 0) {
+                boolean urgent = random.nextInt(4) == 0;
+                scheduler.changed(urgent, now);
+                if (urgent && Double.isNaN(urgentSince)) urgentSince = now;
             }
-            assertTrue(writes > 5, "writes " + writes);
+            if (now >= writeEndsAt) {
+                scheduler.writeEnded(true, now);
+                writeEndsAt = Double.NaN;
+                idleSince = now;
+            }
+            if (scheduler.nextWriteAt() > now) {
+                double overdueMs = now - Math.max(urgentSince, Math.max(idleSince, writeStartedAt + 50));
+                assertTrue(Double.isNaN(urgentSince) || !Double.isNaN(writeEndsAt) || overdueMs <= 0,
+                    seed + " overdue by " + overdueMs);
+                continue;
+            }
+            assertTrue(now - writeStartedAt >= 50, seed + ": writes " + (now - writeStartedAt) + " ms apart");
+            scheduler.writeStarted(now);
+            writes++;
+            writeStartedAt = now;
+            urgentSince = Double.NaN;
+            writeEndsAt = now + random.nextInt(30);
         }
-        WriteScheduler full = new WriteScheduler(100, 1000);
-        full.changed(true, 0);
-        double t = 0;
+        assertTrue(writes > 5, "writes " + writes);
+    }
+
+    /** Failed writes are retried with exponential backoff up to a minute. */
+    @Test public void failedWritesBackOff() {
+        WriteScheduler scheduler = new WriteScheduler(100, 1000);
+        scheduler.changed(true, 0);
         for (int i = 0; i < 10; i++) {
-            full.writeStarted(t = full.nextWriteAt());
-            full.writeEnded(false, t);
-            assertTrue(full.nextWriteAt() - t >= Math.min(60_000, 1000 << i), "after failure " + i);
+            double now = scheduler.nextWriteAt();
+            scheduler.writeStarted(now);
+            scheduler.writeEnded(false, now);
+            assertTrue(scheduler.nextWriteAt() - now >= Math.min(60_000, 1000 << i), "after failure " + i);
         }
     }
 }
