--- a/src/main/java/mothcross/route/RateLimiter.java
+++ b/src/main/java/mothcross/route/RateLimiter.java
@@ -3,103 +3,128 @@
 import java.util.Arrays;
 
 /**
- * So many lookups a second and at once for each key, with memory for a fixed number of keys. Each key has a bucket of
- * {@code atOnce} that fills with {@code perMs}; keys rest by hash in sets of {@link #WAYS}. Where a set is full the
- * key that
- * has most in its bucket is forgotten, which is the one that lost least: one that is being held back is forgotten only
- * for {@link #WAYS} others held back as much. So a flood of new keys never takes from a key, and what a forgotten key
- * may have
- * too much is less than {@code atOnce}. Owns the buckets; must never read a clock, nor grow.
+ * A token-bucket rate limiter for each key, with memory for a fixed number of keys. A bucket holds up to {@code burst}
+ * tokens and refills at a constant rate. Keys are stored by hash in sets of {@link #WAYS} entries, like a
+ * set-associative cache.
+ *
+ * <p>Where a set is full, the key with the fullest bucket is evicted, since it loses the least: a key that is being
+ * rate-limited is evicted only for {@link #WAYS} others that are as empty. A flood of new keys therefore never costs
+ * another key any tokens, and an evicted key gains less than {@code burst}. The memory does not grow, and the time is
+ * passed in.
  */
 public final class RateLimiter {
     static final int WAYS = 8;
-    private double perMs, atOnce;                           // this director's part of them
-    private final double fullPerMs, fullAtOnce;
-    private final long[] keys;                              // 0: nobody
-    private final double[] left, at;
+    private static final double MS_PER_SECOND = 1000;
+    private static final long NO_KEY = 0;
+
+    /** At this director's current share. */
+    private double tokensPerMs;
+    /** At this director's current share. */
+    private double burst;
+    private final double fullTokensPerMs;
+    private final double fullBurst;
+    private final long[] keys;
+    private final double[] tokens;
+    private final double[] updatedAt;
     private long evictions;
 
-    /** {@code keys} is rounded up to a power of two, {@link #WAYS} at least. */
-    public RateLimiter(double perS, double atOnce, int keys) {
-        int n = Integer.highestOneBit(Math.max(WAYS, keys) * 2 - 1);
-        this.keys = new long[n];
-        left = new double[n];
-        at = new double[n];
-        this.perMs = fullPerMs = perS / 1000;
-        this.atOnce = fullAtOnce = atOnce;
+    /**
+     * A limiter with full buckets.
+     *
+     * @param maxKeys rounded up to a power of two, and to at least {@link #WAYS}
+     */
+    public RateLimiter(double ratePerSecond, double burst, int maxKeys) {
+        int capacity = Integer.highestOneBit(Math.max(WAYS, maxKeys) * 2 - 1);
+        keys = new long[capacity];
+        tokens = new double[capacity];
+        updatedAt = new double[capacity];
+        fullTokensPerMs = ratePerSecond / MS_PER_SECOND;
+        fullBurst = burst;
+        this.tokensPerMs = fullTokensPerMs;
+        this.burst = fullBurst;
     }
 
-    /** The same keys under other rates: what each has used stays. */
-    private RateLimiter(RateLimiter from, double perS, double atOnce) {
-        keys = from.keys;
-        left = from.left;
-        at = from.at;
-        evictions = from.evictions;
-        this.perMs = fullPerMs = perS / 1000;
-        this.atOnce = fullAtOnce = atOnce;
+    private RateLimiter(RateLimiter previous, double ratePerSecond, double burst) {
+        keys = previous.keys;
+        tokens = previous.tokens;
+        updatedAt = previous.updatedAt;
+        evictions = previous.evictions;
+        fullTokensPerMs = ratePerSecond / MS_PER_SECOND;
+        fullBurst = burst;
+        this.tokensPerMs = fullTokensPerMs;
+        this.burst = fullBurst;
     }
 
-    /** From now on so many times the part that it was made with; 0: nothing passes. */
+    /** Scales the rate and burst that it was created with by {@code share}; 0: nothing passes. */
     void setShare(double share) {
-        perMs = fullPerMs * share;
-        atOnce = share > 0 ? Math.max(1, fullAtOnce * share) : 0;
+        tokensPerMs = fullTokensPerMs * share;
+        burst = share > 0 ? Math.max(1, fullBurst * share) : 0;
     }
 
-    public RateLimiter withRates(double perS, double most) {
-        return new RateLimiter(this, perS, most);
+    /** A limiter with other rates that shares this one's buckets, so that used tokens stay used. */
+    public RateLimiter withRates(double newRatePerSecond, double newBurst) {
+        return new RateLimiter(this, newRatePerSecond, newBurst);
     }
 
+    /** How many keys can be stored. */
     public int capacity() {
         return keys.length;
     }
 
-    /** How many keys were forgotten while they did not have all of their bucket. */
+    /** How many keys were evicted while their bucket was not full. */
     public long evictions() {
         return evictions;
     }
 
-    /** 0 where the key may go on, and one of its bucket is taken; else in how many ms it may come back. */
+    /**
+     * Takes a token of the key with this hash.
+     *
+     * @return 0 where there was one; otherwise after how many ms to retry, infinite where nothing passes
+     */
     public double acquire(long hash, double now) {
-        long key = hash == 0 ? 1 : hash;
-        int set = (int) (key >>> 32) & keys.length - WAYS, best = -1;
-        double most = -1;
-        for (int i = set; i < set + WAYS; i++) {
+        long key = hash == NO_KEY ? 1 : hash;
+        int setStart = (int) (key >>> 32) & keys.length - WAYS;
+        int slot = -1;
+        double mostTokens = -1;
+        for (int i = setStart; i < setStart + WAYS; i++) {
             if (keys[i] == key) {
-                best = i;
+                slot = i;
                 break;
             }
-            double has = keys[i] == 0 ? Double.POSITIVE_INFINITY : filled(i, now);
-            if (has <= most) continue;
-            most = has;
-            best = i;
+            double available = keys[i] == NO_KEY ? Double.POSITIVE_INFINITY : refilledTokens(i, now);
+            if (available <= mostTokens) continue;
+            mostTokens = available;
+            slot = i;
         }
-        if (keys[best] != key) {
-            if (keys[best] != 0 && most < atOnce) evictions++;
-            keys[best] = key;
-            left[best] = atOnce;
+        if (keys[slot] != key) {
+            if (keys[slot] != NO_KEY && mostTokens < burst) evictions++;
+            keys[slot] = key;
+            tokens[slot] = burst;
         } else {
-            left[best] = filled(best, now);
+            tokens[slot] = refilledTokens(slot, now);
         }
-        at[best] = now;
-        if (left[best] >= 1) {
-            left[best]--;
+        updatedAt[slot] = now;
+        if (tokens[slot] >= 1) {
+            tokens[slot]--;
             return 0;
         }
-        return perMs > 0 ? (1 - left[best]) / perMs : Double.POSITIVE_INFINITY;
+        return tokensPerMs > 0 ? (1 - tokens[slot]) / tokensPerMs : Double.POSITIVE_INFINITY;
     }
 
-    private double filled(int i, double now) {
-        return Math.min(atOnce, left[i] + Math.max(0, now - at[i]) * perMs);
+    private double refilledTokens(int slot, double now) {
+        return Math.min(burst, tokens[slot] + Math.max(0, now - updatedAt[slot]) * tokensPerMs);
     }
 
-    /** How many keys have less than all of their bucket. */
+    /** How many keys have less than a full bucket. */
     public int limitedKeys(double now) {
-        int n = 0;
-        for (int i = 0; i < keys.length; i++) if (keys[i] != 0 && filled(i, now) < atOnce) n++;
-        return n;
+        int count = 0;
+        for (int i = 0; i < keys.length; i++) {
+            if (keys[i] != NO_KEY && refilledTokens(i, now) < burst) count++;
+        }
+        return count;
     }
 
     @Override public String toString() {
-        return "keys " + Arrays.stream(keys).filter(k -> k != 0).count() + " of " + keys.length;
+        return "keys " + Arrays.stream(keys).filter(key -> key != NO_KEY).count() + " of " + keys.length;
     }
 }
