--- a/src/main/java/mothcross/membership/Membership.java
+++ b/src/main/java/mothcross/membership/Membership.java
@@ -32,8 +32,22 @@
         void stateChanged(ListedNode entry, NodeState was, NodeState is, double startedAt, String reason);
     }
 
-    /** The result of applying a snapshot or delta from discovery. */
-    public enum UpdateResult { APPLIED, KNOWN_ALREADY, OLDER, EMPTY, SHRUNK, STARTED_OVER, DRAINS_ONLY }
+    /** The result of applying a snapshot or delta from discovery. The names appear in the counters. */
+    public enum UpdateResult {
+        APPLIED,
+        /** A delta, or the last event again: its event was applied before. */
+        KNOWN_ALREADY,
+        /** A snapshot older than the known list, while a node of that is usable: ignored. */
+        OLDER,
+        /** A snapshot without any node: the known nodes stay, unconfirmed. */
+        EMPTY,
+        /** A snapshot that lists far fewer nodes than were usable: the missing ones are withheld. */
+        SHRUNK,
+        /** Discovery is older than the known list, which is unusable: the list was dropped. */
+        STARTED_OVER,
+        /** A delta of a discovery that is behind: only its drains and removals are applied. */
+        DRAINS_ONLY
+    }
 
     /** Below this many usable nodes a smaller snapshot is never treated as shrunk. */
     private static final int MIN_NODES_FOR_SHRINK_CHECK = 4;
--- a/src/main/java/mothcross/membership/NodeState.java
+++ b/src/main/java/mothcross/membership/NodeState.java
@@ -19,7 +19,9 @@
     WITHHELD(Director.REMOVED),
     /** Past the old age: not used. */
     TOO_OLD(Director.REMOVED),
+    /** Discovery reported it draining: gets no new lookups. */
     DRAINING(Director.DRAINING),
+    /** Removed by discovery, missing from a snapshot, or replaced at its address. */
     GONE(Director.REMOVED);
 
     /** The status that the director is given, a constant of {@link Director}. */
--- a/src/main/java/mothcross/membership/SnapshotFormat.java
+++ b/src/main/java/mothcross/membership/SnapshotFormat.java
@@ -20,8 +20,22 @@
  */
 public final class SnapshotFormat {
     /** Why bytes cannot be used as a snapshot; each has a counter and a row in the operators' page. */
-    public enum ReadError { EMPTY, NOT_A_LIST, OTHER_VERSION, TORN, DAMAGED, OTHER_FLEET, OTHER_DIRECTOR, FUTURE,
-        UNREADABLE }
+    public enum ReadError {
+        EMPTY,
+        /** Not a snapshot: an unknown magic number, or a file too large. */
+        NOT_A_LIST,
+        OTHER_VERSION,
+        /** Shorter or longer than its header says. */
+        TORN,
+        /** A checksum does not match, or the body is malformed. */
+        DAMAGED,
+        OTHER_FLEET,
+        OTHER_DIRECTOR,
+        /** Saved in the future by this machine's clock. */
+        FUTURE,
+        /** An I/O error. */
+        UNREADABLE
+    }
 
     /**
      * The result of reading a snapshot.
--- a/src/main/java/mothcross/route/RouteTable.java
+++ b/src/main/java/mothcross/route/RouteTable.java
@@ -37,6 +37,7 @@
         public int workload;
         /** The status that the lookup is rejected with; 0: it continues. */
         public int status;
+        /** The most hops that the lookup may take. */
         public int maxHops;
         /** Whether {@code placementKey} replaces the object's key where caches and parents are ranked. */
         public boolean hasPlacementKey;
