--- a/src/test/java/mothcross/net/RememberedTest.java
+++ b/src/test/java/mothcross/net/RememberedTest.java
@@ -417,7 +417,7 @@
     private static boolean behind(DirectorServer d) {
         d.desk().enter();
         try {
-            return d.remembered().membership().behind();
+            return d.remembered().membership().discoveryBehind();
         } finally {
             d.desk().leave();
         }
