--- a/src/test/java/mothcross/BelievedRulesTest.java
+++ b/src/test/java/mothcross/BelievedRulesTest.java
@@ -219,7 +219,8 @@
                 world.seed + " rule 1: " + lookup.answers + " answers"));
         }
 
-        @Override public void stateChanged(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
+        @Override public void stateChanged(ListedNode entry, NodeState was, NodeState is, double coldSince,
+                                           String why) {
             pending.put(entry.id(), new ListChange(is, coldSince));
         }
 
