--- a/src/main/java/mothcross/route/RouteTable.java
+++ b/src/main/java/mothcross/route/RouteTable.java
@@ -152,7 +152,7 @@
                     faults.add("routes.names." + name
                         + " is not a valid name: at most 40 of a-z, 0-9 and _, not beginning with a digit");
                 } else {
-                    program.name(name, text);
+                    program.define(name, text);
                 }
             } catch (ExpressionException e) {
                 faults.add("routes.names." + name + ": " + e.describe());
@@ -305,10 +305,10 @@
             outcome.reason = null;
             if (rule >= 0) apply(rule, now);
             else unmatched++;
-            if (frame.past() != null) {
+            if (frame.overflowedInput() != null) {
                 oversizedInputs++;
                 outcome.status = STATUS_HEADER_FIELDS_TOO_LARGE;
-                outcome.reason = frame.past();
+                outcome.reason = frame.overflowedInput();
             }
             return outcome;
         } finally {
@@ -329,7 +329,7 @@
         if (rule.rule.status() != 0) {
             outcome.status = rule.rule.status();
             outcome.reason = "rule";
-        } else if (rule.limiter != null && frame.past() == null) {
+        } else if (rule.limiter != null && frame.overflowedInput() == null) {
             double retryAfterMs = rule.limiter.acquire(rule.limitKey.hash(frame), now);
             if (retryAfterMs == 0) return;
             rateLimited[index]++;
@@ -369,7 +369,7 @@
     /** The worst-case cost of each rule's match, in steps, by rule name. */
     public Map<String, Long> costs() {
         Map<String, Long> costs = new LinkedHashMap<>();
-        for (CompiledRule rule : rules) costs.put(rule.rule.name(), rule.match.cost());
+        for (CompiledRule rule : rules) costs.put(rule.rule.name(), rule.match.worstCaseSteps());
         return costs;
     }
 
@@ -382,7 +382,7 @@
     public List<String> explain(Frame.Request request, int rule, double now) {
         frame.begin(request, now);
         CompiledRule applied = rules.get(rule);
-        List<String> lines = new ArrayList<>(Program.parts(applied.match, frame));
+        List<String> lines = new ArrayList<>(Program.explain(applied.match, frame));
         if (applied.key != null) lines.add("key " + applied.key.describe(frame));
         if (applied.limitKey != null) lines.add("limit by " + applied.limitKey.describe(frame));
         return lines;
--- a/src/test/java/mothcross/route/RouteBench.java
+++ b/src/test/java/mothcross/route/RouteBench.java
@@ -8,7 +8,7 @@
 import mothcross.expr.Frame;
 import mothcross.expr.Inputs;
 import mothcross.expr.Program;
-import mothcross.expr.Reference;
+import mothcross.expr.ReferenceExpression;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -44,7 +44,7 @@
     private Frame frame;
     private final Frame.Request[] requests = new Frame.Request[REQUEST_COUNT];
     private final List<Map<String, Object>> requestValues = new ArrayList<>();
-    private Reference[] trees;
+    private ReferenceExpression[] trees;
     private int nextRequest;
 
     /** Compiles the rules and prepares the requests. */
@@ -52,13 +52,13 @@
     public void prepare() throws ExpressionException {
         Inputs inputs = RequestInputs.inputs().header("X-Office", 32, Inputs.Overflow.TRUNCATE, true);
         Program program = new Program(inputs);
-        program.name("volume", "hex(object) ?? -1");
+        program.define("volume", "hex(object) ?? -1");
         List<Program.Expression> matches = new ArrayList<>();
-        trees = new Reference[rules];
+        trees = new ReferenceExpression[rules];
         for (int i = 0; i < rules; i++) {
             String text = matchText(i);
             matches.add(program.compile(text, MAX_EXPRESSION_STEPS));
-            trees[i] = new Reference(text.replace("volume", "(hex(object) ?? -1)"));
+            trees[i] = new ReferenceExpression(text.replace("volume", "(hex(object) ?? -1)"));
         }
         dispatch = new Dispatch(matches);
         frame = new Frame(program);
@@ -106,7 +106,7 @@
     /** The compiled rules one after another. */
     @Benchmark
     public int inPlainOrder() {
-        return dispatch.plainly(beginRequest());
+        return dispatch.firstByLinearScan(beginRequest());
     }
 
     /** The reference interpreter on syntax trees. */
@@ -114,7 +114,7 @@
     public int byWalkingTrees() {
         Map<String, Object> values = requestValues.get(nextRequest++ & REQUEST_COUNT - 1);
         for (int i = 0; i < trees.length; i++) {
-            if (trees[i].truth(values)) return i;
+            if (trees[i].evaluateBoolean(values)) return i;
         }
         return -1;
     }
