--- a/src/main/java/mothcross/expr/Node.java
+++ b/src/main/java/mothcross/expr/Node.java
@@ -70,6 +70,9 @@
         return f.to[slot] - f.from[slot];
     }
 
+    /** The kind of node as operators see it when an expression is explained; independent of the class name. */
+    abstract String label();
+
     /** Puts the value into the slot. */
     abstract void compute(Frame f);
 
@@ -108,6 +111,10 @@
             return new Const(Type.BOOL, v ? 1 : 0, 0, null);
         }
 
+        @Override String label() {
+            return "const";
+        }
+
         @Override void compute(Frame f) {
             f.whole[slot] = whole;
             f.number[slot] = number;
@@ -124,6 +131,10 @@
             this.input = input;
         }
 
+        @Override String label() {
+            return "read";
+        }
+
         @Override void compute(Frame f) {
             f.there[slot] = false;
             f.cut[slot] = false;
@@ -147,6 +158,10 @@
             this.a = a;
         }
 
+        @Override String label() {
+            return "wascut";
+        }
+
         @Override void compute(Frame f) {
             a.need(f);
             is(f, f.cut[a.slot]);
@@ -161,6 +176,10 @@
             this.a = a;
         }
 
+        @Override String label() {
+            return "has";
+        }
+
         @Override void compute(Frame f) {
             a.need(f);
             is(f, f.there[a.slot]);
@@ -177,6 +196,10 @@
             this.b = b;
         }
 
+        @Override String label() {
+            return "else";
+        }
+
         @Override void compute(Frame f) {
             a.need(f);
             like(f, f.there[a.slot] ? a : b);
@@ -193,6 +216,10 @@
             this.no = no;
         }
 
+        @Override String label() {
+            return "choice";
+        }
+
         @Override void compute(Frame f) {
             like(f, condition.truth(f) ? yes : no);
         }
@@ -209,6 +236,10 @@
             this.b = b;
         }
 
+        @Override String label() {
+            return "logic";
+        }
+
         @Override void compute(Frame f) {
             boolean x = a.truth(f);
             is(f, op == '!' ? !x : op == '&' ? x && b.truth(f) : x || b.truth(f));
@@ -227,6 +258,10 @@
             this.b = b;
         }
 
+        @Override String label() {
+            return "sum";
+        }
+
         @Override void compute(Frame f) {
             if (type.fraction()) {
                 double x = a.number(f), y = b.number(f);
@@ -286,6 +321,10 @@
             not = op.charAt(0) == '!';
         }
 
+        @Override String label() {
+            return "compare";
+        }
+
         @Override void compute(Frame f) {
             int c;
             if (fraction) {
@@ -314,6 +353,10 @@
             this.highWhole = high.whole;
         }
 
+        @Override String label() {
+            return "within";
+        }
+
         @Override void compute(Frame f) {
             if (a.type.fraction()) {
                 double x = a.number(f);
@@ -340,6 +383,10 @@
             this.longest = longest;
         }
 
+        @Override String label() {
+            return "among";
+        }
+
         @Override void compute(Frame f) {
             a.need(f);
             if (wholes != null) {
@@ -386,6 +433,10 @@
             this.not = not;
         }
 
+        @Override String label() {
+            return "same";
+        }
+
         @Override void compute(Frame f) {
             a.need(f);
             b.need(f);
@@ -413,6 +464,10 @@
             this.where = where;
         }
 
+        @Override String label() {
+            return "stands";
+        }
+
         @Override void compute(Frame f) {
             a.need(f);
             byte[] b = f.bytes[a.slot];
@@ -449,6 +504,10 @@
             this.most = most;
         }
 
+        @Override String label() {
+            return "piece";
+        }
+
         @Override void compute(Frame f) {
             a.need(f);
             byte[] b = f.bytes[a.slot];
@@ -493,6 +552,10 @@
             this.first = first;
         }
 
+        @Override String label() {
+            return "part";
+        }
+
         @Override void compute(Frame f) {
             a.need(f);
             int cut = Math.min(f.to[a.slot], f.from[a.slot] + n);
@@ -512,6 +575,10 @@
             this.place = place;
         }
 
+        @Override String label() {
+            return "joined";
+        }
+
         @Override void compute(Frame f) {
             a.need(f);
             b.need(f);
@@ -533,6 +600,10 @@
             this.place = place;
         }
 
+        @Override String label() {
+            return "lower";
+        }
+
         @Override void compute(Frame f) {
             a.need(f);
             int n = a.length(f), from = f.from[a.slot];
@@ -558,6 +629,10 @@
             this.most = base == 16 ? 16 : 19;
         }
 
+        @Override String label() {
+            return "digits";
+        }
+
         @Override void compute(Frame f) {
             a.need(f);
             int n = a.length(f);
@@ -584,6 +659,10 @@
             this.a = a;
         }
 
+        @Override String label() {
+            return "length";
+        }
+
         @Override void compute(Frame f) {
             a.need(f);
             f.put(slot, (long) a.length(f));
@@ -598,6 +677,10 @@
             this.a = a;
         }
 
+        @Override String label() {
+            return "hash";
+        }
+
         @Override void compute(Frame f) {
             a.need(f);
             if (a.type.kind() == Type.Kind.INT) {
@@ -632,6 +715,10 @@
             this.n = n;
         }
 
+        @Override String label() {
+            return "bucket";
+        }
+
         @Override void compute(Frame f) {
             f.put(slot, Long.remainderUnsigned(a.whole(f), n));
         }
@@ -649,6 +736,10 @@
             this.bits = bits;
         }
 
+        @Override String label() {
+            return "incidr";
+        }
+
         @Override void compute(Frame f) {
             a.need(f);
             boolean in = a.length(f) == net.length;
@@ -673,6 +764,10 @@
             this.day = day;
         }
 
+        @Override String label() {
+            return "clock";
+        }
+
         @Override void compute(Frame f) {
             double days = Math.floor((f.now + offset) / DAY_MS);
             if (day) f.put(slot, 1 + Math.floorMod((long) days + 3, 7L));
@@ -694,6 +789,10 @@
             this.pattern = pattern;
         }
 
+        @Override String label() {
+            return "matches";
+        }
+
         @Override void compute(Frame f) {
             a.need(f);
             b = f.bytes[a.slot];
--- a/src/main/java/mothcross/expr/Program.java
+++ b/src/main/java/mothcross/expr/Program.java
@@ -168,7 +168,7 @@
 
     private static void list(Node n, Frame f, int depth, List<String> all) {
         if (n instanceof Node.Const || all.size() > 200) return;
-        all.add("  ".repeat(depth) + n.getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT) + " = "
+        all.add("  ".repeat(depth) + n.label() + " = "
             + shown(n, f)
             + "  (" + n.type + ", at most " + n.cost + " steps)");
         for (Node p : n.parts) list(p, f, depth + 1, all);
