--- a/src/main/java/mothcross/route/RouteTable.java
+++ b/src/main/java/mothcross/route/RouteTable.java
@@ -79,7 +79,7 @@
         from.names().forEach((name, text) -> {
             try {
                 if (!name.matches("[a-z_][a-z0-9_]{0,39}")) faults.add("routes.names." + name + " is no name");
-                else p.name(name, text);
+                else p.define(name, text);
             } catch (ExpressionException e) {
                 faults.add("routes.names." + name + ": " + e.describe());
             }
@@ -204,10 +204,10 @@
             out.reason = null;
             if (i >= 0) take(i, now);
             else passed++;
-            if (frame.past() != null) {
+            if (frame.overflowedInput() != null) {
                 tooLong++;
                 out.status = 431;
-                out.reason = frame.past();
+                out.reason = frame.overflowedInput();
             }
             return out;
         } finally {
@@ -228,7 +228,7 @@
         if (c.rule.status() != 0) {
             out.status = c.rule.status();
             out.reason = "rule";
-        } else if (c.limit != null && frame.past() == null) {
+        } else if (c.limit != null && frame.overflowedInput() == null) {
             double wait = c.limit.take(c.limitKey.hash(frame), now);
             if (wait == 0) return;
             limited[i]++;
@@ -265,7 +265,7 @@
 
     public Map<String, Long> costs() {
         Map<String, Long> all = new LinkedHashMap<>();
-        for (Compiled c : rules) all.put(c.rule.name(), c.match.cost());
+        for (Compiled c : rules) all.put(c.rule.name(), c.match.worstCaseSteps());
         return all;
     }
 
@@ -277,7 +277,7 @@
     public List<String> explain(Frame.Request asked, int rule, double now) {
         frame.begin(asked, now);
         Compiled c = rules.get(rule);
-        List<String> all = new ArrayList<>(Program.parts(c.match, frame));
+        List<String> all = new ArrayList<>(Program.explain(c.match, frame));
         if (c.key != null) all.add("key " + c.key.describe(frame));
         if (c.limitKey != null) all.add("limit by " + c.limitKey.describe(frame));
         return all;
