--- a/src/main/java/mothcross/expr/Frame.java
+++ b/src/main/java/mothcross/expr/Frame.java
@@ -7,47 +7,47 @@
  * bytes that are made. Owns that room and the count of steps; holds on to a request's bytes only until the next one.
  */
 public final class Frame {
-    /** What is asked for: puts input {@code number} into a slot of the frame, or leaves it absent. */
+    /** What is asked for: puts input {@code doubles} into a slot of the frame, or leaves it absent. */
     public interface Request {
         void read(int number, Frame into, int slot);
     }
 
-    final long[] whole;                     // truths (0, 1) and integers
-    final double[] number;
+    final long[] longs;                     // truths (0, 1) and integers
+    final double[] doubles;
     final byte[][] bytes;
-    final int[] from, to;
-    final boolean[] there;
-    private final int[] stamp;
+    final int[] starts, ends;
+    final boolean[] present;
+    private final int[] computedIn;
     private int epoch;
     final byte[] scratch;
     Request request;
     /** Unix ms, for times of day. */
-    double now;
+    double nowMs;
     long steps;
     private String overflowedInput;                    // an input that was longer than its bound, where that refuses
-    final boolean[] cut;                    // an input that was longer than its bound and cut there
+    final boolean[] truncated;                    // an input that was longer than its bound and cut there
 
     public Frame(Program p) {
-        int n = p.slots();
-        whole = new long[n];
-        number = new double[n];
+        int n = p.slotCount();
+        longs = new long[n];
+        doubles = new double[n];
         bytes = new byte[n][];
-        from = new int[n];
-        to = new int[n];
-        there = new boolean[n];
-        stamp = new int[n];
-        cut = new boolean[n];
+        starts = new int[n];
+        ends = new int[n];
+        present = new boolean[n];
+        computedIn = new int[n];
+        truncated = new boolean[n];
         scratch = new byte[p.scratch()];
     }
 
     /** A new request: nothing of the last one is known any more. */
     public void begin(Request r, double at) {
         if (++epoch == 0) {
-            Arrays.fill(stamp, 0);
+            Arrays.fill(computedIn, 0);
             epoch = 1;
         }
         request = r;
-        now = at;
+        nowMs = at;
         steps = 0;
         overflowedInput = null;
     }
@@ -57,31 +57,31 @@
         request = null;
     }
 
-    boolean fresh(int slot) {
-        if (stamp[slot] == epoch) return false;
-        stamp[slot] = epoch;
+    boolean markComputed(int slot) {
+        if (computedIn[slot] == epoch) return false;
+        computedIn[slot] = epoch;
         return true;
     }
 
     public void put(int slot, byte[] b, int a, int e) {
         bytes[slot] = b;
-        from[slot] = a;
-        to[slot] = e;
-        there[slot] = true;
+        starts[slot] = a;
+        ends[slot] = e;
+        present[slot] = true;
     }
 
     public void put(int slot, long v) {
-        whole[slot] = v;
-        there[slot] = true;
+        longs[slot] = v;
+        present[slot] = true;
     }
 
     public void put(int slot, double v) {
-        number[slot] = v;
-        there[slot] = true;
+        doubles[slot] = v;
+        present[slot] = true;
     }
 
     public void putAbsent(int slot) {
-        there[slot] = false;
+        present[slot] = false;
     }
 
     void overflowedInput(String input) {
--- a/src/main/java/mothcross/expr/Node.java
+++ b/src/main/java/mothcross/expr/Node.java
@@ -11,63 +11,63 @@
 abstract class Node {
     final Type type;
     /** Steps of this part alone, and of all that it may need, at worst. */
-    final long own, cost;
-    final Node[] parts;
+    final long ownSteps, worstCaseSteps;
+    final Node[] operands;
     int slot;
 
     Node(Type type, long own, Node... parts) {
         this.type = type;
-        this.own = own;
-        this.parts = parts;
+        this.ownSteps = own;
+        this.operands = parts;
         long sum = own;
-        for (Node p : parts) sum = plus(sum, p.cost);
-        this.cost = sum;
+        for (Node p : parts) sum = saturatedAdd(sum, p.worstCaseSteps);
+        this.worstCaseSteps = sum;
     }
 
     /** Whether all that it stands on are constants. */
-    boolean constant() {
-        if (parts.length == 0) return false;
-        for (Node p : parts) if (!p.constant()) return false;
+    boolean isConstant() {
+        if (operands.length == 0) return false;
+        for (Node p : operands) if (!p.isConstant()) return false;
         return true;
     }
 
     /** Numbers past this are no cost but none at all: the part has no bound. */
-    static final long ENDLESS = Long.MAX_VALUE;
+    static final long UNBOUNDED_STEPS = Long.MAX_VALUE;
 
-    static long plus(long a, long b) {
-        return a == ENDLESS || b == ENDLESS || a + b < 0 ? ENDLESS : a + b;
+    static long saturatedAdd(long a, long b) {
+        return a == UNBOUNDED_STEPS || b == UNBOUNDED_STEPS || a + b < 0 ? UNBOUNDED_STEPS : a + b;
     }
 
-    static long times(long a, long b) {
-        if (a == ENDLESS || b == ENDLESS) return ENDLESS;
-        return a != 0 && b > ENDLESS / a ? ENDLESS : a * b;
+    static long saturatedMultiply(long a, long b) {
+        if (a == UNBOUNDED_STEPS || b == UNBOUNDED_STEPS) return UNBOUNDED_STEPS;
+        return a != 0 && b > UNBOUNDED_STEPS / a ? UNBOUNDED_STEPS : a * b;
     }
 
-    final Node need(Frame f) {
-        if (f.fresh(slot)) {
+    final Node evaluate(Frame f) {
+        if (f.markComputed(slot)) {
             f.steps++;
             compute(f);
         }
         return this;
     }
 
-    final boolean truth(Frame f) {
-        need(f);
-        return f.whole[slot] != 0;
+    final boolean evaluateBoolean(Frame f) {
+        evaluate(f);
+        return f.longs[slot] != 0;
     }
 
-    final long whole(Frame f) {
-        need(f);
-        return f.whole[slot];
+    final long evaluateLong(Frame f) {
+        evaluate(f);
+        return f.longs[slot];
     }
 
-    final double number(Frame f) {
-        need(f);
-        return type.isFractional() ? f.number[slot] : f.whole[slot];
+    final double evaluateDouble(Frame f) {
+        evaluate(f);
+        return type.isFractional() ? f.doubles[slot] : f.longs[slot];
     }
 
     final int length(Frame f) {
-        return f.to[slot] - f.from[slot];
+        return f.ends[slot] - f.starts[slot];
     }
 
     /** The kind of node as operators see it when an expression is explained; independent of the class name. */
@@ -76,39 +76,39 @@
     /** Puts the value into the slot. */
     abstract void compute(Frame f);
 
-    final void is(Frame f, boolean v) {
+    final void putBoolean(Frame f, boolean v) {
         f.put(slot, v ? 1L : 0L);
     }
 
     /** The value of another part becomes this one's. */
-    final void like(Frame f, Node n) {
-        n.need(f);
-        f.there[slot] = f.there[n.slot];
-        f.whole[slot] = n.type.isFractional() == type.isFractional() ? f.whole[n.slot] : (long) f.number[n.slot];
-        f.number[slot] = n.type.isFractional() ? f.number[n.slot] : f.whole[n.slot];
+    final void copyFrom(Frame f, Node n) {
+        n.evaluate(f);
+        f.present[slot] = f.present[n.slot];
+        f.longs[slot] = n.type.isFractional() == type.isFractional() ? f.longs[n.slot] : (long) f.doubles[n.slot];
+        f.doubles[slot] = n.type.isFractional() ? f.doubles[n.slot] : f.longs[n.slot];
         f.bytes[slot] = f.bytes[n.slot];
-        f.from[slot] = f.from[n.slot];
-        f.to[slot] = f.to[n.slot];
+        f.starts[slot] = f.starts[n.slot];
+        f.ends[slot] = f.ends[n.slot];
     }
 
-    static final class Const extends Node {
-        final long whole;
-        final double number;
+    static final class Constant extends Node {
+        final long longValue;
+        final double doubleValue;
         final byte[] bytes;
 
-        Const(Type type, long whole, double number, byte[] bytes) {
+        Constant(Type type, long whole, double number, byte[] bytes) {
             super(type, 1);
-            this.whole = whole;
-            this.number = number;
+            this.longValue = whole;
+            this.doubleValue = number;
             this.bytes = bytes;
         }
 
-        @Override boolean constant() {
+        @Override boolean isConstant() {
             return true;
         }
 
-        static Const of(boolean v) {
-            return new Const(Type.BOOL, v ? 1 : 0, 0, null);
+        static Constant of(boolean v) {
+            return new Constant(Type.BOOL, v ? 1 : 0, 0, null);
         }
 
         @Override String label() {
@@ -116,17 +116,17 @@
         }
 
         @Override void compute(Frame f) {
-            f.whole[slot] = whole;
-            f.number[slot] = number;
+            f.longs[slot] = longValue;
+            f.doubles[slot] = doubleValue;
             if (bytes != null) f.put(slot, bytes, 0, bytes.length);
-            f.there[slot] = true;
+            f.present[slot] = true;
         }
     }
 
-    static final class Read extends Node {
+    static final class ReadInput extends Node {
         final Inputs.Input input;
 
-        Read(Inputs.Input input) {
+        ReadInput(Inputs.Input input) {
             super(input.type(), 1);
             this.input = input;
         }
@@ -136,26 +136,26 @@
         }
 
         @Override void compute(Frame f) {
-            f.there[slot] = false;
-            f.cut[slot] = false;
+            f.present[slot] = false;
+            f.truncated[slot] = false;
             f.bytes[slot] = null;
-            f.from[slot] = f.to[slot] = 0;
-            f.whole[slot] = 0;
-            f.number[slot] = 0;
+            f.starts[slot] = f.ends[slot] = 0;
+            f.longs[slot] = 0;
+            f.doubles[slot] = 0;
             f.request.read(input.number(), f, slot);
             if (type.kind() != Type.Kind.BYTES || length(f) <= type.maxLength()) return;
-            f.to[slot] = f.from[slot] + (int) type.maxLength();
-            f.cut[slot] = true;
+            f.ends[slot] = f.starts[slot] + (int) type.maxLength();
+            f.truncated[slot] = true;
             if (input.overflow() == Inputs.Overflow.REJECT) f.overflowedInput(input.name());
         }
     }
 
-    static final class WasCut extends Node {
-        final Node a;
+    static final class WasTruncated extends Node {
+        final Node operand;
 
-        WasCut(Node a) {
+        WasTruncated(Node a) {
             super(Type.BOOL, 1, a);
-            this.a = a;
+            this.operand = a;
         }
 
         @Override String label() {
@@ -163,17 +163,17 @@
         }
 
         @Override void compute(Frame f) {
-            a.need(f);
-            is(f, f.cut[a.slot]);
+            operand.evaluate(f);
+            putBoolean(f, f.truncated[operand.slot]);
         }
     }
 
-    static final class Has extends Node {
-        final Node a;
+    static final class IsPresent extends Node {
+        final Node operand;
 
-        Has(Node a) {
+        IsPresent(Node a) {
             super(Type.BOOL, 1, a);
-            this.a = a;
+            this.operand = a;
         }
 
         @Override String label() {
@@ -181,19 +181,19 @@
         }
 
         @Override void compute(Frame f) {
-            a.need(f);
-            is(f, f.there[a.slot]);
+            operand.evaluate(f);
+            putBoolean(f, f.present[operand.slot]);
         }
     }
 
     /** The first where it is there, else the second. */
-    static final class Else extends Node {
-        final Node a, b;
+    static final class Coalesce extends Node {
+        final Node value, defaultValue;
 
-        Else(Type type, Node a, Node b) {
+        Coalesce(Type type, Node a, Node b) {
             super(type, 1, a, b);
-            this.a = a;
-            this.b = b;
+            this.value = a;
+            this.defaultValue = b;
         }
 
         @Override String label() {
@@ -201,19 +201,19 @@
         }
 
         @Override void compute(Frame f) {
-            a.need(f);
-            like(f, f.there[a.slot] ? a : b);
+            value.evaluate(f);
+            copyFrom(f, f.present[value.slot] ? value : defaultValue);
         }
     }
 
-    static final class Choice extends Node {
-        final Node condition, yes, no;
+    static final class Conditional extends Node {
+        final Node condition, thenBranch, elseBranch;
 
-        Choice(Type type, Node condition, Node yes, Node no) {
+        Conditional(Type type, Node condition, Node yes, Node no) {
             super(type, 1, condition, yes, no);
             this.condition = condition;
-            this.yes = yes;
-            this.no = no;
+            this.thenBranch = yes;
+            this.elseBranch = no;
         }
 
         @Override String label() {
@@ -221,19 +221,19 @@
         }
 
         @Override void compute(Frame f) {
-            like(f, condition.truth(f) ? yes : no);
+            copyFrom(f, condition.evaluateBoolean(f) ? thenBranch : elseBranch);
         }
     }
 
-    static final class Logic extends Node {
-        final char op;                                      // '&', '|', '!'
-        final Node a, b;
+    static final class BooleanOperation extends Node {
+        final char operator;                                      // '&', '|', '!'
+        final Node left, right;
 
-        Logic(char op, Node a, Node b) {
+        BooleanOperation(char op, Node a, Node b) {
             super(Type.BOOL, 1, op == '!' ? new Node[] {a} : new Node[] {a, b});
-            this.op = op;
-            this.a = a;
-            this.b = b;
+            this.operator = op;
+            this.left = a;
+            this.right = b;
         }
 
         @Override String label() {
@@ -241,21 +241,22 @@
         }
 
         @Override void compute(Frame f) {
-            boolean x = a.truth(f);
-            is(f, op == '!' ? !x : op == '&' ? x && b.truth(f) : x || b.truth(f));
+            boolean x = left.evaluateBoolean(f);
+            putBoolean(f, operator == '!' ? !x : operator == '&' ? x && right.evaluateBoolean(f) : x
+                || right.evaluateBoolean(f));
         }
     }
 
     /** Arithmetic: integers go to the nearest end where they would run over, fractions follow IEEE 754. */
-    static final class Sum extends Node {
-        final char op;
-        final Node a, b;
+    static final class Arithmetic extends Node {
+        final char operator;
+        final Node left, right;
 
-        Sum(Type type, char op, Node a, Node b) {
+        Arithmetic(Type type, char op, Node a, Node b) {
             super(type, 1, a, b);
-            this.op = op;
-            this.a = a;
-            this.b = b;
+            this.operator = op;
+            this.left = a;
+            this.right = b;
         }
 
         @Override String label() {
@@ -264,8 +265,8 @@
 
         @Override void compute(Frame f) {
             if (type.isFractional()) {
-                double x = a.number(f), y = b.number(f);
-                f.put(slot, switch (op) {
+                double x = left.evaluateDouble(f), y = right.evaluateDouble(f);
+                f.put(slot, switch (operator) {
                     case '+' -> x + y;
                     case '-' -> x - y;
                     case '*' -> x * y;
@@ -273,26 +274,26 @@
                     default -> x % y;
                 });
             } else {
-                f.put(slot, whole(op, a.whole(f), b.whole(f)));
+                f.put(slot, saturated(operator, left.evaluateLong(f), right.evaluateLong(f)));
             }
         }
 
-        static long whole(char op, long x, long y) {
+        static long saturated(char op, long x, long y) {
             switch (op) {
                 case '+' -> {
                     long r = x + y;
-                    return ((x ^ r) & (y ^ r)) < 0 ? end(x < 0) : r;
+                    return ((x ^ r) & (y ^ r)) < 0 ? bound(x < 0) : r;
                 }
                 case '-' -> {
                     long r = x - y;
-                    return ((x ^ y) & (x ^ r)) < 0 ? end(x < 0) : r;
+                    return ((x ^ y) & (x ^ r)) < 0 ? bound(x < 0) : r;
                 }
                 case '*' -> {
                     long high = Math.multiplyHigh(x, y), r = x * y;
-                    return high == r >> 63 ? r : end(x < 0 != y < 0);
+                    return high == r >> 63 ? r : bound(x < 0 != y < 0);
                 }
                 case '/' -> {
-                    return y == -1 ? whole('-', 0, x) : x / y;
+                    return y == -1 ? saturated('-', 0, x) : x / y;
                 }
                 default -> {
                     return y == -1 ? 0 : x % y;
@@ -300,25 +301,25 @@
             }
         }
 
-        private static long end(boolean negative) {
+        private static long bound(boolean negative) {
             return negative ? Long.MIN_VALUE : Long.MAX_VALUE;
         }
     }
 
-    static final class Compare extends Node {
-        final String op;
-        final Node a, b;
-        private final boolean fraction, less, equal, not;
+    static final class NumberComparison extends Node {
+        final String operator;
+        final Node left, right;
+        private final boolean isFractional, isLess, includesEqual, negated;
 
-        Compare(String op, Node a, Node b) {
+        NumberComparison(String op, Node a, Node b) {
             super(Type.BOOL, 1, a, b);
-            this.op = op;
-            this.a = a;
-            this.b = b;
-            fraction = a.type.isFractional() || b.type.isFractional();
-            less = op.charAt(0) == '<';
-            equal = op.endsWith("=");
-            not = op.charAt(0) == '!';
+            this.operator = op;
+            this.left = a;
+            this.right = b;
+            isFractional = a.type.isFractional() || b.type.isFractional();
+            isLess = op.charAt(0) == '<';
+            includesEqual = op.endsWith("=");
+            negated = op.charAt(0) == '!';
         }
 
         @Override String label() {
@@ -327,30 +328,30 @@
 
         @Override void compute(Frame f) {
             int c;
-            if (fraction) {
-                double x = a.number(f), y = b.number(f);
+            if (isFractional) {
+                double x = left.evaluateDouble(f), y = right.evaluateDouble(f);
                 c = x < y ? -1 : x > y ? 1 : x == y ? 0 : 2;     // 2: no number, which compares with nothing
             } else {
-                c = Long.compare(a.whole(f), b.whole(f));
+                c = Long.compare(left.evaluateLong(f), right.evaluateLong(f));
             }
-            boolean same = op.equals("==") || not;
-            if (same) is(f, c == 0 != not);
-            else is(f, c == 0 && equal || c == (less ? -1 : 1));
+            boolean same = operator.equals("==") || negated;
+            if (same) putBoolean(f, c == 0 != negated);
+            else putBoolean(f, c == 0 && includesEqual || c == (isLess ? -1 : 1));
         }
     }
 
-    static final class Within extends Node {
-        final Node a;
-        final double low, high;
-        final long lowWhole, highWhole;
+    static final class InRange extends Node {
+        final Node operand;
+        final double lowDouble, highDouble;
+        final long lowLong, highLong;
 
-        Within(Node a, Const low, Const high) {
+        InRange(Node a, Constant low, Constant high) {
             super(Type.BOOL, 1, a);
-            this.a = a;
-            this.low = low.type.isFractional() ? low.number : low.whole;
-            this.high = high.type.isFractional() ? high.number : high.whole;
-            this.lowWhole = low.whole;
-            this.highWhole = high.whole;
+            this.operand = a;
+            this.lowDouble = low.type.isFractional() ? low.doubleValue : low.longValue;
+            this.highDouble = high.type.isFractional() ? high.doubleValue : high.longValue;
+            this.lowLong = low.longValue;
+            this.highLong = high.longValue;
         }
 
         @Override String label() {
@@ -358,29 +359,29 @@
         }
 
         @Override void compute(Frame f) {
-            if (a.type.isFractional()) {
-                double x = a.number(f);
-                is(f, x >= low && x <= high);
+            if (operand.type.isFractional()) {
+                double x = operand.evaluateDouble(f);
+                putBoolean(f, x >= lowDouble && x <= highDouble);
             } else {
-                long x = a.whole(f);
-                is(f, x >= lowWhole && x <= highWhole);
+                long x = operand.evaluateLong(f);
+                putBoolean(f, x >= lowLong && x <= highLong);
             }
         }
     }
 
     /** Bytes against constants, by one hash and one comparison; or a number among some, by halving. */
-    static final class Among extends Node {
-        final Node a;
-        final byte[][] texts;                               // by hash, open addressing
-        final long[] wholes;
-        private final int longest;
+    static final class InSet extends Node {
+        final Node operand;
+        final byte[][] byteStrings;                               // by hash, open addressing
+        final long[] integers;
+        private final int maxLength;
 
-        Among(Node a, byte[][] texts, long[] wholes, int longest, long own) {
+        InSet(Node a, byte[][] texts, long[] wholes, int longest, long own) {
             super(Type.BOOL, own, a);
-            this.a = a;
-            this.texts = texts;
-            this.wholes = wholes;
-            this.longest = longest;
+            this.operand = a;
+            this.byteStrings = texts;
+            this.integers = wholes;
+            this.maxLength = longest;
         }
 
         @Override String label() {
@@ -388,49 +389,49 @@
         }
 
         @Override void compute(Frame f) {
-            a.need(f);
-            if (wholes != null) {
+            operand.evaluate(f);
+            if (integers != null) {
                 f.steps += 64;
-                is(f, java.util.Arrays.binarySearch(wholes, f.whole[a.slot]) >= 0);
+                putBoolean(f, java.util.Arrays.binarySearch(integers, f.longs[operand.slot]) >= 0);
                 return;
             }
-            int n = length(f, a);
-            if (n > longest) {
-                is(f, false);
+            int n = length(f, operand);
+            if (n > maxLength) {
+                putBoolean(f, false);
                 return;
             }
             f.steps += 2L * n;
-            byte[] b = f.bytes[a.slot];
-            int from = f.from[a.slot], at = (int) Hash.of(b, from, from + n) & texts.length - 1;
-            for (byte[] t; (t = texts[at]) != null; at = at + 1 & texts.length - 1) {
+            byte[] b = f.bytes[operand.slot];
+            int from = f.starts[operand.slot], at = (int) Hash.of(b, from, from + n) & byteStrings.length - 1;
+            for (byte[] t; (t = byteStrings[at]) != null; at = at + 1 & byteStrings.length - 1) {
                 f.steps++;
                 if (t.length == n && java.util.Arrays.equals(t, 0, n, b, from, from + n)) {
-                    is(f, true);
+                    putBoolean(f, true);
                     return;
                 }
             }
-            is(f, false);
+            putBoolean(f, false);
         }
 
         private static int length(Frame f, Node a) {
-            return f.to[a.slot] - f.from[a.slot];
+            return f.ends[a.slot] - f.starts[a.slot];
         }
     }
 
     /** Two byte strings the same; costs the shorter. */
-    static final class Same extends Node {
-        final Node a, b;
-        private final boolean not;
+    static final class BytesEquality extends Node {
+        final Node left, right;
+        private final boolean negated;
 
-        boolean not() {
-            return not;
+        boolean isNegated() {
+            return negated;
         }
 
-        Same(Node a, Node b, boolean not, long own) {
+        BytesEquality(Node a, Node b, boolean not, long own) {
             super(Type.BOOL, own, a, b);
-            this.a = a;
-            this.b = b;
-            this.not = not;
+            this.left = a;
+            this.right = b;
+            this.negated = not;
         }
 
         @Override String label() {
@@ -438,30 +439,30 @@
         }
 
         @Override void compute(Frame f) {
-            a.need(f);
-            b.need(f);
-            int n = a.length(f);
-            boolean same = n == b.length(f);
+            left.evaluate(f);
+            right.evaluate(f);
+            int n = left.length(f);
+            boolean same = n == right.length(f);
             if (same) {
                 f.steps += n;
-                same = java.util.Arrays.equals(f.bytes[a.slot], f.from[a.slot], f.to[a.slot], f.bytes[b.slot],
-                    f.from[b.slot], f.to[b.slot]);
+                same = java.util.Arrays.equals(f.bytes[left.slot], f.starts[left.slot], f.ends[left.slot],
+                    f.bytes[right.slot], f.starts[right.slot], f.ends[right.slot]);
             }
-            is(f, same != not);
+            putBoolean(f, same != negated);
         }
     }
 
     /** Whether a constant stands at the begin, at the end or anywhere. */
-    static final class Stands extends Node {
-        final Node a;
-        final byte[] what;
-        final char where;                                   // '^', '$', '*'
+    static final class SubstringTest extends Node {
+        final Node operand;
+        final byte[] pattern;
+        final char anchor;                                   // '^', '$', '*'
 
-        Stands(Node a, byte[] what, char where, long own) {
+        SubstringTest(Node a, byte[] what, char where, long own) {
             super(Type.BOOL, own, a);
-            this.a = a;
-            this.what = what;
-            this.where = where;
+            this.operand = a;
+            this.pattern = what;
+            this.anchor = where;
         }
 
         @Override String label() {
@@ -469,39 +470,39 @@
         }
 
         @Override void compute(Frame f) {
-            a.need(f);
-            byte[] b = f.bytes[a.slot];
-            int from = f.from[a.slot], to = f.to[a.slot], last = to - what.length;
+            operand.evaluate(f);
+            byte[] b = f.bytes[operand.slot];
+            int from = f.starts[operand.slot], to = f.ends[operand.slot], last = to - pattern.length;
             boolean found = false;
             if (last >= from) {
-                if (where == '^') found = at(f, b, from);
-                else if (where == '$') found = at(f, b, last);
-                else for (int i = from; i <= last && !found; i++) found = at(f, b, i);
+                if (anchor == '^') found = matchesAt(f, b, from);
+                else if (anchor == '$') found = matchesAt(f, b, last);
+                else for (int i = from; i <= last && !found; i++) found = matchesAt(f, b, i);
             }
-            is(f, found);
+            putBoolean(f, found);
         }
 
-        private boolean at(Frame f, byte[] b, int i) {
-            for (int k = 0; k < what.length; k++) {
+        private boolean matchesAt(Frame f, byte[] b, int i) {
+            for (int k = 0; k < pattern.length; k++) {
                 f.steps++;
-                if (b[i + k] != what[k]) return false;
+                if (b[i + k] != pattern[k]) return false;
             }
             return true;
         }
     }
 
     /** The piece of this number where a text is cut at a constant, into so many at most; the last holds the rest. */
-    static final class Piece extends Node {
-        final Node a;
-        private final byte[] at;
-        private final int number, most;
+    static final class SplitPiece extends Node {
+        final Node operand;
+        private final byte[] separator;
+        private final int index, maxPieces;
 
-        Piece(Node a, byte[] at, int number, int most, long own) {
+        SplitPiece(Node a, byte[] at, int number, int most, long own) {
             super(a.type.asRequired().asOptional(), own, a);
-            this.a = a;
-            this.at = at;
-            this.number = number;
-            this.most = most;
+            this.operand = a;
+            this.separator = at;
+            this.index = number;
+            this.maxPieces = most;
         }
 
         @Override String label() {
@@ -509,12 +510,12 @@
         }
 
         @Override void compute(Frame f) {
-            a.need(f);
-            byte[] b = f.bytes[a.slot];
-            int from = f.from[a.slot], to = f.to[a.slot], begin = from;
+            operand.evaluate(f);
+            byte[] b = f.bytes[operand.slot];
+            int from = f.starts[operand.slot], to = f.ends[operand.slot], begin = from;
             for (int piece = 0;; piece++) {
-                int end = piece == most - 1 ? to : find(f, b, begin, to);
-                if (piece == number) {
+                int end = piece == maxPieces - 1 ? to : findSeparator(f, b, begin, to);
+                if (piece == index) {
                     f.put(slot, b, begin, end);
                     return;
                 }
@@ -522,16 +523,16 @@
                     f.putAbsent(slot);
                     return;
                 }
-                begin = end + at.length;
+                begin = end + separator.length;
             }
         }
 
-        private int find(Frame f, byte[] b, int from, int to) {
+        private int findSeparator(Frame f, byte[] b, int from, int to) {
             outer:
-            for (int i = from; i <= to - at.length; i++) {
-                for (int k = 0; k < at.length; k++) {
+            for (int i = from; i <= to - separator.length; i++) {
+                for (int k = 0; k < separator.length; k++) {
                     f.steps++;
-                    if (b[i + k] != at[k]) continue outer;
+                    if (b[i + k] != separator[k]) continue outer;
                 }
                 return i;
             }
@@ -540,16 +541,16 @@
     }
 
     /** The first bytes, or all but those. */
-    static final class Part extends Node {
-        final Node a;
-        private final int n;
-        private final boolean first;
+    static final class Slice extends Node {
+        final Node operand;
+        private final int length;
+        private final boolean isPrefix;
 
-        Part(Type type, Node a, int n, boolean first) {
+        Slice(Type type, Node a, int n, boolean first) {
             super(type, 1, a);
-            this.a = a;
-            this.n = n;
-            this.first = first;
+            this.operand = a;
+            this.length = n;
+            this.isPrefix = first;
         }
 
         @Override String label() {
@@ -557,22 +558,23 @@
         }
 
         @Override void compute(Frame f) {
-            a.need(f);
-            int cut = Math.min(f.to[a.slot], f.from[a.slot] + n);
-            f.put(slot, f.bytes[a.slot], first ? f.from[a.slot] : cut, first ? cut : f.to[a.slot]);
+            operand.evaluate(f);
+            int cut = Math.min(f.ends[operand.slot], f.starts[operand.slot] + length);
+            f.put(slot, f.bytes[operand.slot], isPrefix ? f.starts[operand.slot] : cut, isPrefix ? cut
+                : f.ends[operand.slot]);
         }
     }
 
     /** Bytes that are made go to a place of the scratch that is this part's alone. */
-    static final class Joined extends Node {
-        final Node a, b;
-        private final int place;
+    static final class Concatenation extends Node {
+        final Node left, right;
+        private final int scratchOffset;
 
-        Joined(Type type, Node a, Node b, int place) {
-            super(type, plus(1, type.maxLength()), a, b);
-            this.a = a;
-            this.b = b;
-            this.place = place;
+        Concatenation(Type type, Node a, Node b, int place) {
+            super(type, saturatedAdd(1, type.maxLength()), a, b);
+            this.left = a;
+            this.right = b;
+            this.scratchOffset = place;
         }
 
         @Override String label() {
@@ -580,24 +582,24 @@
         }
 
         @Override void compute(Frame f) {
-            a.need(f);
-            b.need(f);
-            int n = a.length(f), m = b.length(f);
+            left.evaluate(f);
+            right.evaluate(f);
+            int n = left.length(f), m = right.length(f);
             f.steps += n + m;
-            System.arraycopy(f.bytes[a.slot], f.from[a.slot], f.scratch, place, n);
-            System.arraycopy(f.bytes[b.slot], f.from[b.slot], f.scratch, place + n, m);
-            f.put(slot, f.scratch, place, place + n + m);
+            System.arraycopy(f.bytes[left.slot], f.starts[left.slot], f.scratch, scratchOffset, n);
+            System.arraycopy(f.bytes[right.slot], f.starts[right.slot], f.scratch, scratchOffset + n, m);
+            f.put(slot, f.scratch, scratchOffset, scratchOffset + n + m);
         }
     }
 
-    static final class Lower extends Node {
-        final Node a;
-        private final int place;
+    static final class ToLowerCase extends Node {
+        final Node operand;
+        private final int scratchOffset;
 
-        Lower(Node a, int place) {
-            super(a.type, plus(1, a.type.maxLength()), a);
-            this.a = a;
-            this.place = place;
+        ToLowerCase(Node a, int place) {
+            super(a.type, saturatedAdd(1, a.type.maxLength()), a);
+            this.operand = a;
+            this.scratchOffset = place;
         }
 
         @Override String label() {
@@ -605,28 +607,28 @@
         }
 
         @Override void compute(Frame f) {
-            a.need(f);
-            int n = a.length(f), from = f.from[a.slot];
+            operand.evaluate(f);
+            int n = operand.length(f), from = f.starts[operand.slot];
             f.steps += n;
-            byte[] b = f.bytes[a.slot];
+            byte[] b = f.bytes[operand.slot];
             for (int i = 0; i < n; i++) {
                 byte c = b[from + i];
-                f.scratch[place + i] = c >= 'A' && c <= 'Z' ? (byte) (c + 32) : c;
+                f.scratch[scratchOffset + i] = c >= 'A' && c <= 'Z' ? (byte) (c + 32) : c;
             }
-            f.put(slot, f.scratch, place, place + n);
+            f.put(slot, f.scratch, scratchOffset, scratchOffset + n);
         }
     }
 
     /** Digits to an integer; absent where it is none, empty, or too large. */
-    static final class Digits extends Node {
-        final Node a;
-        private final int base, most;
+    static final class ParseInteger extends Node {
+        final Node operand;
+        private final int base, maxDigits;
 
-        Digits(Node a, int base) {
+        ParseInteger(Node a, int base) {
             super(Type.INT.asOptional(), 21, a);
-            this.a = a;
+            this.operand = a;
             this.base = base;
-            this.most = base == 16 ? 16 : 19;
+            this.maxDigits = base == 16 ? 16 : 19;
         }
 
         @Override String label() {
@@ -634,14 +636,14 @@
         }
 
         @Override void compute(Frame f) {
-            a.need(f);
-            int n = a.length(f);
+            operand.evaluate(f);
+            int n = operand.length(f);
             f.putAbsent(slot);
-            if (n == 0 || n > most) return;
+            if (n == 0 || n > maxDigits) return;
             long v = 0;
-            for (int i = f.from[a.slot]; i < f.to[a.slot]; i++) {
+            for (int i = f.starts[operand.slot]; i < f.ends[operand.slot]; i++) {
                 f.steps++;
-                byte c = f.bytes[a.slot][i];
+                byte c = f.bytes[operand.slot][i];
                 int d = c < 0 ? -1 : Character.digit(c, base);
                 if (d < 0) return;
                 if (base == 10 && v > (Long.MAX_VALUE - d) / 10) return;
@@ -652,11 +654,11 @@
     }
 
     static final class Length extends Node {
-        final Node a;
+        final Node operand;
 
         Length(Node a) {
             super(Type.INT, 1, a);
-            this.a = a;
+            this.operand = a;
         }
 
         @Override String label() {
@@ -664,17 +666,17 @@
         }
 
         @Override void compute(Frame f) {
-            a.need(f);
-            f.put(slot, (long) a.length(f));
+            operand.evaluate(f);
+            f.put(slot, (long) operand.length(f));
         }
     }
 
     static final class Hash extends Node {
-        final Node a;
+        final Node operand;
 
         Hash(Node a, long own) {
             super(Type.INT, own, a);
-            this.a = a;
+            this.operand = a;
         }
 
         @Override String label() {
@@ -682,12 +684,12 @@
         }
 
         @Override void compute(Frame f) {
-            a.need(f);
-            if (a.type.kind() == Type.Kind.INT) {
-                f.put(slot, mix(f.whole[a.slot]));
+            operand.evaluate(f);
+            if (operand.type.kind() == Type.Kind.INT) {
+                f.put(slot, mix(f.longs[operand.slot]));
             } else {
-                f.steps += a.length(f);
-                f.put(slot, of(f.bytes[a.slot], f.from[a.slot], f.to[a.slot]));
+                f.steps += operand.length(f);
+                f.put(slot, of(f.bytes[operand.slot], f.starts[operand.slot], f.ends[operand.slot]));
             }
         }
 
@@ -706,13 +708,13 @@
 
     /** 0 to n - 1, evenly. */
     static final class Bucket extends Node {
-        final Node a;
-        private final long n;
+        final Node operand;
+        private final long bucketCount;
 
         Bucket(Node a, long n) {
             super(Type.INT, 1, a);
-            this.a = a;
-            this.n = n;
+            this.operand = a;
+            this.bucketCount = n;
         }
 
         @Override String label() {
@@ -720,20 +722,20 @@
         }
 
         @Override void compute(Frame f) {
-            f.put(slot, Long.remainderUnsigned(a.whole(f), n));
+            f.put(slot, Long.remainderUnsigned(operand.evaluateLong(f), bucketCount));
         }
     }
 
     static final class InCidr extends Node {
-        final Node a;
-        private final byte[] net;
-        private final int bits;
+        final Node operand;
+        private final byte[] network;
+        private final int prefixBits;
 
         InCidr(Node a, byte[] net, int bits) {
             super(Type.BOOL, 17, a);
-            this.a = a;
-            this.net = net;
-            this.bits = bits;
+            this.operand = a;
+            this.network = net;
+            this.prefixBits = bits;
         }
 
         @Override String label() {
@@ -741,27 +743,27 @@
         }
 
         @Override void compute(Frame f) {
-            a.need(f);
-            boolean in = a.length(f) == net.length;
-            for (int i = 0; in && i < bits; i += 8) {
+            operand.evaluate(f);
+            boolean in = operand.length(f) == network.length;
+            for (int i = 0; in && i < prefixBits; i += 8) {
                 f.steps++;
-                int mask = bits - i >= 8 ? 0xff : 0xff << 8 - (bits - i);
-                in = ((f.bytes[a.slot][f.from[a.slot] + i / 8] ^ net[i / 8]) & mask & 0xff) == 0;
+                int mask = prefixBits - i >= 8 ? 0xff : 0xff << 8 - (prefixBits - i);
+                in = ((f.bytes[operand.slot][f.starts[operand.slot] + i / 8] ^ network[i / 8]) & mask & 0xff) == 0;
             }
-            is(f, in);
+            putBoolean(f, in);
         }
     }
 
     /** Time since midnight, or the day of the week from Monday = 1, at a fixed distance from UTC. */
-    static final class Clock extends Node {
+    static final class TimeField extends Node {
         private static final double DAY_MS = 86_400_000;
-        private final double offset;
-        private final boolean day;
+        private final double offsetMs;
+        private final boolean isWeekday;
 
-        Clock(double offset, boolean day) {
+        TimeField(double offset, boolean day) {
             super(day ? Type.INT : Type.DURATION, 1);
-            this.offset = offset;
-            this.day = day;
+            this.offsetMs = offset;
+            this.isWeekday = day;
         }
 
         @Override String label() {
@@ -769,23 +771,23 @@
         }
 
         @Override void compute(Frame f) {
-            double days = Math.floor((f.now + offset) / DAY_MS);
-            if (day) f.put(slot, 1 + Math.floorMod((long) days + 3, 7L));
-            else f.put(slot, f.now + offset - days * DAY_MS);
+            double days = Math.floor((f.nowMs + offsetMs) / DAY_MS);
+            if (isWeekday) f.put(slot, 1 + Math.floorMod((long) days + 3, 7L));
+            else f.put(slot, f.nowMs + offsetMs - days * DAY_MS);
         }
     }
 
     /** A pattern on a bounded text, by an engine whose time is linear in it. */
-    static final class Matches extends Node implements CharSequence {
-        final Node a;
+    static final class RegexMatch extends Node implements CharSequence {
+        final Node operand;
         private final Pattern pattern;
         private Matcher matcher;                            // one lookup at a time is evaluated, under the desk's lock
-        private byte[] b;
+        private byte[] input;
         private int from, to;
 
-        Matches(Node a, Pattern pattern, long own) {
+        RegexMatch(Node a, Pattern pattern, long own) {
             super(Type.BOOL, own, a);
-            this.a = a;
+            this.operand = a;
             this.pattern = pattern;
         }
 
@@ -794,15 +796,15 @@
         }
 
         @Override void compute(Frame f) {
-            a.need(f);
-            b = f.bytes[a.slot];
-            from = f.from[a.slot];
-            to = f.to[a.slot];
-            f.steps += own - 1;
+            operand.evaluate(f);
+            input = f.bytes[operand.slot];
+            from = f.starts[operand.slot];
+            to = f.ends[operand.slot];
+            f.steps += ownSteps - 1;
             if (matcher == null) matcher = pattern.matcher(this);
             else matcher.reset(this);
-            is(f, matcher.find());
-            b = null;
+            putBoolean(f, matcher.find());
+            input = null;
         }
 
         @Override public int length() {
@@ -810,11 +812,11 @@
         }
 
         @Override public char charAt(int i) {
-            return (char) (b[from + i] & 0xff);
+            return (char) (input[from + i] & 0xff);
         }
 
         @Override public CharSequence subSequence(int x, int y) {
-            return new String(b, from + x, y - x, java.nio.charset.StandardCharsets.ISO_8859_1);
+            return new String(input, from + x, y - x, java.nio.charset.StandardCharsets.ISO_8859_1);
         }
     }
 }
--- a/src/main/java/mothcross/expr/Program.java
+++ b/src/main/java/mothcross/expr/Program.java
@@ -14,12 +14,12 @@
     /** One expression: its type, its worst cost, and how it is evaluated. */
     public static final class Expression {
         final Node root;
-        private final String text;
+        private final String source;
         private final List<String> notes;
 
         Expression(Node root, String text, List<String> notes) {
             this.root = root;
-            this.text = text;
+            this.source = text;
             this.notes = notes;
         }
 
@@ -28,11 +28,11 @@
         }
 
         public long worstCaseSteps() {
-            return root.cost;
+            return root.worstCaseSteps;
         }
 
-        public String text() {
-            return text;
+        public String source() {
+            return source;
         }
 
         /** What can never matter, found while it was compiled. */
@@ -42,38 +42,38 @@
 
         /** Whether a client's retry of the same lookup has the same value; else the input that may differ. */
         public String retryVariantInput() {
-            return differs(root);
+            return unstableInput(root);
         }
 
         public boolean evaluateBoolean(Frame f) {
-            return root.truth(f);
+            return root.evaluateBoolean(f);
         }
 
         public long evaluateLong(Frame f) {
-            return root.whole(f);
+            return root.evaluateLong(f);
         }
 
         public double evaluateDouble(Frame f) {
-            return root.number(f);
+            return root.evaluateDouble(f);
         }
 
         /** Computes bytes; they stand in the frame until its next request. */
         public long hash(Frame f) {
-            root.need(f);
-            if (root.type.kind() != Type.Kind.BYTES) return Node.Hash.mix(f.whole[root.slot]);
-            return Node.Hash.of(f.bytes[root.slot], f.from[root.slot], f.to[root.slot]);
+            root.evaluate(f);
+            if (root.type.kind() != Type.Kind.BYTES) return Node.Hash.mix(f.longs[root.slot]);
+            return Node.Hash.of(f.bytes[root.slot], f.starts[root.slot], f.ends[root.slot]);
         }
 
         /** For people: the value as text, "absent" where it is. */
         public String describe(Frame f) {
-            return Program.shown(root, f);
+            return Program.describe(root, f);
         }
     }
 
     private final Inputs inputs;
-    private final Map<String, Node> parts = new LinkedHashMap<>();      // by what they say: the same is made once
-    private final Map<String, SyntaxTree> names = new HashMap<>();
-    private final Map<String, String> nameTexts = new HashMap<>();
+    private final Map<String, Node> nodesByKey = new LinkedHashMap<>();      // by what they say: the same is made once
+    private final Map<String, SyntaxTree> definitions = new HashMap<>();
+    private final Map<String, String> definitionSources = new HashMap<>();
     private int scratch;
 
     public Program(Inputs inputs) {
@@ -82,7 +82,7 @@
 
     /** The names of all functions. */
     public static Iterable<String> functions() {
-        return Compiler.FUNCTIONS.keySet();
+        return Compiler.FUNCTION_SIGNATURES.keySet();
     }
 
     Inputs inputs() {
@@ -93,20 +93,20 @@
     public void define(String name, String text) throws ExpressionException {
         SyntaxTree t = Parser.parse(text);
         new Compiler(this, text).compile(t);
-        names.put(name, t);
-        nameTexts.put(name, text);
+        definitions.put(name, t);
+        definitionSources.put(name, text);
     }
 
-    SyntaxTree named(String name) {
-        return names.get(name);
+    SyntaxTree definition(String name) {
+        return definitions.get(name);
     }
 
-    String textOf(String name) {
-        return nameTexts.get(name);
+    String definitionSource(String name) {
+        return definitionSources.get(name);
     }
 
     public Iterable<String> names() {
-        return names.keySet();
+        return definitions.keySet();
     }
 
     /** Compiles an expression, which may cost {@code budget} steps at most. */
@@ -114,16 +114,16 @@
         SyntaxTree t = Parser.parse(text);
         Compiler c = new Compiler(this, text);
         Node root = c.compile(t);
-        if (root.cost > budget) throw c.tooDear(t, root, budget);
+        if (root.worstCaseSteps > budget) throw c.overBudget(t, root, budget);
         return new Expression(root, text, c.notes());
     }
 
-    Node same(String key, java.util.function.Supplier<Node> make) {
-        Node n = parts.get(key);
+    Node intern(String key, java.util.function.Supplier<Node> make) {
+        Node n = nodesByKey.get(key);
         if (n == null) {
             n = make.get();
-            n.slot = parts.size();
-            parts.put(key, n);
+            n.slot = nodesByKey.size();
+            nodesByKey.put(key, n);
         }
         return n;
     }
@@ -131,7 +131,7 @@
     /** What a request can cost at most, whatever is evaluated of all that was compiled: each part comes once. */
     public long worstCaseSteps() {
         long sum = 0;
-        for (Node n : parts.values()) sum = Node.plus(sum, n.own);
+        for (Node n : nodesByKey.values()) sum = Node.saturatedAdd(sum, n.ownSteps);
         return sum;
     }
 
@@ -141,19 +141,19 @@
         return at;
     }
 
-    int slots() {
-        return parts.size();
+    int slotCount() {
+        return nodesByKey.size();
     }
 
     int scratch() {
         return scratch;
     }
 
-    private static String differs(Node n) {
-        if (n instanceof Node.Read r) return r.input.stableOnRetry() ? null : r.input.name();
-        if (n instanceof Node.Clock) return "the time";
-        for (Node p : n.parts) {
-            String d = differs(p);
+    private static String unstableInput(Node n) {
+        if (n instanceof Node.ReadInput r) return r.input.stableOnRetry() ? null : r.input.name();
+        if (n instanceof Node.TimeField) return "the time";
+        for (Node p : n.operands) {
+            String d = unstableInput(p);
             if (d != null) return d;
         }
         return null;
@@ -162,30 +162,30 @@
     /** What each part of an expression came to, outermost first, for explaining. */
     public static List<String> explain(Expression e, Frame f) {
         List<String> all = new ArrayList<>();
-        list(e.root, f, 0, all);
+        explainNode(e.root, f, 0, all);
         return all;
     }
 
-    private static void list(Node n, Frame f, int depth, List<String> all) {
-        if (n instanceof Node.Const || all.size() > 200) return;
+    private static void explainNode(Node n, Frame f, int depth, List<String> all) {
+        if (n instanceof Node.Constant || all.size() > 200) return;
         all.add("  ".repeat(depth) + n.label() + " = "
-            + shown(n, f)
-            + "  (" + n.type + ", at most " + n.cost + " steps)");
-        for (Node p : n.parts) list(p, f, depth + 1, all);
+            + describe(n, f)
+            + "  (" + n.type + ", at most " + n.worstCaseSteps + " steps)");
+        for (Node p : n.operands) explainNode(p, f, depth + 1, all);
     }
 
-    private static String shown(Node n, Frame f) {
-        n.need(f);
-        if (n.type.optional() && !f.there[n.slot]) return "absent";
+    private static String describe(Node n, Frame f) {
+        n.evaluate(f);
+        if (n.type.optional() && !f.present[n.slot]) return "absent";
         return switch (n.type.kind()) {
-            case BOOL -> f.whole[n.slot] != 0 ? "true" : "false";
-            case INT -> Long.toString(f.whole[n.slot]);
-            case DOUBLE -> Double.toString(f.number[n.slot]);
-            case DURATION -> f.number[n.slot] + " ms";
-            case SIZE -> f.number[n.slot] + " bytes";
+            case BOOL -> f.longs[n.slot] != 0 ? "true" : "false";
+            case INT -> Long.toString(f.longs[n.slot]);
+            case DOUBLE -> Double.toString(f.doubles[n.slot]);
+            case DURATION -> f.doubles[n.slot] + " ms";
+            case SIZE -> f.doubles[n.slot] + " bytes";
             case BYTES, ADDRESS -> {
                 StringBuilder s = new StringBuilder("'");
-                for (int i = f.from[n.slot]; i < f.to[n.slot]; i++) {
+                for (int i = f.starts[n.slot]; i < f.ends[n.slot]; i++) {
                     int c = f.bytes[n.slot][i] & 0xff;
                     if (c >= ' ' && c < 127 && c != '\'' && c != '\\') s.append((char) c);
                     else s.append(String.format("\\x%02x", c));
--- a/src/test/java/mothcross/expr/ExprTest.java
+++ b/src/test/java/mothcross/expr/ExprTest.java
@@ -71,10 +71,10 @@
                 }
             } catch (ExpressionException e) {
                 String[] shown = e.describe().split("\n");
-                boolean right = !taken && e.part().equals(no[1].strip().replace("<end>", ""))
+                boolean right = !taken && e.faultyText().equals(no[1].strip().replace("<end>", ""))
                     && shown[2].indexOf('^') == 1 + e.column();
                 if (!taken) for (String word : no[2].split(" \\.\\.\\. ")) right &= e.describe().contains(word.strip());
-                if (!right) wrong.add(line + " at '" + e.part() + "'\n" + e.describe());
+                if (!right) wrong.add(line + " at '" + e.faultyText() + "'\n" + e.describe());
             }
         }
         assertTrue(wrong.isEmpty(), String.join("\n", wrong));
@@ -198,7 +198,7 @@
                     case DOUBLE -> e.evaluateDouble(f) + 0.0;
                     default -> {
                         e.hash(f);
-                        yield Arrays.copyOfRange(f.bytes[e.root.slot], f.from[e.root.slot], f.to[e.root.slot]);
+                        yield Arrays.copyOfRange(f.bytes[e.root.slot], f.starts[e.root.slot], f.ends[e.root.slot]);
                     }
                 };
                 String where = "seed " + seed + ": " + text + " for " + NaiveEvaluator.text(asked.get("target"));
--- a/src/test/java/mothcross/expr/NaiveEvaluator.java
+++ b/src/test/java/mothcross/expr/NaiveEvaluator.java
@@ -18,7 +18,7 @@
     }
 
     Object value(SyntaxTree t) {
-        if (t instanceof SyntaxTree.Number n) {
+        if (t instanceof SyntaxTree.NumberLiteral n) {
             double unit = switch (n.unit()) {
                 case "s" -> 1000;
                 case "m" -> 60_000;
@@ -29,17 +29,18 @@
             if (n.unit().isEmpty() && n.digits().indexOf('.') < 0) return Long.parseLong(n.digits());
             return Double.parseDouble(n.digits()) * unit;
         }
-        if (t instanceof SyntaxTree.Text x) return x.bytes();
-        if (t instanceof SyntaxTree.Truth x) return x.value();
+        if (t instanceof SyntaxTree.StringLiteral x) return x.bytes();
+        if (t instanceof SyntaxTree.BooleanLiteral x) return x.value();
         if (t instanceof SyntaxTree.Name x) return request.get(x.name());
-        if (t instanceof SyntaxTree.Choice c) return value((boolean) value(c.condition()) ? c.yes() : c.no());
+        if (t instanceof SyntaxTree.Conditional c) return value((boolean) value(c.condition()) ? c.thenBranch()
+            : c.elseBranch());
         if (t instanceof SyntaxTree.Unary u) {
-            Object a = value(u.a());
-            if (u.op().equals("!")) return !(boolean) a;
+            Object a = value(u.operand());
+            if (u.operator().equals("!")) return !(boolean) a;
             return a instanceof Long l ? (Object) clamp(0, '-', l) : (Object) (0 - (double) a);
         }
-        if (t instanceof SyntaxTree.Piece p) {
-            SyntaxTree.Call c = (SyntaxTree.Call) p.of();
+        if (t instanceof SyntaxTree.Index p) {
+            SyntaxTree.Call c = (SyntaxTree.Call) p.indexed();
             int i = (int) (long) value(p.index());
             String[] pieces = cut(c);
             return i < pieces.length ? bytes(pieces[i]) : null;
@@ -49,8 +50,8 @@
     }
 
     private String[] cut(SyntaxTree.Call c) {
-        String s = text(value(c.args().get(0))), at = text(value(c.args().get(1)));
-        int most = (int) (long) value(c.args().get(2));
+        String s = text(value(c.arguments().get(0))), at = text(value(c.arguments().get(1)));
+        int most = (int) (long) value(c.arguments().get(2));
         java.util.List<String> all = new java.util.ArrayList<>();
         while (all.size() < most - 1 && s.contains(at)) {
             all.add(s.substring(0, s.indexOf(at)));
@@ -74,27 +75,27 @@
     }
 
     private Object binary(SyntaxTree.Binary t) {
-        switch (t.op()) {
+        switch (t.operator()) {
             case "&&" -> {
-                return (boolean) value(t.a()) & (boolean) value(t.b());
+                return (boolean) value(t.left()) & (boolean) value(t.right());
             }
             case "||" -> {
-                return (boolean) value(t.a()) | (boolean) value(t.b());
+                return (boolean) value(t.left()) | (boolean) value(t.right());
             }
             case "??" -> {
-                Object a = value(t.a());
-                return a != null ? a : value(t.b());
+                Object a = value(t.left());
+                return a != null ? a : value(t.right());
             }
             case "in" -> {
-                Object a = value(t.a());
-                if (t.b() instanceof SyntaxTree.Range r) return compare(a, value(r.low())) >= 0 && compare(a,
+                Object a = value(t.left());
+                if (t.right() instanceof SyntaxTree.Range r) return compare(a, value(r.low())) >= 0 && compare(a,
                     value(r.high())) <= 0;
-                return ((SyntaxTree.Among) t.b()).all().stream().anyMatch(x -> same(a, value(x)));
+                return ((SyntaxTree.ListLiteral) t.right()).elements().stream().anyMatch(x -> same(a, value(x)));
             }
             default -> { }
         }
-        Object a = value(t.a()), b = value(t.b());
-        switch (t.op()) {
+        Object a = value(t.left()), b = value(t.right());
+        switch (t.operator()) {
             case "==" -> {
                 return same(a, b);
             }
@@ -102,17 +103,18 @@
                 return !same(a, b);
             }
             case "<", "<=", ">", ">=" -> {
-                boolean equal = t.op().length() == 2;
+                boolean equal = t.operator().length() == 2;
                 if (a instanceof Long x && b instanceof Long y) {
-                    return t.op().charAt(0) == '<' ? x < y || equal && x.equals(y) : x > y || equal && x.equals(y);
+                    return t.operator().charAt(0) == '<' ? x < y || equal && x.equals(y) : x > y || equal
+                        && x.equals(y);
                 }
                 double x = ((Number) a).doubleValue(), y = ((Number) b).doubleValue();
-                return t.op().charAt(0) == '<' ? x < y || equal && x == y : x > y || equal && x == y;
+                return t.operator().charAt(0) == '<' ? x < y || equal && x == y : x > y || equal && x == y;
             }
             default -> { }
         }
         if (a instanceof byte[] x) return bytes(text(x) + text(b));
-        char op = t.op().charAt(0);
+        char op = t.operator().charAt(0);
         if (a instanceof Long x && b instanceof Long y) return clamp(x, op, y);
         double x = ((Number) a).doubleValue(), y = ((Number) b).doubleValue();
         return switch (op) {
@@ -137,9 +139,9 @@
     }
 
     private Object call(SyntaxTree.Call t) {
-        if (t.name().equals("header")) return request.get("header:" + text(value(t.args().get(0))).toLowerCase());
-        Object a = t.args().isEmpty() ? null : value(t.args().get(0));
-        Object b = t.args().size() < 2 ? null : value(t.args().get(1));
+        if (t.name().equals("header")) return request.get("header:" + text(value(t.arguments().get(0))).toLowerCase());
+        Object a = t.arguments().isEmpty() ? null : value(t.arguments().get(0));
+        Object b = t.arguments().size() < 2 ? null : value(t.arguments().get(1));
         return switch (t.name()) {
             case "has" -> a != null;
             case "starts" -> text(a).startsWith(text(b));
