--- a/src/main/java/mothcross/expr/Compiler.java
+++ b/src/main/java/mothcross/expr/Compiler.java
@@ -252,7 +252,7 @@
                 b);
         }
         return foldConstants(program.intern(key("join", a, b), () -> new Node.Concatenation(Type.bytes(most), a, b,
-            program.scratch(most))));
+            program.reserveScratch(most))));
     }
 
     /** A refusal for what grows with what a client sends, and how it is written with a bound. */
@@ -380,7 +380,7 @@
                 requireArgumentCount(t, 1, 1);
                 String name = new String(bytesConstantArgument(t, 0), StandardCharsets.ISO_8859_1);
                 if (!name.matches("[A-Za-z0-9!#$%&'*+.^_`|~-]{1,60}")) throw error(t, "is no name of a header", null);
-                Inputs.Input in = program.inputs().headerOrAny(name);
+                Inputs.Input in = program.inputs().headerOrUndeclared(name);
                 return program.intern("read " + in.name(), () -> new Node.ReadInput(in));
             }
             case "has" -> {
@@ -440,7 +440,7 @@
                 if (a.type.maxLength() > MAX_COMPUTED_BYTES) throw error(t, "makes more than " + MAX_COMPUTED_BYTES
                     + " bytes", null);
                 return foldConstants(program.intern(key("lower", a), () ->
-                    new Node.ToLowerCase(a, program.scratch(a.type.maxLength()))));
+                    new Node.ToLowerCase(a, program.reserveScratch(a.type.maxLength()))));
             }
             case "hash" -> {
                 requireArgumentCount(t, 1, 1);
--- a/src/main/java/mothcross/expr/Frame.java
+++ b/src/main/java/mothcross/expr/Frame.java
@@ -3,92 +3,103 @@
 import java.util.Arrays;
 
 /**
- * Room for the values of one evaluation, used again for the next: a place for each part of the program, and scratch for
- * bytes that are made. Owns that room and the count of steps; holds on to a request's bytes only until the next one.
+ * The evaluation frame of a {@link Program}: one slot for the value of each node, scratch space for computed bytes, and
+ * the count of steps taken. A frame is reused from request to request, so that evaluation allocates nothing. It refers
+ * to the bytes of a request only until the next one begins.
  */
 public final class Frame {
-    /** What is asked for: puts input {@code doubles} into a slot of the frame, or leaves it absent. */
+    /** The source of input values: puts input {@code number} into a slot of the frame, or leaves the slot absent. */
     public interface Request {
         void read(int number, Frame into, int slot);
     }
 
-    final long[] longs;                     // truths (0, 1) and integers
+    /** Values of integers, and of booleans as 0 or 1. */
+    final long[] longs;
     final double[] doubles;
+    /** The arrays that hold byte strings; the string of a slot is from {@link #starts} to {@link #ends}. */
     final byte[][] bytes;
-    final int[] starts, ends;
+    final int[] starts;
+    final int[] ends;
     final boolean[] present;
-    private final int[] computedIn;
-    private int epoch;
+    /** Inputs that were longer than their maximum and were truncated. */
+    final boolean[] truncated;
     final byte[] scratch;
     Request request;
-    /** Unix ms, for times of day. */
+    /** Unix time in milliseconds. */
     double nowMs;
     long steps;
-    private String overflowedInput;                    // an input that was longer than its bound, where that refuses
-    final boolean[] truncated;                    // an input that was longer than its bound and cut there
+    /** The epoch in which each slot was last computed. */
+    private final int[] computedIn;
+    private int epoch;
+    private String overflowedInput;
 
-    public Frame(Program p) {
-        int n = p.slotCount();
-        longs = new long[n];
-        doubles = new double[n];
-        bytes = new byte[n][];
-        starts = new int[n];
-        ends = new int[n];
-        present = new boolean[n];
-        computedIn = new int[n];
-        truncated = new boolean[n];
-        scratch = new byte[p.scratch()];
+    public Frame(Program program) {
+        int slots = program.slotCount();
+        longs = new long[slots];
+        doubles = new double[slots];
+        bytes = new byte[slots][];
+        starts = new int[slots];
+        ends = new int[slots];
+        present = new boolean[slots];
+        computedIn = new int[slots];
+        truncated = new boolean[slots];
+        scratch = new byte[program.scratchBytes()];
     }
 
-    /** A new request: nothing of the last one is known any more. */
-    public void begin(Request r, double at) {
+    /** Starts the evaluation of a new request and invalidates all values of the previous one. */
+    public void begin(Request newRequest, double unixMs) {
         if (++epoch == 0) {
             Arrays.fill(computedIn, 0);
             epoch = 1;
         }
-        request = r;
-        nowMs = at;
+        request = newRequest;
+        nowMs = unixMs;
         steps = 0;
         overflowedInput = null;
     }
 
-    /** Lets go of the request. */
+    /** Releases the request. */
     public void end() {
         request = null;
     }
 
+    /** Marks a slot as computed for this request; returns false if it already was. */
     boolean markComputed(int slot) {
         if (computedIn[slot] == epoch) return false;
         computedIn[slot] = epoch;
         return true;
     }
 
-    public void put(int slot, byte[] b, int a, int e) {
-        bytes[slot] = b;
-        starts[slot] = a;
-        ends[slot] = e;
+    /** Puts the bytes from {@code start} to {@code end} of an array, which is referred to and not copied. */
+    public void put(int slot, byte[] source, int start, int end) {
+        bytes[slot] = source;
+        starts[slot] = start;
+        ends[slot] = end;
         present[slot] = true;
     }
 
-    public void put(int slot, long v) {
-        longs[slot] = v;
+    /** Puts an integer, or a boolean as 0 or 1. */
+    public void put(int slot, long value) {
+        longs[slot] = value;
         present[slot] = true;
     }
 
-    public void put(int slot, double v) {
-        doubles[slot] = v;
+    /** Puts a double, a duration in milliseconds or a size in bytes. */
+    public void put(int slot, double value) {
+        doubles[slot] = value;
         present[slot] = true;
     }
 
+    /** Marks the value of a slot as absent. */
     public void putAbsent(int slot) {
         present[slot] = false;
     }
 
-    void overflowedInput(String input) {
+    void recordOverflow(String input) {
         overflowedInput = input;
     }
 
-    /** The input that was longer than it may be, or null. */
+    /** The last input read that exceeded a maximum length declared as {@link Inputs.Overflow#REJECT}, or null. */
     public String overflowedInput() {
         return overflowedInput;
     }
--- a/src/main/java/mothcross/expr/Inputs.java
+++ b/src/main/java/mothcross/expr/Inputs.java
@@ -1,61 +1,74 @@
 package mothcross.expr;
 
 import java.util.LinkedHashMap;
+import java.util.Locale;
 import java.util.Map;
 
 /**
- * What expressions may read of a request: each input's name, type, number, what follows past its bound, and whether a
- * client's retry of the same lookup has the same. Owns the table; must never hold a value.
+ * The inputs that expressions may read from a request: the name, type and number of each, what happens when a value
+ * exceeds its maximum length, and whether a retry of the same lookup sends the same value. Holds declarations only,
+ * never the values of a request.
  */
 public final class Inputs {
-    /** Past the bound: the request is refused, or the value is cut there and marked. */
+    /** What happens to a value longer than its maximum: the request is rejected, or the value truncated and marked. */
     public enum Overflow { REJECT, TRUNCATE }
 
-    /** {@code number} is what {@link Frame.Request} knows it by. */
+    /**
+     * One declared input. {@code number} identifies it to {@link Frame.Request}; {@code stableOnRetry} tells whether a
+     * client's retry of the same lookup carries the same value.
+     */
     public record Input(String name, Type type, int number, Overflow overflow, boolean stableOnRetry) { }
 
-    private final Map<String, Input> all = new LinkedHashMap<>();
-    private int headers;
-    /** Inputs from this number on are headers, in the order in which they were first named. */
+    /** Inputs from this number on are headers, in the order in which they were first declared. */
     public static final int FIRST_HEADER = 64;
 
-    public Inputs add(String name, Type type, int number, Overflow past, boolean same) {
-        all.put(name, new Input(name, type, number, past, same));
+    private static final String HEADER_PREFIX = "header:";
+
+    private final Map<String, Input> inputsByName = new LinkedHashMap<>();
+    private int headerCount;
+
+    /** Declares an input, or replaces the declaration of that name. */
+    public Inputs add(String name, Type type, int number, Overflow overflow, boolean stableOnRetry) {
+        inputsByName.put(name, new Input(name, type, number, overflow, stableOnRetry));
         return this;
     }
 
-    /** A header's name is taken without regard to case. */
-    public Inputs header(String name, long most, Overflow past, boolean same) {
+    /** Declares a header, or replaces its declaration and keeps its number. Header names are case-insensitive. */
+    public Inputs header(String name, long maxLength, Overflow overflow, boolean stableOnRetry) {
         String key = headerKey(name);
-        Input before = all.get(key);
-        int number = before != null ? before.number : FIRST_HEADER + headers++;
-        all.put(key, new Input(key, Type.bytes(most).asOptional(), number, past, same));
+        Input previous = inputsByName.get(key);
+        int number = previous != null ? previous.number : FIRST_HEADER + headerCount++;
+        inputsByName.put(key, new Input(key, Type.bytes(maxLength).asOptional(), number, overflow, stableOnRetry));
         return this;
     }
 
     static String headerKey(String name) {
-        return "header:" + name.toLowerCase(java.util.Locale.ROOT);
+        return HEADER_PREFIX + name.toLowerCase(Locale.ROOT);
     }
 
     Input get(String name) {
-        return all.get(name);
+        return inputsByName.get(name);
     }
 
-    Input headerOrAny(String name) {
-        if (all.get(headerKey(name)) == null) header(name, Type.UNBOUNDED, Overflow.TRUNCATE, false);
-        return all.get(headerKey(name));
+    /** The declaration of a header; an undeclared one is declared with unbounded length, not stable on retry. */
+    Input headerOrUndeclared(String name) {
+        if (inputsByName.get(headerKey(name)) == null) header(name, Type.UNBOUNDED, Overflow.TRUNCATE, false);
+        return inputsByName.get(headerKey(name));
     }
 
-    /** The names of the headers that are read, lower case, by number from {@link #FIRST_HEADER} on. */
+    /** The names of all headers that are read, in lower case, by their number minus {@link #FIRST_HEADER}. */
     public String[] headers() {
-        String[] names = new String[headers];
-        for (Input i : all.values()) {
-            if (i.number >= FIRST_HEADER) names[i.number - FIRST_HEADER] = i.name.substring("header:".length());
+        String[] names = new String[headerCount];
+        for (Input input : inputsByName.values()) {
+            if (input.number >= FIRST_HEADER) {
+                names[input.number - FIRST_HEADER] = input.name.substring(HEADER_PREFIX.length());
+            }
         }
         return names;
     }
 
+    /** The names of all inputs; headers are named {@code header:NAME}. */
     public Iterable<String> names() {
-        return all.keySet();
+        return inputsByName.keySet();
     }
 }
--- a/src/main/java/mothcross/expr/Node.java
+++ b/src/main/java/mothcross/expr/Node.java
@@ -146,7 +146,7 @@
             if (type.kind() != Type.Kind.BYTES || length(f) <= type.maxLength()) return;
             f.ends[slot] = f.starts[slot] + (int) type.maxLength();
             f.truncated[slot] = true;
-            if (input.overflow() == Inputs.Overflow.REJECT) f.overflowedInput(input.name());
+            if (input.overflow() == Inputs.Overflow.REJECT) f.recordOverflow(input.name());
         }
     }
 
--- a/src/main/java/mothcross/expr/Program.java
+++ b/src/main/java/mothcross/expr/Program.java
@@ -4,22 +4,27 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
+import java.util.function.Supplier;
 
 /**
- * All expressions of one table, compiled together: parts that occur again are one part, computed once for a request.
- * Owns the parts, their slots and the scratch; must never change once a frame was made for it.
+ * All expressions of one routing table, compiled into one graph of nodes. Common subexpressions share a node, which is
+ * computed at most once per request. No expression may be compiled after a {@link Frame} was made for the program,
+ * since the frame has the size of the program at that time.
  */
 public final class Program {
-    /** One expression: its type, its worst cost, and how it is evaluated. */
+    private static final int MAX_EXPLAINED_LINES = 200;
+
+    /** One compiled expression: its type, its worst-case cost, and its evaluation in a frame. */
     public static final class Expression {
         final Node root;
         private final String source;
         private final List<String> notes;
 
-        Expression(Node root, String text, List<String> notes) {
+        Expression(Node root, String source, List<String> notes) {
             this.root = root;
-            this.source = text;
+            this.source = source;
             this.notes = notes;
         }
 
@@ -27,6 +32,7 @@
             return root.type;
         }
 
+        /** The steps that one evaluation takes at most. */
         public long worstCaseSteps() {
             return root.worstCaseSteps;
         }
@@ -35,52 +41,53 @@
             return source;
         }
 
-        /** What can never matter, found while it was compiled. */
+        /** Warnings of the compiler about parts that can never affect the result. */
         public List<String> notes() {
             return notes;
         }
 
-        /** Whether a client's retry of the same lookup has the same value; else the input that may differ. */
+        /** An input whose value may differ when a client retries the same lookup, or null if there is none. */
         public String retryVariantInput() {
             return unstableInput(root);
         }
 
-        public boolean evaluateBoolean(Frame f) {
-            return root.evaluateBoolean(f);
+        public boolean evaluateBoolean(Frame frame) {
+            return root.evaluateBoolean(frame);
         }
 
-        public long evaluateLong(Frame f) {
-            return root.evaluateLong(f);
+        public long evaluateLong(Frame frame) {
+            return root.evaluateLong(frame);
         }
 
-        public double evaluateDouble(Frame f) {
-            return root.evaluateDouble(f);
+        public double evaluateDouble(Frame frame) {
+            return root.evaluateDouble(frame);
         }
 
-        /** Computes bytes; they stand in the frame until its next request. */
-        public long hash(Frame f) {
-            root.evaluate(f);
-            if (root.type.kind() != Type.Kind.BYTES) return Node.Hash.mix(f.longs[root.slot]);
-            return Node.Hash.of(f.bytes[root.slot], f.starts[root.slot], f.ends[root.slot]);
+        /** The hash of the value. Bytes that are computed for it stay in the frame until its next request. */
+        public long hash(Frame frame) {
+            root.evaluate(frame);
+            if (root.type.kind() != Type.Kind.BYTES) return Node.Hash.mix(frame.longs[root.slot]);
+            return Node.Hash.of(frame.bytes[root.slot], frame.starts[root.slot], frame.ends[root.slot]);
         }
 
-        /** For people: the value as text, "absent" where it is. */
-        public String describe(Frame f) {
-            return Program.describe(root, f);
+        /** The value in readable form, "absent" if there is none. */
+        public String describe(Frame frame) {
+            return Program.describe(root, frame);
         }
     }
 
     private final Inputs inputs;
-    private final Map<String, Node> nodesByKey = new LinkedHashMap<>();      // by what they say: the same is made once
+    /** All nodes by a key that equal subexpressions share; the slot of a node is its place in this order. */
+    private final Map<String, Node> nodesByKey = new LinkedHashMap<>();
     private final Map<String, SyntaxTree> definitions = new HashMap<>();
     private final Map<String, String> definitionSources = new HashMap<>();
-    private int scratch;
+    private int scratchBytes;
 
     public Program(Inputs inputs) {
         this.inputs = inputs;
     }
 
-    /** The names of all functions. */
+    /** The names of all functions of the language. */
     public static Iterable<String> functions() {
         return Compiler.FUNCTION_SIGNATURES.keySet();
     }
@@ -89,12 +96,12 @@
         return inputs;
     }
 
-    /** A name for an expression that others may use; it may use those named before it. */
-    public void define(String name, String text) throws ExpressionException {
-        SyntaxTree t = Parser.parse(text);
-        new Compiler(this, text).compile(t);
-        definitions.put(name, t);
-        definitionSources.put(name, text);
+    /** Defines a name for an expression. Expressions compiled later may use it, and so may later definitions. */
+    public void define(String name, String source) throws ExpressionException {
+        SyntaxTree tree = Parser.parse(source);
+        new Compiler(this, source).compile(tree);
+        definitions.put(name, tree);
+        definitionSources.put(name, source);
     }
 
     SyntaxTree definition(String name) {
@@ -105,93 +112,98 @@
         return definitionSources.get(name);
     }
 
+    /** All names given by {@link #define}. */
     public Iterable<String> names() {
         return definitions.keySet();
     }
 
-    /** Compiles an expression, which may cost {@code budget} steps at most. */
-    public Expression compile(String text, long budget) throws ExpressionException {
-        SyntaxTree t = Parser.parse(text);
-        Compiler c = new Compiler(this, text);
-        Node root = c.compile(t);
-        if (root.worstCaseSteps > budget) throw c.overBudget(t, root, budget);
-        return new Expression(root, text, c.notes());
+    /** Compiles an expression; fails if it could take more than {@code budgetSteps} steps. */
+    public Expression compile(String source, long budgetSteps) throws ExpressionException {
+        SyntaxTree tree = Parser.parse(source);
+        Compiler compiler = new Compiler(this, source);
+        Node root = compiler.compile(tree);
+        if (root.worstCaseSteps > budgetSteps) throw compiler.overBudget(tree, root, budgetSteps);
+        return new Expression(root, source, compiler.notes());
     }
 
-    Node intern(String key, java.util.function.Supplier<Node> make) {
-        Node n = nodesByKey.get(key);
-        if (n == null) {
-            n = make.get();
-            n.slot = nodesByKey.size();
-            nodesByKey.put(key, n);
+    /** The node for a key, made and given a slot if there is none yet. Equal subexpressions have equal keys. */
+    Node intern(String key, Supplier<Node> factory) {
+        Node node = nodesByKey.get(key);
+        if (node == null) {
+            node = factory.get();
+            node.slot = nodesByKey.size();
+            nodesByKey.put(key, node);
         }
-        return n;
+        return node;
     }
 
-    /** What a request can cost at most, whatever is evaluated of all that was compiled: each part comes once. */
+    /** The steps that a request takes at most, even if every node of the program is evaluated; each counts once. */
     public long worstCaseSteps() {
         long sum = 0;
-        for (Node n : nodesByKey.values()) sum = Node.saturatedAdd(sum, n.ownSteps);
+        for (Node node : nodesByKey.values()) sum = Node.saturatedAdd(sum, node.ownSteps);
         return sum;
     }
 
-    int scratch(long bytes) {
-        int at = scratch;
-        scratch += (int) bytes;
-        return at;
+    /** Reserves scratch space in each frame and returns its offset. */
+    int reserveScratch(long bytes) {
+        int offset = scratchBytes;
+        scratchBytes += (int) bytes;
+        return offset;
     }
 
     int slotCount() {
         return nodesByKey.size();
     }
 
-    int scratch() {
-        return scratch;
+    int scratchBytes() {
+        return scratchBytes;
     }
 
-    private static String unstableInput(Node n) {
-        if (n instanceof Node.ReadInput r) return r.input.stableOnRetry() ? null : r.input.name();
-        if (n instanceof Node.TimeField) return "the time";
-        for (Node p : n.operands) {
-            String d = unstableInput(p);
-            if (d != null) return d;
+    private static String unstableInput(Node node) {
+        if (node instanceof Node.ReadInput read) return read.input.stableOnRetry() ? null : read.input.name();
+        if (node instanceof Node.TimeField) return "the time";
+        for (Node operand : node.operands) {
+            String unstable = unstableInput(operand);
+            if (unstable != null) return unstable;
         }
         return null;
     }
 
-    /** What each part of an expression came to, outermost first, for explaining. */
-    public static List<String> explain(Expression e, Frame f) {
-        List<String> all = new ArrayList<>();
-        explainNode(e.root, f, 0, all);
-        return all;
-    }
-
-    private static void explainNode(Node n, Frame f, int depth, List<String> all) {
-        if (n instanceof Node.Constant || all.size() > 200) return;
-        all.add("  ".repeat(depth) + n.label() + " = "
-            + describe(n, f)
-            + "  (" + n.type + ", at most " + n.worstCaseSteps + " steps)");
-        for (Node p : n.operands) explainNode(p, f, depth + 1, all);
-    }
-
-    private static String describe(Node n, Frame f) {
-        n.evaluate(f);
-        if (n.type.optional() && !f.present[n.slot]) return "absent";
-        return switch (n.type.kind()) {
-            case BOOL -> f.longs[n.slot] != 0 ? "true" : "false";
-            case INT -> Long.toString(f.longs[n.slot]);
-            case DOUBLE -> Double.toString(f.doubles[n.slot]);
-            case DURATION -> f.doubles[n.slot] + " ms";
-            case SIZE -> f.doubles[n.slot] + " bytes";
-            case BYTES, ADDRESS -> {
-                StringBuilder s = new StringBuilder("'");
-                for (int i = f.starts[n.slot]; i < f.ends[n.slot]; i++) {
-                    int c = f.bytes[n.slot][i] & 0xff;
-                    if (c >= ' ' && c < 127 && c != '\'' && c != '\\') s.append((char) c);
-                    else s.append(String.format("\\x%02x", c));
-                }
-                yield s.append('\'').toString();
-            }
+    /** The value of each node of an expression, one a line, outermost first and operands indented below. */
+    public static List<String> explain(Expression expression, Frame frame) {
+        List<String> lines = new ArrayList<>();
+        explainNode(expression.root, frame, 0, lines);
+        return lines;
+    }
+
+    private static void explainNode(Node node, Frame frame, int depth, List<String> lines) {
+        if (node instanceof Node.Constant || lines.size() > MAX_EXPLAINED_LINES) return;
+        lines.add("  ".repeat(depth) + node.label() + " = " + describe(node, frame)
+            + "  (" + node.type + ", at most " + node.worstCaseSteps + " steps)");
+        for (Node operand : node.operands) explainNode(operand, frame, depth + 1, lines);
+    }
+
+    private static String describe(Node node, Frame frame) {
+        node.evaluate(frame);
+        int slot = node.slot;
+        if (node.type.optional() && !frame.present[slot]) return "absent";
+        return switch (node.type.kind()) {
+            case BOOL -> frame.longs[slot] != 0 ? "true" : "false";
+            case INT -> Long.toString(frame.longs[slot]);
+            case DOUBLE -> Double.toString(frame.doubles[slot]);
+            case DURATION -> frame.doubles[slot] + " ms";
+            case SIZE -> frame.doubles[slot] + " bytes";
+            case BYTES, ADDRESS -> quote(frame.bytes[slot], frame.starts[slot], frame.ends[slot]);
         };
     }
+
+    private static String quote(byte[] bytes, int start, int end) {
+        StringBuilder quoted = new StringBuilder("'");
+        for (int i = start; i < end; i++) {
+            int c = bytes[i] & 0xff;
+            if (c >= ' ' && c < 127 && c != '\'' && c != '\\') quoted.append((char) c);
+            else quoted.append(String.format(Locale.ROOT, "\\x%02x", c));
+        }
+        return quoted.append('\'').toString();
+    }
 }
