--- a/src/main/java/mothcross/expr/Dispatch.java
+++ b/src/main/java/mothcross/expr/Dispatch.java
@@ -1,292 +1,351 @@
 package mothcross.expr;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
 import java.util.TreeSet;
 
 /**
- * Which of many truths is the first that holds, without trying all: what each asks of a value with constants (the
- * same as, among, begins with, within) is looked up once by that value, and gives the set of those that may hold.
- * Owns these sets; must never leave out one that holds, since the order of the table decides.
+ * Finds the first of many boolean expressions (rules) that is true, without evaluating all of them. Conditions that
+ * compare a value with constants (equality, membership, prefix, range) are indexed by that value: one lookup yields the
+ * set of rules that may hold for it. The intersection of these sets is evaluated in order. It never excludes a rule
+ * that is true, since the order of the rules decides.
  */
 public final class Dispatch {
-    private static final int MAX_INDEXES = 4, MIN_RULES_PER_INDEX = 2;
+    private static final int MAX_INDEXES = 4;
+    /** The lookup in an index for a single rule would cost about as much as evaluating that rule. */
+    private static final int MIN_RULES_PER_INDEX = 2;
 
     private enum Form { EXACT, PREFIX, INTERVAL }
 
-    /** What one truth asks of one value. */
-    private record Condition(Node subject, Form form, List<byte[]> byteStrings, long low, long high,
-        long[] integers) { }
+    /**
+     * A condition that a rule imposes on one value: to be equal to one of {@code byteStrings}, to start with the only
+     * one, to be one of {@code integers}, or, if that is null, to be in the range from {@code low} to {@code high}.
+     */
+    private record Condition(Node subject, Form form, List<byte[]> byteStrings, long low, long high, long[] integers) {
+        static Condition equalToAny(Node subject, List<byte[]> byteStrings) {
+            return new Condition(subject, Form.EXACT, byteStrings, 0, 0, null);
+        }
+
+        static Condition startsWith(Node subject, byte[] prefix) {
+            return new Condition(subject, Form.PREFIX, List.of(prefix), 0, 0, null);
+        }
+
+        static Condition oneOf(Node subject, long[] integers) {
+            return new Condition(subject, Form.INTERVAL, null, 0, 0, integers);
+        }
 
-    /** One value, and which truths may hold by it. */
+        static Condition inRange(Node subject, long low, long high) {
+            return new Condition(subject, Form.INTERVAL, null, low, high, null);
+        }
+    }
+
+    /** An index of rules by one value. Sets of rules are bit sets. */
     private abstract static class Index {
         final Node subject;
-        final long[] unconditional;                                   // those that ask nothing of it
+        /** The rules without a condition on this value. */
+        final long[] unconditional;
 
-        Index(Node subject, long[] any) {
+        Index(Node subject, long[] unconditional) {
             this.subject = subject;
-            this.unconditional = any;
+            this.unconditional = unconditional;
         }
 
-        /** The set for the value in the frame, or null: only those that ask nothing. */
-        abstract long[] candidates(Frame f);
+        /** The rules whose condition holds for the value in the frame; null stands for the empty set. */
+        abstract long[] candidates(Frame frame);
     }
 
     private final Program.Expression[] rules;
     private final Index[] indexes;
+    /** The set of rules that may hold for the current request; reused, so that dispatch allocates nothing. */
     private final long[] candidates;
 
-    public Dispatch(List<Program.Expression> truths) {
-        rules = truths.toArray(Program.Expression[]::new);
-        candidates = new long[(rules.length + 63) / 64];
-        Map<String, Map<Integer, Condition>> found = new LinkedHashMap<>();
-        for (int i = 0; i < rules.length; i++) {
-            List<Condition> asks = new ArrayList<>();
-            collectConditions(rules[i].root, asks);
-            for (Condition a : asks) {
-                found.computeIfAbsent(a.form + " " + a.subject.slot, k -> new LinkedHashMap<>()).putIfAbsent(i, a);
+    public Dispatch(List<Program.Expression> rules) {
+        this.rules = rules.toArray(Program.Expression[]::new);
+        candidates = new long[(this.rules.length + 63) / 64];
+        Map<String, Map<Integer, Condition>> conditionsByIndex = new LinkedHashMap<>();
+        for (int rule = 0; rule < this.rules.length; rule++) {
+            List<Condition> conditions = new ArrayList<>();
+            collectConditions(this.rules[rule].root, conditions);
+            for (Condition condition : conditions) {
+                String key = condition.form + " " + condition.subject.slot;
+                conditionsByIndex.computeIfAbsent(key, k -> new LinkedHashMap<>()).putIfAbsent(rule, condition);
             }
         }
-        List<Map<Integer, Condition>> best = new ArrayList<>(found.values());
-        best.removeIf(m -> m.size() < MIN_RULES_PER_INDEX);
-        best.sort(Comparator.comparingInt(m -> -m.size()));
-        indexes = best.stream().limit(MAX_INDEXES).map(this::buildIndex).toArray(Index[]::new);
+        List<Map<Integer, Condition>> mostUsed = new ArrayList<>(conditionsByIndex.values());
+        mostUsed.removeIf(conditions -> conditions.size() < MIN_RULES_PER_INDEX);
+        mostUsed.sort(Comparator.comparingInt(conditions -> -conditions.size()));
+        indexes = mostUsed.stream().limit(MAX_INDEXES).map(this::buildIndex).toArray(Index[]::new);
     }
 
-    /** How many values are looked up before any truth is tried. */
+    /** How many values are looked up before any rule is evaluated. */
     public int indexCount() {
         return indexes.length;
     }
 
-    /** The first that holds, or -1. */
-    public int first(Frame f) {
+    /** The number of the first rule that is true, or -1. */
+    public int first(Frame frame) {
         Arrays.fill(candidates, -1L);
-        for (Index x : indexes) {
-            x.subject.evaluate(f);
-            long[] by = x.candidates(f);
-            for (int w = 0; w < candidates.length; w++) {
-                candidates[w] &= by == null ? x.unconditional[w] : by[w] | x.unconditional[w];
+        for (Index index : indexes) {
+            index.subject.evaluate(frame);
+            long[] matching = index.candidates(frame);
+            long[] unconditional = index.unconditional;
+            for (int word = 0; word < candidates.length; word++) {
+                candidates[word] &= matching == null ? unconditional[word] : matching[word] | unconditional[word];
             }
         }
-        for (int w = 0; w < candidates.length; w++) {
-            for (long left = candidates[w]; left != 0; left &= left - 1) {
-                int i = 64 * w + Long.numberOfTrailingZeros(left);
-                if (i < rules.length && rules[i].evaluateBoolean(f)) return i;
+        for (int word = 0; word < candidates.length; word++) {
+            for (long remaining = candidates[word]; remaining != 0; remaining &= remaining - 1) {
+                int rule = 64 * word + Long.numberOfTrailingZeros(remaining);
+                if (rule < rules.length && rules[rule].evaluateBoolean(frame)) return rule;
             }
         }
         return -1;
     }
 
-    /** The same by trying all in order: what {@link #first} has to equal. */
-    public int firstByLinearScan(Frame f) {
-        for (int i = 0; i < rules.length; i++) if (rules[i].evaluateBoolean(f)) return i;
+    /** The result of {@link #first} by evaluating all rules in order; for tests and benchmarks. */
+    public int firstByLinearScan(Frame frame) {
+        for (int rule = 0; rule < rules.length; rule++) if (rules[rule].evaluateBoolean(frame)) return rule;
         return -1;
     }
 
-    private static void collectConditions(Node n, List<Condition> into) {
-        if (n instanceof Node.BooleanOperation l && l.operator == '&') {
-            collectConditions(l.left, into);
-            collectConditions(l.right, into);
-        } else if (n instanceof Node.BytesEquality s && !s.isNegated()) {
-            Node.Constant c = s.right instanceof Node.Constant x ? x : s.left instanceof Node.Constant y ? y : null;
-            if (c != null) into.add(new Condition(c == s.right ? s.left : s.right, Form.EXACT, List.of(c.bytes), 0, 0,
-                null));
-        } else if (n instanceof Node.InSet a) {
-            if (a.integers != null) into.add(new Condition(a.operand, Form.INTERVAL, null, 0, 0, a.integers));
-            else into.add(new Condition(a.operand, Form.EXACT,
-                Arrays.stream(a.byteStrings).filter(t -> t != null).toList(), 0, 0, null));
-        } else if (n instanceof Node.InRange w && !w.operand.type.isFractional()) {
-            into.add(new Condition(w.operand, Form.INTERVAL, null, w.lowLong, w.highLong, null));
-        } else if (n instanceof Node.SubstringTest s && s.anchor == '^') {
-            into.add(new Condition(s.operand, Form.PREFIX, List.of(s.pattern), 0, 0, null));
-        } else if (n instanceof Node.NumberComparison c && c.right instanceof Node.Constant k && c.left.type.kind()
-            == Type.Kind.INT
-            && k.type.kind() == Type.Kind.INT) {
-            long v = k.longValue;
-            boolean none = c.operator.equals("<") && v == Long.MIN_VALUE || c.operator.equals(">")
-                && v == Long.MAX_VALUE;
-            if (none || c.operator.equals("!=")) return;
-            long low = c.operator.equals("<") || c.operator.equals("<=") ? Long.MIN_VALUE : c.operator.equals(">") ? v
-                + 1 : v;
-            long high = c.operator.equals(">") || c.operator.equals(">=") ? Long.MAX_VALUE : c.operator.equals("<")
-                ? v - 1 : v;
-            into.add(new Condition(c.left, Form.INTERVAL, null, low, high, null));
+    /** Collects the conditions that must all hold for a node to be true, as far as they can be indexed. */
+    private static void collectConditions(Node node, List<Condition> into) {
+        if (node instanceof Node.BooleanOperation operation && operation.operator == '&') {
+            collectConditions(operation.left, into);
+            collectConditions(operation.right, into);
+        } else if (node instanceof Node.BytesEquality equality && !equality.isNegated()) {
+            if (equality.right instanceof Node.Constant constant) {
+                into.add(Condition.equalToAny(equality.left, List.of(constant.bytes)));
+            } else if (equality.left instanceof Node.Constant constant) {
+                into.add(Condition.equalToAny(equality.right, List.of(constant.bytes)));
+            }
+        } else if (node instanceof Node.InSet set) {
+            if (set.integers != null) into.add(Condition.oneOf(set.operand, set.integers));
+            else into.add(Condition.equalToAny(set.operand,
+                Arrays.stream(set.byteStrings).filter(Objects::nonNull).toList()));
+        } else if (node instanceof Node.InRange range && !range.operand.type.isFractional()) {
+            into.add(Condition.inRange(range.operand, range.lowLong, range.highLong));
+        } else if (node instanceof Node.SubstringTest test && test.anchor == '^') {
+            into.add(Condition.startsWith(test.operand, test.pattern));
+        } else if (node instanceof Node.NumberComparison comparison) {
+            collectComparison(comparison, into);
+        }
+    }
+
+    /** A comparison of an integer with a constant is a range. */
+    private static void collectComparison(Node.NumberComparison comparison, List<Condition> into) {
+        boolean isInteger = comparison.right instanceof Node.Constant
+            && comparison.left.type.kind() == Type.Kind.INT
+            && comparison.right.type.kind() == Type.Kind.INT;
+        if (!isInteger) return;
+        long constant = ((Node.Constant) comparison.right).longValue;
+        switch (comparison.operator) {
+            case "==" -> into.add(Condition.inRange(comparison.left, constant, constant));
+            case "<=" -> into.add(Condition.inRange(comparison.left, Long.MIN_VALUE, constant));
+            case ">=" -> into.add(Condition.inRange(comparison.left, constant, Long.MAX_VALUE));
+            case "<" -> {
+                if (constant == Long.MIN_VALUE) return;
+                into.add(Condition.inRange(comparison.left, Long.MIN_VALUE, constant - 1));
+            }
+            case ">" -> {
+                if (constant == Long.MAX_VALUE) return;
+                into.add(Condition.inRange(comparison.left, constant + 1, Long.MAX_VALUE));
+            }
+            default -> { }
         }
     }
 
-    private static void setBit(long[] bits, int i) {
-        bits[i / 64] |= 1L << i % 64;
+    private static void setBit(long[] bits, int bit) {
+        bits[bit / 64] |= 1L << bit % 64;
+    }
+
+    private static void clearBit(long[] bits, int bit) {
+        bits[bit / 64] &= ~(1L << bit % 64);
     }
 
-    private Index buildIndex(Map<Integer, Condition> asks) {
-        long[] any = new long[candidates.length];
-        Arrays.fill(any, -1L);
-        asks.keySet().forEach(i -> any[i / 64] &= ~(1L << i % 64));
-        Condition one = asks.values().iterator().next();
-        return switch (one.form) {
-            case EXACT -> new ExactIndex(one.subject, any, asks);
-            case PREFIX -> new PrefixIndex(one.subject, any, asks);
-            case INTERVAL -> new IntervalIndex(one.subject, any, asks);
+    private Index buildIndex(Map<Integer, Condition> conditions) {
+        long[] unconditional = new long[candidates.length];
+        Arrays.fill(unconditional, -1L);
+        conditions.keySet().forEach(rule -> clearBit(unconditional, rule));
+        Condition any = conditions.values().iterator().next();
+        return switch (any.form) {
+            case EXACT -> new ExactIndex(any.subject, unconditional, conditions);
+            case PREFIX -> new PrefixIndex(any.subject, unconditional, conditions);
+            case INTERVAL -> new IntervalIndex(any.subject, unconditional, conditions);
         };
     }
 
+    /** Rules by equality of bytes: a hash table with open addressing. */
     private final class ExactIndex extends Index {
         private final byte[][] keys;
         private final long[][] rulesByKey;
+        private final int maxLength;
 
-        ExactIndex(Node subject, long[] any, Map<Integer, Condition> asks) {
-            super(subject, any);
-            int n = asks.values().stream().mapToInt(a -> a.byteStrings.size()).sum();
-            int size = Integer.highestOneBit(Math.max(2, n) * 4 - 1);
+        ExactIndex(Node subject, long[] unconditional, Map<Integer, Condition> conditions) {
+            super(subject, unconditional);
+            int keyCount = conditions.values().stream().mapToInt(condition -> condition.byteStrings.size()).sum();
+            int size = Integer.highestOneBit(Math.max(2, keyCount) * 4 - 1);
             keys = new byte[size][];
             rulesByKey = new long[size][];
-            asks.forEach((i, a) -> {
-                for (byte[] t : a.byteStrings) {
-                    int at = find(t, 0, t.length);
-                    keys[at] = t;
-                    if (rulesByKey[at] == null) rulesByKey[at] = new long[candidates.length];
-                    setBit(rulesByKey[at], i);
-                }
-            });
+            conditions.forEach(this::add);
+            maxLength = Arrays.stream(keys).filter(Objects::nonNull).mapToInt(key -> key.length).max().orElse(0);
         }
 
-        private int find(byte[] b, int from, int to) {
-            int at = (int) Node.Hash.of(b, from, to) & keys.length - 1;
-            while (keys[at] != null && !Arrays.equals(keys[at], 0, keys[at].length, b, from, to)) {
-                at = at + 1 & keys.length - 1;
+        private void add(int rule, Condition condition) {
+            for (byte[] key : condition.byteStrings) {
+                int index = find(key, 0, key.length);
+                keys[index] = key;
+                if (rulesByKey[index] == null) rulesByKey[index] = new long[candidates.length];
+                setBit(rulesByKey[index], rule);
             }
-            return at;
         }
 
-        @Override long[] candidates(Frame f) {
-            // Longer than any constant is like none, and is not gone through.
-            int slot = subject.slot;
-            if (f.ends[slot] - f.starts[slot] > maxLength()) return null;
-            return rulesByKey[find(f.bytes[slot], f.starts[slot], f.ends[slot])];
+        /** The place of a key, or the empty place where it belongs. */
+        private int find(byte[] bytes, int start, int end) {
+            int index = (int) Node.Hash.of(bytes, start, end) & keys.length - 1;
+            while (keys[index] != null && !Arrays.equals(keys[index], 0, keys[index].length, bytes, start, end)) {
+                index = index + 1 & keys.length - 1;
+            }
+            return index;
         }
 
-        private int maxLength = -1;
-
-        private int maxLength() {
-            if (maxLength < 0) for (byte[] t : keys) maxLength = Math.max(maxLength, t == null ? 0 : t.length);
-            return maxLength;
+        @Override long[] candidates(Frame frame) {
+            int slot = subject.slot;
+            // A value longer than every key equals none; hashing it would take time that grows with its length.
+            if (frame.ends[slot] - frame.starts[slot] > maxLength) return null;
+            return rulesByKey[find(frame.bytes[slot], frame.starts[slot], frame.ends[slot])];
         }
     }
 
-    /** A tree of bytes; each place knows all whose prefix ends on the way to it. */
+    /** Rules by prefix: a trie of bytes, whose nodes hold the rules for every prefix that ends on the way to them. */
     private final class PrefixIndex extends Index {
         private static final class TrieNode {
             byte[] keys = new byte[0];
             TrieNode[] children = new TrieNode[0];
-            long[] rules;
+            final long[] rules;
 
-            TrieNode child(byte b) {
-                for (int i = 0; i < keys.length; i++) if (keys[i] == b) return children[i];
+            TrieNode(int words) {
+                rules = new long[words];
+            }
+
+            TrieNode child(byte key) {
+                for (int i = 0; i < keys.length; i++) if (keys[i] == key) return children[i];
                 return null;
             }
-        }
 
-        private final TrieNode root = new TrieNode();
-
-        PrefixIndex(Node subject, long[] any, Map<Integer, Condition> asks) {
-            super(subject, any);
-            root.rules = new long[candidates.length];
-            asks.forEach((i, a) -> {
-                TrieNode p = root;
-                for (byte b : a.byteStrings.get(0)) {
-                    TrieNode c = p.child(b);
-                    if (c == null) {
-                        int n = p.keys.length;
-                        p.keys = Arrays.copyOf(p.keys, n + 1);
-                        p.children = Arrays.copyOf(p.children, n + 1);
-                        p.keys[n] = b;
-                        p.children[n] = c = new TrieNode();
-                        c.rules = new long[candidates.length];
-                    }
-                    p = c;
+            TrieNode childOrNew(byte key) {
+                TrieNode child = child(key);
+                if (child != null) return child;
+                child = new TrieNode(rules.length);
+                int count = keys.length;
+                keys = Arrays.copyOf(keys, count + 1);
+                children = Arrays.copyOf(children, count + 1);
+                keys[count] = key;
+                children[count] = child;
+                return child;
+            }
+
+            /** Adds the rules of each node to all nodes below it. */
+            void propagate() {
+                for (TrieNode child : children) {
+                    for (int word = 0; word < rules.length; word++) child.rules[word] |= rules[word];
+                    child.propagate();
                 }
-                setBit(p.rules, i);
-            });
-            inherit(root);
+            }
         }
 
-        private void inherit(TrieNode p) {
-            for (TrieNode c : p.children) {
-                for (int w = 0; w < candidates.length; w++) c.rules[w] |= p.rules[w];
-                inherit(c);
-            }
+        private final TrieNode root = new TrieNode(candidates.length);
+
+        PrefixIndex(Node subject, long[] unconditional, Map<Integer, Condition> conditions) {
+            super(subject, unconditional);
+            conditions.forEach((rule, condition) -> {
+                TrieNode node = root;
+                for (byte key : condition.byteStrings.get(0)) node = node.childOrNew(key);
+                setBit(node.rules, rule);
+            });
+            root.propagate();
         }
 
-        @Override long[] candidates(Frame f) {
-            byte[] b = f.bytes[subject.slot];
-            TrieNode p = root;
-            for (int i = f.starts[subject.slot]; i < f.ends[subject.slot]; i++) {
-                TrieNode c = p.child(b[i]);
-                if (c == null) break;
-                p = c;
+        @Override long[] candidates(Frame frame) {
+            byte[] bytes = frame.bytes[subject.slot];
+            TrieNode node = root;
+            for (int i = frame.starts[subject.slot]; i < frame.ends[subject.slot]; i++) {
+                TrieNode child = node.child(bytes[i]);
+                if (child == null) break;
+                node = child;
             }
-            return p.rules;
+            return node.rules;
         }
     }
 
-    /** Between two neighbouring ends of ranges all numbers are alike. */
+    /** Rules by ranges of integers: the limits of all ranges cut the integers into intervals with one set each. */
     private final class IntervalIndex extends Index {
-        // of stretches; the first begins at the least number
+        /** In ascending order, from the smallest integer on; an interval ends before the start of the next. */
         private final long[] intervalStarts;
         private final long[][] rulesByInterval;
 
-        IntervalIndex(Node subject, long[] any, Map<Integer, Condition> asks) {
-            super(subject, any);
-            TreeSet<Long> cuts = new TreeSet<>(List.of(Long.MIN_VALUE));
-            for (Condition a : asks.values()) {
-                for (long[] r : ranges(a)) {
-                    cuts.add(r[0]);
-                    if (r[1] < Long.MAX_VALUE) cuts.add(r[1] + 1);
+        IntervalIndex(Node subject, long[] unconditional, Map<Integer, Condition> conditions) {
+            super(subject, unconditional);
+            TreeSet<Long> starts = new TreeSet<>(List.of(Long.MIN_VALUE));
+            for (Condition condition : conditions.values()) {
+                for (Range range : ranges(condition)) {
+                    starts.add(range.low);
+                    if (range.high < Long.MAX_VALUE) starts.add(range.high + 1);
                 }
             }
-            intervalStarts = cuts.stream().mapToLong(x -> x).toArray();
+            intervalStarts = starts.stream().mapToLong(start -> start).toArray();
             rulesByInterval = new long[intervalStarts.length][candidates.length];
-            asks.forEach((i, a) -> {
-                for (long[] r : ranges(a)) {
-                    int at = Arrays.binarySearch(intervalStarts, r[0]);
-                    for (; at < intervalStarts.length && intervalStarts[at] <= r[1]; at++) {
-                        setBit(rulesByInterval[at], i);
-                    }
-                }
-            });
+            conditions.forEach(this::add);
         }
 
-        private static List<long[]> ranges(Condition a) {
-            if (a.integers == null) return List.of(new long[] {a.low, a.high});
-            return Arrays.stream(a.integers).mapToObj(w -> new long[] {w, w}).toList();
+        private void add(int rule, Condition condition) {
+            for (Range range : ranges(condition)) {
+                int interval = Arrays.binarySearch(intervalStarts, range.low);
+                for (; interval < intervalStarts.length && intervalStarts[interval] <= range.high; interval++) {
+                    setBit(rulesByInterval[interval], rule);
+                }
+            }
         }
 
-        @Override long[] candidates(Frame f) {
-            int at = Arrays.binarySearch(intervalStarts, f.longs[subject.slot]);
-            return rulesByInterval[at >= 0 ? at : -at - 2];
+        @Override long[] candidates(Frame frame) {
+            int found = Arrays.binarySearch(intervalStarts, frame.longs[subject.slot]);
+            // A value that starts no interval belongs to the one before its insertion point.
+            return rulesByInterval[found >= 0 ? found : -found - 2];
         }
     }
 
-    /** The values of an input that a truth admits, where it says so with constants: null where it does not. */
-    public static List<String> exactValues(Program.Expression e, String input) {
-        List<Condition> asks = new ArrayList<>();
-        collectConditions(e.root, asks);
-        Map<String, Boolean> all = null;
-        for (Condition a : asks) {
-            if (a.form != Form.EXACT || !(a.subject instanceof Node.ReadInput r) || !r.input.name().equals(input)) {
-                continue;
-            }
-            Map<String, Boolean> here = new HashMap<>();
-            for (byte[] t : a.byteStrings) here.put(new String(t, java.nio.charset.StandardCharsets.ISO_8859_1), true);
-            if (all == null) all = here;
-            else all.keySet().retainAll(new HashSet<>(here.keySet()));
+    /** A range of integers, both ends inclusive. */
+    private record Range(long low, long high) { }
+
+    private static List<Range> ranges(Condition condition) {
+        if (condition.integers == null) return List.of(new Range(condition.low, condition.high));
+        return Arrays.stream(condition.integers).mapToObj(value -> new Range(value, value)).toList();
+    }
+
+    /**
+     * The constants that an expression compares an input with, if it can be true for these values only; null if its
+     * conditions don't limit the input to certain values.
+     */
+    public static List<String> exactValues(Program.Expression expression, String input) {
+        List<Condition> conditions = new ArrayList<>();
+        collectConditions(expression.root, conditions);
+        Set<String> values = null;
+        for (Condition condition : conditions) {
+            if (condition.form != Form.EXACT) continue;
+            if (!(condition.subject instanceof Node.ReadInput read) || !read.input.name().equals(input)) continue;
+            Set<String> allowed = new HashSet<>();
+            for (byte[] bytes : condition.byteStrings) allowed.add(new String(bytes, StandardCharsets.ISO_8859_1));
+            if (values == null) values = allowed;
+            else values.retainAll(allowed);
         }
-        return all == null ? null : List.copyOf(all.keySet());
+        return values == null ? null : List.copyOf(values);
     }
 }
