--- a/src/main/java/mothcross/expr/Inputs.java
+++ b/src/main/java/mothcross/expr/Inputs.java
@@ -22,7 +22,7 @@
     /** Inputs from this number on are headers, in the order in which they were first declared. */
     public static final int FIRST_HEADER = 64;
 
-    private static final String HEADER_PREFIX = "header:";
+    static final String HEADER_PREFIX = "header:";
 
     private final Map<String, Input> inputsByName = new LinkedHashMap<>();
     private int headerCount;
--- a/src/main/java/mothcross/expr/Node.java
+++ b/src/main/java/mothcross/expr/Node.java
@@ -411,7 +411,7 @@
     /** {@code x in [...]}: bytes by one lookup in a hash table of constants, an integer by binary search. */
     static final class InSet extends Node {
         /** Steps of a binary search, whatever the size of the list: 2^64 values at most. */
-        private static final int BINARY_SEARCH_STEPS = 64;
+        static final int BINARY_SEARCH_STEPS = 64;
 
         final Node operand;
         /** A hash table with open addressing; its size is a power of two. Null for integers. */
