--- a/src/test/java/mothcross/expr/ExprTest.java
+++ b/src/test/java/mothcross/expr/ExprTest.java
@@ -6,34 +6,47 @@
 
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.*;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** The language: its values and refusals by file, random expressions against the reference, cost and allocation. */
+/** Values and errors of the language by file; random expressions and rules against reference implementations. */
 public class ExprTest {
-    private static final double NOW = 1_796_150_000_000.0;       // a Tuesday
+    private static final double NOW_MS = 1_796_150_000_000.0;       // a Tuesday
+    private static final int TARGET_MAX_BYTES = 40;
+    private static final int HEADER_MAX_BYTES = 24;
+    private static final int REQUESTS_PER_EXPRESSION = 40;
+    private static final int MAX_FILE_STEPS = 100_000;
+    private static final int MAX_RULE_STEPS = 1_000_000;
+    /** All costs but an unbounded one. */
+    private static final long ANY_BOUNDED_COST = Long.MAX_VALUE - 1;
 
-    /** What the random expressions read; header:a is optional and bounded, header:free has no bound. */
+    /** The inputs of all expressions here; header:a is optional and bounded, undeclared headers have no bound. */
     private static Inputs inputs() {
-        return new Inputs().add("target", Type.bytes(40), 0, Inputs.Overflow.TRUNCATE, true)
+        return new Inputs().add("target", Type.bytes(TARGET_MAX_BYTES), 0, Inputs.Overflow.TRUNCATE, true)
             .add("group", Type.INT.asOptional(), 1, Inputs.Overflow.TRUNCATE, true)
             .add("size", Type.SIZE, 2, Inputs.Overflow.TRUNCATE, true)
             .add("wait", Type.DURATION.asOptional(), 3, Inputs.Overflow.TRUNCATE, false)
             .add("retry", Type.BOOL, 4, Inputs.Overflow.TRUNCATE, false)
             .add("number", Type.INT, 5, Inputs.Overflow.TRUNCATE, true)
             .add("client", Type.ADDRESS, 6, Inputs.Overflow.TRUNCATE, true)
-            .header("a", 24, Inputs.Overflow.TRUNCATE, true);
+            .header("a", HEADER_MAX_BYTES, Inputs.Overflow.TRUNCATE, true);
     }
 
     private static Frame.Request request(Map<String, Object> values, Inputs inputs) {
         String[] names = {"target", "group", "size", "wait", "retry", "number", "client"};
-        return (number, f, slot) -> {
-            Object v = values.get(number >= Inputs.FIRST_HEADER
+        return (number, frame, slot) -> {
+            Object value = values.get(number >= Inputs.FIRST_HEADER
                 ? "header:" + inputs.headers()[number - Inputs.FIRST_HEADER] : names[number]);
-            if (v instanceof byte[] b) f.put(slot, b, 0, b.length);
-            else if (v instanceof Long l) f.put(slot, (long) l);
-            else if (v instanceof Double d) f.put(slot, (double) d);
-            else if (v instanceof Boolean t) f.put(slot, t ? 1L : 0L);
+            if (value instanceof byte[] bytes) frame.put(slot, bytes, 0, bytes.length);
+            else if (value instanceof Long l) frame.put(slot, (long) l);
+            else if (value instanceof Double d) frame.put(slot, (double) d);
+            else if (value instanceof Boolean b) frame.put(slot, b ? 1L : 0L);
         };
     }
 
@@ -48,229 +61,319 @@
             "header:a", NaiveEvaluator.bytes("Muc-7")));
     }
 
-    /** {@code EXPRESSION => VALUE}, or {@code EXPRESSION !! PART AT FAULT !! words of the message ... of the hint}. */
-    @Test public void valuesAndRefusalsByFile() throws Exception {
-        List<String> wrong = new ArrayList<>();
-        int n = 0;
+    /** Checks each line: {@code EXPRESSION => VALUE} or {@code EXPRESSION !! FAULTY TEXT !! message ... hint}. */
+    @Test public void valuesAndErrorsByFile() throws Exception {
+        List<String> failures = new ArrayList<>();
+        int lines = 0;
         for (String line : Files.readAllLines(Path.of(ExprTest.class.getResource("/expr/language.txt").toURI()))) {
             if (line.isBlank() || line.startsWith("#")) continue;
-            n++;
-            String[] yes = line.split(" => ", 2), no = line.split(" !! ", 3);
-            boolean taken = yes.length == 2;
-            Inputs in = inputs();
-            Program p = new Program(in);
-            try {
-                Program.Expression e = p.compile(taken ? yes[0] : no[0], 100_000);
-                Frame f = new Frame(p);
-                f.begin(request(sample(), in), NOW);
-                String got = e.describe(f);
-                if (!taken) wrong.add(line + ": taken as " + e.type());
-                else if (!got.equals(yes[1].strip())) wrong.add(line + ": is " + got);
-                if (f.steps() > e.worstCaseSteps()) {
-                    wrong.add(line + ": " + f.steps() + " steps, more than the bound of " + e.worstCaseSteps());
-                }
-            } catch (ExpressionException e) {
-                String[] shown = e.describe().split("\n");
-                boolean right = !taken && e.faultyText().equals(no[1].strip().replace("<end>", ""))
-                    && shown[2].indexOf('^') == 1 + e.column();
-                if (!taken) for (String word : no[2].split(" \\.\\.\\. ")) right &= e.describe().contains(word.strip());
-                if (!right) wrong.add(line + " at '" + e.faultyText() + "'\n" + e.describe());
+            lines++;
+            String[] value = line.split(" => ", 2);
+            if (value.length == 2) checkValue(line, value[0], value[1].strip(), failures);
+            else checkError(line, line.split(" !! ", 3), failures);
+        }
+        assertTrue(failures.isEmpty(), String.join("\n", failures));
+        assertTrue(lines > 80, lines + " lines");
+    }
+
+    private static void checkValue(String line, String source, String expected, List<String> failures) {
+        Inputs inputs = inputs();
+        Program program = new Program(inputs);
+        try {
+            Program.Expression expression = program.compile(source, MAX_FILE_STEPS);
+            Frame frame = new Frame(program);
+            frame.begin(request(sample(), inputs), NOW_MS);
+            String actual = expression.describe(frame);
+            if (!actual.equals(expected)) failures.add(line + ": is " + actual);
+            if (frame.steps() > expression.worstCaseSteps()) {
+                failures.add(line + ": " + frame.steps() + " steps of at most " + expression.worstCaseSteps());
             }
+        } catch (ExpressionException e) {
+            failures.add(line + " at '" + e.faultyText() + "'\n" + e.describe());
+        }
+    }
+
+    /** The error must be at the expected text, with the caret below it, and contain all expected words. */
+    private static void checkError(String line, String[] expected, List<String> failures) {
+        try {
+            Program.Expression expression = new Program(inputs()).compile(expected[0], MAX_FILE_STEPS);
+            failures.add(line + ": accepted as " + expression.type());
+        } catch (ExpressionException e) {
+            String[] described = e.describe().split("\n");
+            boolean matches = e.faultyText().equals(expected[1].strip().replace("<end>", ""))
+                && described[2].indexOf('^') == 1 + e.column();
+            for (String words : expected[2].split(" \\.\\.\\. ")) matches &= e.describe().contains(words.strip());
+            if (!matches) failures.add(line + " at '" + e.faultyText() + "'\n" + e.describe());
+        }
+    }
+
+    /** Operators read the labels in the output of explain: they must not change when a class is renamed. */
+    @Test public void labelsOfExplainAreStable() throws Exception {
+        Map<String, String> labels = new LinkedHashMap<>();
+        labels.put("number", "read");
+        labels.put("cut(target)", "wascut");
+        labels.put("has(group)", "has");
+        labels.put("group ?? 2", "else");
+        labels.put("if retry then 1 else 2", "choice");
+        labels.put("!retry", "logic");
+        labels.put("number + 1", "sum");
+        labels.put("number == 1", "compare");
+        labels.put("number in 1..2", "within");
+        labels.put("number in [1]", "among");
+        labels.put("target == 'a'", "same");
+        labels.put("starts(target, 'a')", "stands");
+        labels.put("split(target, '/', 8)[1]", "piece");
+        labels.put("first(target, 2)", "part");
+        labels.put("target + 'a'", "joined");
+        labels.put("lower(target)", "lower");
+        labels.put("decimal(target)", "digits");
+        labels.put("length(target)", "length");
+        labels.put("hash(target)", "hash");
+        labels.put("bucket(number, 2)", "bucket");
+        labels.put("in_cidr(client, '10.0.0.0/8')", "incidr");
+        labels.put("weekday()", "clock");
+        labels.put("matches(target, 'a')", "matches");
+        for (Map.Entry<String, String> entry : labels.entrySet()) {
+            Inputs inputs = inputs();
+            Program program = new Program(inputs);
+            Program.Expression expression = program.compile(entry.getKey(), MAX_FILE_STEPS);
+            Frame frame = new Frame(program);
+            frame.begin(request(sample(), inputs), NOW_MS);
+            String line = Program.explain(expression, frame).get(0);
+            assertTrue(line.startsWith(entry.getValue() + " = "), entry.getKey() + ": " + line);
         }
-        assertTrue(wrong.isEmpty(), String.join("\n", wrong));
-        assertTrue(n > 80, n + " lines");
     }
 
     // ---- random expressions ----
 
-    private static final String[] TEXTS = {"''", "'a'", "'/'", "'piece'", "'Muc'", "'\\xff\\x00'"};
+    private static final String[] STRINGS = {"''", "'a'", "'/'", "'piece'", "'Muc'", "'\\xff\\x00'"};
 
-    private static String make(SplittableRandom r, Type.Kind kind, int depth) {
-        boolean leaf = depth <= 0;
-        switch (kind) {
-            case BOOL -> {
-                if (leaf) return r.nextBoolean() ? "retry" : r.nextBoolean() ? "true" : "has(group)";
-                switch (r.nextInt(10)) {
-                    case 0: return "(" + make(r, kind, depth - 1) + " && " + make(r, kind, depth - 1) + ")";
-                    case 1: return "(" + make(r, kind, depth - 1) + " || " + make(r, kind, depth - 1) + ")";
-                    case 2: return "!" + make(r, kind, depth - 1);
-                    case 3: return "(" + make(r, Type.Kind.INT, depth - 1) + one(r, " < ", " <= ", " == ", " != ",
-                        " > ", " >= ")
-                        + make(r, r.nextInt(3) == 0 ? Type.Kind.DOUBLE : Type.Kind.INT, depth - 1) + ")";
-                    case 4: return "(" + make(r, Type.Kind.BYTES, depth - 1) + one(r, " == ", " != ") + make(r,
-                        Type.Kind.BYTES,
-                        depth - 1) + ")";
-                    case 5: return "(" + make(r, Type.Kind.INT, depth - 1) + " in " + one(r, "[1, 5, 17]", "-9..20",
-                        "3..2") + ")";
-                    case 6: return "(" + make(r, Type.Kind.BYTES, depth - 1) + " in ['', 'a', 'Muc-7'])";
-                    case 7: return one(r, "starts", "ends", "contains") + "(" + make(r, Type.Kind.BYTES, depth - 1)
-                        + ", "
-                        + one(r, TEXTS) + ")";
-                    case 8: return "(if " + make(r, kind, depth - 1) + " then " + make(r, kind, depth - 1) + " else "
-                        + make(r, kind, depth - 1) + ")";
-                    default: return "matches(" + make(r, Type.Kind.BYTES, depth - 1) + ", " + one(r, "'[0-9]+'",
-                        "'^a|c$'") + ")";
-                }
-            }
-            case INT -> {
-                if (leaf) return one(r, "number", "7", "-3", "(group ?? 2)", "9223372036854775807", "weekday()");
-                return switch (r.nextInt(6)) {
-                    case 0, 1 -> "(" + make(r, kind, depth - 1) + one(r, " + ", " - ", " * ") + make(r, kind,
-                        depth - 1) + ")";
-                    case 2 -> "(" + make(r, kind, depth - 1) + one(r, " / ", " % ") + one(r, "3", "-1", "17") + ")";
-                    case 3 -> "(" + one(r, "decimal", "hex") + "(" + make(r, Type.Kind.BYTES, depth - 1) + ") ?? "
-                        + make(r, kind, depth - 1) + ")";
-                    case 4 -> "length(" + make(r, Type.Kind.BYTES, depth - 1) + ")";
-                    default -> "bucket(" + make(r, kind, depth - 1) + ", 10)";
-                };
-            }
-            case DOUBLE -> {
-                if (leaf) return one(r, "2.5", "double(number)", "0.0");
-                return "(" + make(r, kind, depth - 1) + one(r, " + ", " * ", " / ") + make(r, r.nextBoolean() ? kind
-                    : Type.Kind.INT,
-                    depth - 1) + ")";
-            }
-            default -> {
-                if (leaf) return one(r, "target", "(header('A') ?? 'x')", one(r, TEXTS));
-                return switch (r.nextInt(5)) {
-                    case 0 -> "(" + make(r, kind, depth - 1) + " + " + make(r, kind, depth - 1) + ")";
-                    case 1 -> "lower(" + make(r, kind, depth - 1) + ")";
-                    case 2 -> one(r, "first", "skip") + "(" + make(r, kind, depth - 1) + ", " + r.nextInt(9) + ")";
-                    default -> "(split(" + make(r, kind, depth - 1) + ", " + one(r, "'/'", "'-'", "'aa'") + ", 4)["
-                        + r.nextInt(4)
-                        + "] ?? " + make(r, kind, depth - 1) + ")";
-                };
-            }
+    private static String randomExpression(SplittableRandom random, Type.Kind kind, int depth) {
+        return switch (kind) {
+            case BOOL -> randomBoolean(random, depth);
+            case INT -> randomInteger(random, depth);
+            case DOUBLE -> randomDouble(random, depth);
+            default -> randomBytes(random, depth);
+        };
+    }
+
+    private static String randomBoolean(SplittableRandom random, int depth) {
+        if (depth <= 0) return random.nextBoolean() ? "retry" : random.nextBoolean() ? "true" : "has(group)";
+        int below = depth - 1;
+        return switch (random.nextInt(10)) {
+            case 0 -> "(" + randomBoolean(random, below) + " && " + randomBoolean(random, below) + ")";
+            case 1 -> "(" + randomBoolean(random, below) + " || " + randomBoolean(random, below) + ")";
+            case 2 -> "!" + randomBoolean(random, below);
+            case 3 -> "(" + randomInteger(random, below) + oneOf(random, " < ", " <= ", " == ", " != ", " > ", " >= ")
+                + randomExpression(random, random.nextInt(3) == 0 ? Type.Kind.DOUBLE : Type.Kind.INT, below) + ")";
+            case 4 -> "(" + randomBytes(random, below) + oneOf(random, " == ", " != ") + randomBytes(random, below)
+                + ")";
+            case 5 -> "(" + randomInteger(random, below) + " in " + oneOf(random, "[1, 5, 17]", "-9..20", "3..2")
+                + ")";
+            case 6 -> "(" + randomBytes(random, below) + " in ['', 'a', 'Muc-7'])";
+            case 7 -> oneOf(random, "starts", "ends", "contains") + "(" + randomBytes(random, below) + ", "
+                + oneOf(random, STRINGS) + ")";
+            case 8 -> "(if " + randomBoolean(random, below) + " then " + randomBoolean(random, below) + " else "
+                + randomBoolean(random, below) + ")";
+            default -> "matches(" + randomBytes(random, below) + ", " + oneOf(random, "'[0-9]+'", "'^a|c$'") + ")";
+        };
+    }
+
+    private static String randomInteger(SplittableRandom random, int depth) {
+        if (depth <= 0) {
+            return oneOf(random, "number", "7", "-3", "(group ?? 2)", "9223372036854775807", "weekday()");
         }
+        int below = depth - 1;
+        return switch (random.nextInt(6)) {
+            case 0, 1 -> "(" + randomInteger(random, below) + oneOf(random, " + ", " - ", " * ")
+                + randomInteger(random, below) + ")";
+            case 2 -> "(" + randomInteger(random, below) + oneOf(random, " / ", " % ")
+                + oneOf(random, "3", "-1", "17") + ")";
+            case 3 -> "(" + oneOf(random, "decimal", "hex") + "(" + randomBytes(random, below) + ") ?? "
+                + randomInteger(random, below) + ")";
+            case 4 -> "length(" + randomBytes(random, below) + ")";
+            default -> "bucket(" + randomInteger(random, below) + ", 10)";
+        };
+    }
+
+    private static String randomDouble(SplittableRandom random, int depth) {
+        if (depth <= 0) return oneOf(random, "2.5", "double(number)", "0.0");
+        return "(" + randomDouble(random, depth - 1) + oneOf(random, " + ", " * ", " / ")
+            + randomExpression(random, random.nextBoolean() ? Type.Kind.DOUBLE : Type.Kind.INT, depth - 1) + ")";
+    }
+
+    private static String randomBytes(SplittableRandom random, int depth) {
+        if (depth <= 0) return oneOf(random, "target", "(header('A') ?? 'x')", oneOf(random, STRINGS));
+        int below = depth - 1;
+        return switch (random.nextInt(5)) {
+            case 0 -> "(" + randomBytes(random, below) + " + " + randomBytes(random, below) + ")";
+            case 1 -> "lower(" + randomBytes(random, below) + ")";
+            case 2 -> oneOf(random, "first", "skip") + "(" + randomBytes(random, below) + ", " + random.nextInt(9)
+                + ")";
+            default -> "(split(" + randomBytes(random, below) + ", " + oneOf(random, "'/'", "'-'", "'aa'") + ", 4)["
+                + random.nextInt(4) + "] ?? " + randomBytes(random, below) + ")";
+        };
+    }
+
+    private static String oneOf(SplittableRandom random, String... choices) {
+        return choices[random.nextInt(choices.length)];
     }
 
-    private static String one(SplittableRandom r, String... of) {
-        return of[r.nextInt(of.length)];
+    /** Inputs that are absent, empty, far too long, costly to search, or at the limits of their type. */
+    private static Map<String, Object> hostileRequest(SplittableRandom random) {
+        Map<String, Object> request = sample();
+        String[] strings = {"/".repeat(3000), "a".repeat(8000), "", "\u0000\u00ff%2e", "9".repeat(10_000),
+            "/api/v2/x/007/piece-1", "aaaaaaaaaaaaaab", "-".repeat(500)};
+        request.put("target", NaiveEvaluator.bytes(oneOf(random, strings)));
+        if (random.nextBoolean()) request.remove("header:a");
+        else request.put("header:a", NaiveEvaluator.bytes(oneOf(random, strings)));
+        if (random.nextBoolean()) request.remove("group");
+        request.put("number", random.nextInt(3) == 0 ? Long.MIN_VALUE : random.nextLong(-20, 20));
+        request.put("retry", random.nextBoolean());
+        return request;
     }
 
-    private static Map<String, Object> hostile(SplittableRandom r) {
-        Map<String, Object> m = sample();
-        String[] odd = {"/".repeat(3000), "a".repeat(8000), "", "\u0000\u00ff%2e", "9".repeat(10_000),
-            "/api/v2/x/007/piece-1",
-            "aaaaaaaaaaaaaab", "-".repeat(500)};
-        m.put("target", NaiveEvaluator.bytes(one(r, odd)));
-        if (r.nextBoolean()) m.remove("header:a");
-        else m.put("header:a", NaiveEvaluator.bytes(one(r, odd)));
-        if (r.nextBoolean()) m.remove("group");
-        m.put("number", r.nextInt(3) == 0 ? Long.MIN_VALUE : r.nextLong(-20, 20));
-        m.put("retry", r.nextBoolean());
-        return m;
+    /** The request with its inputs truncated as declared, for the evaluator that knows no limits. */
+    private static Map<String, Object> truncated(Map<String, Object> request) {
+        Map<String, Object> copy = new HashMap<>(request);
+        copy.computeIfPresent("target", (name, value) -> truncated((byte[]) value, TARGET_MAX_BYTES));
+        copy.computeIfPresent("header:a", (name, value) -> truncated((byte[]) value, HEADER_MAX_BYTES));
+        return copy;
     }
 
-    /** As the language cuts what is too long. */
-    private static Map<String, Object> cut(Map<String, Object> m) {
-        Map<String, Object> c = new HashMap<>(m);
-        c.computeIfPresent("target", (k, v) -> Arrays.copyOf((byte[]) v, Math.min(40, ((byte[]) v).length)));
-        c.computeIfPresent("header:a", (k, v) -> Arrays.copyOf((byte[]) v, Math.min(24, ((byte[]) v).length)));
-        return c;
+    private static byte[] truncated(byte[] value, int maxLength) {
+        return Arrays.copyOf(value, Math.min(maxLength, value.length));
     }
 
-    /** 2,500 expressions for 40 requests each: the value of the reference, and never a step more than foreseen. */
-    @Test public void randomOnesAgainstTheReference() throws Exception {
-        int pairs = 0, expressions = Integer.getInteger("expressions", 2500);
+    /**
+     * Compares the compiled form of 2,500 random expressions with the naive evaluator, for 40 requests each. Evaluation
+     * must never take more steps than the worst case that the compiler computed.
+     */
+    @Test public void randomExpressionsMatchTheNaiveEvaluator() throws Exception {
+        int evaluations = 0;
+        int expressions = Integer.getInteger("expressions", 2500);
         for (long seed = 1; seed <= expressions; seed++) {
-            SplittableRandom r = new SplittableRandom(seed);
-            Type.Kind kind = List.of(Type.Kind.BOOL, Type.Kind.INT, Type.Kind.BYTES,
-                Type.Kind.DOUBLE).get(r.nextInt(4));
-            String text = make(r, kind, 1 + r.nextInt(4));
-            Inputs in = inputs();
-            Program p = new Program(in);
-            Program.Expression e;
+            SplittableRandom random = new SplittableRandom(seed);
+            Type.Kind kind = List.of(Type.Kind.BOOL, Type.Kind.INT, Type.Kind.BYTES, Type.Kind.DOUBLE)
+                .get(random.nextInt(4));
+            String source = randomExpression(random, kind, 1 + random.nextInt(4));
+            Inputs inputs = inputs();
+            Program program = new Program(inputs);
+            Program.Expression expression;
             try {
-                e = p.compile(text, Long.MAX_VALUE - 1);
-            } catch (ExpressionException x) {
-                throw new AssertionError("seed " + seed + "\n" + x.describe(), x);
+                expression = program.compile(source, ANY_BOUNDED_COST);
+            } catch (ExpressionException e) {
+                throw new AssertionError("seed " + seed + "\n" + e.describe(), e);
             }
-            assertEquals(e.type().kind(), kind, text);
-            SyntaxTree tree = Parser.parse(text);
-            Frame f = new Frame(p);
-            for (int i = 0; i < 40; i++) {
-                Map<String, Object> asked = hostile(r);
-                f.begin(request(asked, in), NOW);
-                Object want = new NaiveEvaluator(cut(asked), NOW).value(tree), got = switch (kind) {
-                    case BOOL -> e.evaluateBoolean(f);
-                    case INT -> e.evaluateLong(f);
-                    case DOUBLE -> e.evaluateDouble(f) + 0.0;
-                    default -> {
-                        e.hash(f);
-                        yield Arrays.copyOfRange(f.bytes[e.root.slot], f.starts[e.root.slot], f.ends[e.root.slot]);
-                    }
-                };
-                String where = "seed " + seed + ": " + text + " for " + NaiveEvaluator.text(asked.get("target"));
-                if (want instanceof byte[] b) assertEquals(NaiveEvaluator.text(got), NaiveEvaluator.text(b), where);
-                else assertEquals(got, want instanceof Double d ? d + 0.0 : want, where);
-                assertTrue(f.steps() <= e.worstCaseSteps() && f.steps() <= p.worstCaseSteps(), where + ": " + f.steps()
-                    + " steps of " + e.worstCaseSteps());
-                pairs++;
+            assertEquals(expression.type().kind(), kind, source);
+            SyntaxTree tree = Parser.parse(source);
+            Frame frame = new Frame(program);
+            for (int i = 0; i < REQUESTS_PER_EXPRESSION; i++) {
+                Map<String, Object> request = hostileRequest(random);
+                frame.begin(request(request, inputs), NOW_MS);
+                Object expected = new NaiveEvaluator(truncated(request), NOW_MS).value(tree);
+                Object actual = evaluate(expression, frame);
+                String where = "seed " + seed + ": " + source + " for " + NaiveEvaluator.text(request.get("target"));
+                if (expected instanceof byte[] bytes) {
+                    assertEquals(NaiveEvaluator.text(actual), NaiveEvaluator.text(bytes), where);
+                } else {
+                    assertEquals(actual, expected instanceof Double d ? d + 0.0 : expected, where);
+                }
+                assertTrue(frame.steps() <= expression.worstCaseSteps() && frame.steps() <= program.worstCaseSteps(),
+                    where + ": " + frame.steps() + " steps of at most " + expression.worstCaseSteps());
+                evaluations++;
             }
         }
-        assertTrue(pairs >= 40 * expressions);
+        assertTrue(evaluations >= REQUESTS_PER_EXPRESSION * expressions);
+    }
+
+    /** The boxed value of an expression; adding 0.0 turns -0.0 into 0.0. */
+    private static Object evaluate(Program.Expression expression, Frame frame) {
+        return switch (expression.type().kind()) {
+            case BOOL -> expression.evaluateBoolean(frame);
+            case INT -> expression.evaluateLong(frame);
+            case DOUBLE -> expression.evaluateDouble(frame) + 0.0;
+            default -> {
+                expression.hash(frame);
+                int slot = expression.root.slot;
+                yield Arrays.copyOfRange(frame.bytes[slot], frame.starts[slot], frame.ends[slot]);
+            }
+        };
     }
 
-    /** A part of another kind in place of one that belongs there: refused, each time. */
-    @Test public void randomIllTypedOnesAreRefused() {
-        String[] wrong = {"size", "client", "wait", "header('A')", "group", "header('Free')"};
-        int refused = 0;
+    /** Replaces a leaf of a valid expression by one of a wrong type; the compiler must reject each of them. */
+    @Test public void illTypedExpressionsAreRejected() {
+        String[] illTyped = {"size", "client", "wait", "header('A')", "group", "header('Free')"};
+        int rejected = 0;
         for (long seed = 1; seed <= 3000; seed++) {
-            SplittableRandom r = new SplittableRandom(seed);
-            String text = make(r, Type.Kind.BOOL, 3);
-            List<Integer> places = new ArrayList<>();
+            SplittableRandom random = new SplittableRandom(seed);
+            String source = randomExpression(random, Type.Kind.BOOL, 3);
+            List<Integer> leaves = new ArrayList<>();
             for (String leaf : new String[] {"number", "retry", "target"}) {
-                for (int at = text.indexOf(leaf); at >= 0; at = text.indexOf(leaf, at + 1)) places.add(at);
+                for (int at = source.indexOf(leaf); at >= 0; at = source.indexOf(leaf, at + 1)) leaves.add(at);
             }
-            if (places.isEmpty()) continue;
-            int at = places.get(r.nextInt(places.size()));
-            // Bytes of any kind and addresses are hashed for a bucket.
-            if (text.startsWith("bucket(", at - 7)) continue;
-            String ill = text.substring(0, at) + one(r, wrong) + text.substring(at + (text.startsWith("retry", at) ? 5
-                : 6));
+            if (leaves.isEmpty()) continue;
+            int start = leaves.get(random.nextInt(leaves.size()));
+            // bucket() also accepts bytes of any kind and addresses, which it hashes.
+            if (source.startsWith("bucket(", start - "bucket(".length())) continue;
+            int end = start + (source.startsWith("retry", start) ? "retry" : "number").length();
+            String invalid = source.substring(0, start) + oneOf(random, illTyped) + source.substring(end);
             try {
-                new Program(inputs()).compile(ill, Long.MAX_VALUE - 1);
-                fail("seed " + seed + " is taken: " + ill);
+                new Program(inputs()).compile(invalid, ANY_BOUNDED_COST);
+                fail("seed " + seed + " is accepted: " + invalid);
             } catch (ExpressionException e) {
-                refused++;
+                rejected++;
             }
         }
-        assertTrue(refused > 1500, "refused " + refused);
+        assertTrue(rejected > 1500, "rejected " + rejected);
     }
 
-    /** Random tables: the first by the index is the first in order. */
-    @Test public void theIndexIsThePlainOrder() throws Exception {
-        int hits = 0;
+    /** For random rules, dispatch by indexes must find the same rule as evaluating all in order. */
+    @Test public void dispatchMatchesLinearScan() throws Exception {
+        int matches = 0;
         for (long seed = 1; seed <= 300; seed++) {
-            SplittableRandom r = new SplittableRandom(seed);
-            Inputs in = inputs();
-            Program p = new Program(in);
-            List<Program.Expression> all = new ArrayList<>();
-            for (int i = 0; i < 1 + r.nextInt(150); i++) {
-                long n = r.nextLong(-20, 20);
-                String x = one(r, "number == " + n, "number in " + n + ".." + (n + r.nextInt(9)), "number < " + n,
-                    "number >= " + n,
-                    "number in [" + n + ", 3]", "starts(target, '/api')", "starts(target, '"
-                        + "a".repeat(r.nextInt(9)) + "')",
-                    "starts(target, '/')", "(header('A') ?? '') == 'Muc-7'", "(header('A') ?? '') in ['', '-']",
-                        make(r, Type.Kind.BOOL, 2));
-                if (r.nextInt(3) > 0) x = x + " && " + one(r, "number != 4", "starts(target, '/api/v2/')",
-                    "number <= " + n, "retry",
-                    "(header('A') ?? 'q') == 'q'", "target == ''");
-                all.add(p.compile(x, 1_000_000));
+            SplittableRandom random = new SplittableRandom(seed);
+            Inputs inputs = inputs();
+            Program program = new Program(inputs);
+            List<Program.Expression> rules = new ArrayList<>();
+            for (int i = 0; i < 1 + random.nextInt(150); i++) {
+                rules.add(program.compile(randomRule(random), MAX_RULE_STEPS));
             }
-            Dispatch d = new Dispatch(all);
-            Frame f = new Frame(p);
+            Dispatch dispatch = new Dispatch(rules);
+            Frame frame = new Frame(program);
             for (int i = 0; i < 100; i++) {
-                Map<String, Object> asked = hostile(r);
-                f.begin(request(asked, in), NOW);
-                int fast = d.first(f);
-                f.begin(request(asked, in), NOW);
-                assertEquals(fast, d.firstByLinearScan(f), "seed " + seed + " request " + i);
-                if (fast >= 0) hits++;
+                Map<String, Object> request = hostileRequest(random);
+                frame.begin(request(request, inputs), NOW_MS);
+                int first = dispatch.first(frame);
+                frame.begin(request(request, inputs), NOW_MS);
+                assertEquals(first, dispatch.firstByLinearScan(frame), "seed " + seed + " request " + i);
+                if (first >= 0) matches++;
             }
         }
-        assertTrue(hits > 5000, "hits " + hits);
+        assertTrue(matches > 5000, "matches " + matches);
+    }
+
+    private static String randomRule(SplittableRandom random) {
+        long n = random.nextLong(-20, 20);
+        String rule = oneOf(random,
+            "number == " + n,
+            "number in " + n + ".." + (n + random.nextInt(9)),
+            "number < " + n,
+            "number >= " + n,
+            "number in [" + n + ", 3]",
+            "starts(target, '/api')",
+            "starts(target, '" + "a".repeat(random.nextInt(9)) + "')",
+            "starts(target, '/')",
+            "(header('A') ?? '') == 'Muc-7'",
+            "(header('A') ?? '') in ['', '-']",
+            randomExpression(random, Type.Kind.BOOL, 2));
+        if (random.nextInt(3) == 0) return rule;
+        return rule + " && " + oneOf(random,
+            "number != 4",
+            "starts(target, '/api/v2/')",
+            "number <= " + n,
+            "retry",
+            "(header('A') ?? 'q') == 'q'",
+            "target == ''");
     }
 }
--- a/src/test/java/mothcross/expr/NaiveEvaluator.java
+++ b/src/test/java/mothcross/expr/NaiveEvaluator.java
@@ -1,123 +1,133 @@
 package mothcross.expr;
 
+import java.math.BigInteger;
+import java.nio.charset.StandardCharsets;
+import java.time.Instant;
+import java.time.ZoneOffset;
+import java.time.ZonedDateTime;
+import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.List;
+import java.util.Locale;
 import java.util.Map;
+import java.util.regex.Pattern;
 
 /**
- * The reference: walks the tree with boxed values, nothing shared, nothing folded, no bounds; absent is null. Written
- * from
- * the operators' page of the language, not from the compiler.
+ * A reference implementation of the language: walks the syntax tree with boxed values, without sharing, constant
+ * folding or limits; null stands for absent. It is written from the description of the language for operators and not
+ * from the compiler, so that both are unlikely to have the same error.
  */
 final class NaiveEvaluator {
     private final Map<String, Object> request;
-    private final double now;
+    private final double nowMs;
 
-    NaiveEvaluator(Map<String, Object> request, double now) {
+    NaiveEvaluator(Map<String, Object> request, double nowMs) {
         this.request = request;
-        this.now = now;
+        this.nowMs = nowMs;
     }
 
-    Object value(SyntaxTree t) {
-        if (t instanceof SyntaxTree.NumberLiteral n) {
-            double unit = switch (n.unit()) {
-                case "s" -> 1000;
-                case "m" -> 60_000;
-                case "h" -> 3_600_000;
-                case "KB" -> 1000;
-                default -> 1;
-            };
-            if (n.unit().isEmpty() && n.digits().indexOf('.') < 0) return Long.parseLong(n.digits());
-            return Double.parseDouble(n.digits()) * unit;
+    Object value(SyntaxTree tree) {
+        if (tree instanceof SyntaxTree.NumberLiteral literal) return number(literal);
+        if (tree instanceof SyntaxTree.StringLiteral literal) return literal.bytes();
+        if (tree instanceof SyntaxTree.BooleanLiteral literal) return literal.value();
+        if (tree instanceof SyntaxTree.Name name) return request.get(name.name());
+        if (tree instanceof SyntaxTree.Conditional conditional) {
+            boolean condition = (boolean) value(conditional.condition());
+            return value(condition ? conditional.thenBranch() : conditional.elseBranch());
         }
-        if (t instanceof SyntaxTree.StringLiteral x) return x.bytes();
-        if (t instanceof SyntaxTree.BooleanLiteral x) return x.value();
-        if (t instanceof SyntaxTree.Name x) return request.get(x.name());
-        if (t instanceof SyntaxTree.Conditional c) return value((boolean) value(c.condition()) ? c.thenBranch()
-            : c.elseBranch());
-        if (t instanceof SyntaxTree.Unary u) {
-            Object a = value(u.operand());
-            if (u.operator().equals("!")) return !(boolean) a;
-            return a instanceof Long l ? (Object) clamp(0, '-', l) : (Object) (0 - (double) a);
+        if (tree instanceof SyntaxTree.Unary unary) {
+            Object operand = value(unary.operand());
+            if (unary.operator().equals("!")) return !(boolean) operand;
+            return operand instanceof Long l ? (Object) saturated(0, '-', l) : (Object) (0 - (double) operand);
         }
-        if (t instanceof SyntaxTree.Index p) {
-            SyntaxTree.Call c = (SyntaxTree.Call) p.indexed();
-            int i = (int) (long) value(p.index());
-            String[] pieces = cut(c);
-            return i < pieces.length ? bytes(pieces[i]) : null;
+        if (tree instanceof SyntaxTree.Index index) {
+            int number = (int) (long) value(index.index());
+            String[] pieces = split((SyntaxTree.Call) index.indexed());
+            return number < pieces.length ? bytes(pieces[number]) : null;
         }
-        if (t instanceof SyntaxTree.Binary b) return binary(b);
-        return call((SyntaxTree.Call) t);
+        if (tree instanceof SyntaxTree.Binary binary) return binary(binary);
+        return call((SyntaxTree.Call) tree);
     }
 
-    private String[] cut(SyntaxTree.Call c) {
-        String s = text(value(c.arguments().get(0))), at = text(value(c.arguments().get(1)));
-        int most = (int) (long) value(c.arguments().get(2));
-        java.util.List<String> all = new java.util.ArrayList<>();
-        while (all.size() < most - 1 && s.contains(at)) {
-            all.add(s.substring(0, s.indexOf(at)));
-            s = s.substring(s.indexOf(at) + at.length());
+    private static Object number(SyntaxTree.NumberLiteral literal) {
+        double unit = switch (literal.unit()) {
+            case "s" -> 1000;
+            case "m" -> 60_000;
+            case "h" -> 3_600_000;
+            case "KB" -> 1000;
+            default -> 1;
+        };
+        if (literal.unit().isEmpty() && literal.digits().indexOf('.') < 0) return Long.parseLong(literal.digits());
+        return Double.parseDouble(literal.digits()) * unit;
+    }
+
+    private String[] split(SyntaxTree.Call call) {
+        String rest = text(value(call.arguments().get(0)));
+        String separator = text(value(call.arguments().get(1)));
+        int maxPieces = (int) (long) value(call.arguments().get(2));
+        List<String> pieces = new ArrayList<>();
+        while (pieces.size() < maxPieces - 1 && rest.contains(separator)) {
+            pieces.add(rest.substring(0, rest.indexOf(separator)));
+            rest = rest.substring(rest.indexOf(separator) + separator.length());
         }
-        all.add(s);
-        return all.toArray(String[]::new);
+        pieces.add(rest);
+        return pieces.toArray(String[]::new);
     }
 
-    private static long clamp(long a, char op, long b) {
-        java.math.BigInteger x = java.math.BigInteger.valueOf(a), y = java.math.BigInteger.valueOf(b);
-        java.math.BigInteger r = switch (op) {
+    private static long saturated(long left, char operator, long right) {
+        BigInteger x = BigInteger.valueOf(left);
+        BigInteger y = BigInteger.valueOf(right);
+        BigInteger result = switch (operator) {
             case '+' -> x.add(y);
             case '-' -> x.subtract(y);
             case '*' -> x.multiply(y);
             case '/' -> x.divide(y);
             default -> x.remainder(y);
         };
-        if (r.bitLength() < 64) return r.longValue();
-        return r.signum() < 0 ? Long.MIN_VALUE : Long.MAX_VALUE;
+        if (result.bitLength() < 64) return result.longValue();
+        return result.signum() < 0 ? Long.MIN_VALUE : Long.MAX_VALUE;
     }
 
-    private Object binary(SyntaxTree.Binary t) {
-        switch (t.operator()) {
-            case "&&" -> {
-                return (boolean) value(t.left()) & (boolean) value(t.right());
-            }
-            case "||" -> {
-                return (boolean) value(t.left()) | (boolean) value(t.right());
-            }
+    private Object binary(SyntaxTree.Binary tree) {
+        return switch (tree.operator()) {
+            case "&&" -> (boolean) value(tree.left()) & (boolean) value(tree.right());
+            case "||" -> (boolean) value(tree.left()) | (boolean) value(tree.right());
             case "??" -> {
-                Object a = value(t.left());
-                return a != null ? a : value(t.right());
+                Object left = value(tree.left());
+                yield left != null ? left : value(tree.right());
             }
-            case "in" -> {
-                Object a = value(t.left());
-                if (t.right() instanceof SyntaxTree.Range r) return compare(a, value(r.low())) >= 0 && compare(a,
-                    value(r.high())) <= 0;
-                return ((SyntaxTree.ListLiteral) t.right()).elements().stream().anyMatch(x -> same(a, value(x)));
-            }
-            default -> { }
+            case "in" -> in(value(tree.left()), tree.right());
+            case "==" -> equal(value(tree.left()), value(tree.right()));
+            case "!=" -> !equal(value(tree.left()), value(tree.right()));
+            case "<", "<=", ">", ">=" -> ordered(value(tree.left()), tree.operator(), value(tree.right()));
+            default -> arithmetic(value(tree.left()), tree.operator().charAt(0), value(tree.right()));
+        };
+    }
+
+    private boolean in(Object value, SyntaxTree set) {
+        if (set instanceof SyntaxTree.Range range) {
+            return compare(value, value(range.low())) >= 0 && compare(value, value(range.high())) <= 0;
         }
-        Object a = value(t.left()), b = value(t.right());
-        switch (t.operator()) {
-            case "==" -> {
-                return same(a, b);
-            }
-            case "!=" -> {
-                return !same(a, b);
-            }
-            case "<", "<=", ">", ">=" -> {
-                boolean equal = t.operator().length() == 2;
-                if (a instanceof Long x && b instanceof Long y) {
-                    return t.operator().charAt(0) == '<' ? x < y || equal && x.equals(y) : x > y || equal
-                        && x.equals(y);
-                }
-                double x = ((Number) a).doubleValue(), y = ((Number) b).doubleValue();
-                return t.operator().charAt(0) == '<' ? x < y || equal && x == y : x > y || equal && x == y;
-            }
-            default -> { }
+        return ((SyntaxTree.ListLiteral) set).elements().stream().anyMatch(element -> equal(value, value(element)));
+    }
+
+    private static boolean ordered(Object left, String operator, Object right) {
+        boolean isLess = operator.charAt(0) == '<';
+        boolean includesEqual = operator.length() == 2;
+        if (left instanceof Long x && right instanceof Long y) {
+            return isLess ? x < y || includesEqual && x.equals(y) : x > y || includesEqual && x.equals(y);
         }
-        if (a instanceof byte[] x) return bytes(text(x) + text(b));
-        char op = t.operator().charAt(0);
-        if (a instanceof Long x && b instanceof Long y) return clamp(x, op, y);
-        double x = ((Number) a).doubleValue(), y = ((Number) b).doubleValue();
-        return switch (op) {
+        double x = ((Number) left).doubleValue();
+        double y = ((Number) right).doubleValue();
+        return isLess ? x < y || includesEqual && x == y : x > y || includesEqual && x == y;
+    }
+
+    private static Object arithmetic(Object left, char operator, Object right) {
+        if (left instanceof byte[] bytes) return bytes(text(bytes) + text(right));
+        if (left instanceof Long x && right instanceof Long y) return saturated(x, operator, y);
+        double x = ((Number) left).doubleValue();
+        double y = ((Number) right).doubleValue();
+        return switch (operator) {
             case '+' -> x + y;
             case '-' -> x - y;
             case '*' -> x * y;
@@ -126,58 +136,62 @@
         };
     }
 
-    private static boolean same(Object a, Object b) {
-        if (a instanceof byte[] x) return Arrays.equals(x, (byte[]) b);
-        if (a instanceof Boolean) return a.equals(b);
-        if (a instanceof Long && b instanceof Long) return a.equals(b);
-        return ((Number) a).doubleValue() == ((Number) b).doubleValue();
+    private static boolean equal(Object left, Object right) {
+        if (left instanceof byte[] bytes) return Arrays.equals(bytes, (byte[]) right);
+        if (left instanceof Boolean) return left.equals(right);
+        if (left instanceof Long && right instanceof Long) return left.equals(right);
+        return ((Number) left).doubleValue() == ((Number) right).doubleValue();
     }
 
-    private static int compare(Object a, Object b) {
-        if (a instanceof Long x && b instanceof Long y) return Long.compare(x, y);
-        return Double.compare(((Number) a).doubleValue() + 0.0, ((Number) b).doubleValue() + 0.0);
+    private static int compare(Object left, Object right) {
+        if (left instanceof Long x && right instanceof Long y) return Long.compare(x, y);
+        // Adding 0.0 turns -0.0 into 0.0, which Double.compare would order before it.
+        return Double.compare(((Number) left).doubleValue() + 0.0, ((Number) right).doubleValue() + 0.0);
     }
 
-    private Object call(SyntaxTree.Call t) {
-        if (t.name().equals("header")) return request.get("header:" + text(value(t.arguments().get(0))).toLowerCase());
-        Object a = t.arguments().isEmpty() ? null : value(t.arguments().get(0));
-        Object b = t.arguments().size() < 2 ? null : value(t.arguments().get(1));
-        return switch (t.name()) {
-            case "has" -> a != null;
-            case "starts" -> text(a).startsWith(text(b));
-            case "ends" -> text(a).endsWith(text(b));
-            case "contains" -> text(a).contains(text(b));
-            case "first" -> bytes(text(a).substring(0, (int) Math.min(text(a).length(), (long) b)));
-            case "skip" -> bytes(text(a).substring((int) Math.min(text(a).length(), (long) b)));
-            case "length" -> (long) text(a).length();
+    private Object call(SyntaxTree.Call call) {
+        if (call.name().equals("header")) {
+            return request.get("header:" + text(value(call.arguments().get(0))).toLowerCase(Locale.ROOT));
+        }
+        Object x = call.arguments().isEmpty() ? null : value(call.arguments().get(0));
+        Object y = call.arguments().size() < 2 ? null : value(call.arguments().get(1));
+        return switch (call.name()) {
+            case "has" -> x != null;
+            case "starts" -> text(x).startsWith(text(y));
+            case "ends" -> text(x).endsWith(text(y));
+            case "contains" -> text(x).contains(text(y));
+            case "first" -> bytes(text(x).substring(0, (int) Math.min(text(x).length(), (long) y)));
+            case "skip" -> bytes(text(x).substring((int) Math.min(text(x).length(), (long) y)));
+            case "length" -> (long) text(x).length();
             case "lower" -> {
-                StringBuilder s = new StringBuilder();
-                for (char c : text(a).toCharArray()) s.append(c >= 'A' && c <= 'Z' ? (char) (c + 32) : c);
-                yield bytes(s.toString());
+                StringBuilder lower = new StringBuilder();
+                for (char c : text(x).toCharArray()) lower.append(c >= 'A' && c <= 'Z' ? (char) (c + 32) : c);
+                yield bytes(lower.toString());
             }
             case "decimal" -> {
-                if (!text(a).matches("[0-9]{1,19}")) yield null;
-                java.math.BigInteger v = new java.math.BigInteger(text(a));
-                yield v.bitLength() > 63 ? null : (Object) v.longValue();
+                if (!text(x).matches("[0-9]{1,19}")) yield null;
+                BigInteger value = new BigInteger(text(x));
+                yield value.bitLength() > 63 ? null : (Object) value.longValue();
             }
-            case "hex" -> text(a).matches("[0-9a-fA-F]{1,16}") ? (Object) Long.parseUnsignedLong(text(a), 16) : null;
-            case "double" -> (double) (long) a;
-            case "bucket" -> Long.remainderUnsigned((long) a, (long) b);
-            case "matches" -> java.util.regex.Pattern.compile(text(b),
-                java.util.regex.Pattern.DOTALL).matcher(text(a)).find();
-            case "weekday" -> (long) java.time.Instant.ofEpochMilli((long) now).atZone(java.time.ZoneOffset.UTC)
-                .getDayOfWeek().getValue();
-            case "time_of_day" -> (double) java.time.Instant.ofEpochMilli((long) now).atZone(java.time.ZoneOffset.UTC)
-                .toLocalTime().toNanoOfDay() / 1e6;
-            default -> throw new IllegalArgumentException(t.name());
+            case "hex" -> text(x).matches("[0-9a-fA-F]{1,16}") ? (Object) Long.parseUnsignedLong(text(x), 16) : null;
+            case "double" -> (double) (long) x;
+            case "bucket" -> Long.remainderUnsigned((long) x, (long) y);
+            case "matches" -> Pattern.compile(text(y), Pattern.DOTALL).matcher(text(x)).find();
+            case "weekday" -> (long) utc().getDayOfWeek().getValue();
+            case "time_of_day" -> (double) utc().toLocalTime().toNanoOfDay() / 1e6;
+            default -> throw new IllegalArgumentException(call.name());
         };
     }
 
-    static String text(Object b) {
-        return new String((byte[]) b, java.nio.charset.StandardCharsets.ISO_8859_1);
+    private ZonedDateTime utc() {
+        return Instant.ofEpochMilli((long) nowMs).atZone(ZoneOffset.UTC);
+    }
+
+    static String text(Object bytes) {
+        return new String((byte[]) bytes, StandardCharsets.ISO_8859_1);
     }
 
-    static byte[] bytes(String s) {
-        return s.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
+    static byte[] bytes(String text) {
+        return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 }
