--- a/src/main/java/mothcross/expr/Compiler.java
+++ b/src/main/java/mothcross/expr/Compiler.java
@@ -528,7 +528,7 @@
         requireArgumentCount(call, 1);
         String name = textConstantArgument(call, 0);
         if (!name.matches(HEADER_NAME)) throw error(call, "is not a valid header name", null);
-        return read(program.inputs().headerOrUndeclared(name));
+        return read(program.inputs().getOrDeclareHeader(name));
     }
 
     private Node has(SyntaxTree.Call call) throws ExpressionException {
--- a/src/main/java/mothcross/expr/Inputs.java
+++ b/src/main/java/mothcross/expr/Inputs.java
@@ -50,8 +50,8 @@
         return inputsByName.get(name);
     }
 
-    /** The declaration of a header; an undeclared one is declared with unbounded length, not stable on retry. */
-    Input headerOrUndeclared(String name) {
+    /** The declaration of a header. One that is missing is added with unbounded length and as not stable on retry. */
+    Input getOrDeclareHeader(String name) {
         if (inputsByName.get(headerKey(name)) == null) header(name, Type.UNBOUNDED, Overflow.TRUNCATE, false);
         return inputsByName.get(headerKey(name));
     }
