--- a/src/main/java/mothcross/expr/Dispatch.java
+++ b/src/main/java/mothcross/expr/Dispatch.java
@@ -1,278 +1,351 @@
 package mothcross.expr;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
 import java.util.TreeSet;
 
 /**
- * Which of many truths is the first that holds, without trying all: what each asks of a value with constants (the
- * same as, among, begins with, within) is looked up once by that value, and gives the set of those that may hold.
- * Owns these sets; must never leave out one that holds, since the order of the table decides.
+ * Finds the first of many boolean expressions (rules) that is true, without evaluating all of them. Conditions that
+ * compare a value with constants (equality, membership, prefix, range) are indexed by that value: one lookup yields the
+ * set of rules that may hold for it. The intersection of these sets is evaluated in order. It never excludes a rule
+ * that is true, since the order of the rules decides.
  */
 public final class Dispatch {
-    private static final int MOST_AXES = 4, FEWEST = 2;
+    private static final int MAX_INDEXES = 4;
+    /** The lookup in an index for a single rule would cost about as much as evaluating that rule. */
+    private static final int MIN_RULES_PER_INDEX = 2;
+
+    private enum Form { EXACT, PREFIX, INTERVAL }
+
+    /**
+     * A condition that a rule imposes on one value: to be equal to one of {@code byteStrings}, to start with the only
+     * one, to be one of {@code integers}, or, if that is null, to be in the range from {@code low} to {@code high}.
+     */
+    private record Condition(Node subject, Form form, List<byte[]> byteStrings, long low, long high, long[] integers) {
+        static Condition equalToAny(Node subject, List<byte[]> byteStrings) {
+            return new Condition(subject, Form.EXACT, byteStrings, 0, 0, null);
+        }
 
-    private enum Form { TEXT, PREFIX, WHOLE }
+        static Condition startsWith(Node subject, byte[] prefix) {
+            return new Condition(subject, Form.PREFIX, List.of(prefix), 0, 0, null);
+        }
 
-    /** What one truth asks of one value. */
-    private record Asks(Node subject, Form form, List<byte[]> texts, long low, long high, long[] wholes) { }
+        static Condition oneOf(Node subject, long[] integers) {
+            return new Condition(subject, Form.INTERVAL, null, 0, 0, integers);
+        }
+
+        static Condition inRange(Node subject, long low, long high) {
+            return new Condition(subject, Form.INTERVAL, null, low, high, null);
+        }
+    }
 
-    /** One value, and which truths may hold by it. */
-    private abstract static class Axis {
+    /** An index of rules by one value. Sets of rules are bit sets. */
+    private abstract static class Index {
         final Node subject;
-        final long[] any;                                   // those that ask nothing of it
+        /** The rules without a condition on this value. */
+        final long[] unconditional;
 
-        Axis(Node subject, long[] any) {
+        Index(Node subject, long[] unconditional) {
             this.subject = subject;
-            this.any = any;
+            this.unconditional = unconditional;
         }
 
-        /** The set for the value in the frame, or null: only those that ask nothing. */
-        abstract long[] by(Frame f);
+        /** The rules whose condition holds for the value in the frame; null stands for the empty set. */
+        abstract long[] candidates(Frame frame);
     }
 
-    private final Program.Expression[] all;
-    private final Axis[] axes;
-    private final long[] may;
-
-    public Dispatch(List<Program.Expression> truths) {
-        all = truths.toArray(Program.Expression[]::new);
-        may = new long[(all.length + 63) / 64];
-        Map<String, Map<Integer, Asks>> found = new LinkedHashMap<>();
-        for (int i = 0; i < all.length; i++) {
-            List<Asks> asks = new ArrayList<>();
-            conjuncts(all[i].root, asks);
-            for (Asks a : asks) {
-                found.computeIfAbsent(a.form + " " + a.subject.slot, k -> new LinkedHashMap<>()).putIfAbsent(i, a);
+    private final Program.Expression[] rules;
+    private final Index[] indexes;
+    /** The set of rules that may hold for the current request; reused, so that dispatch allocates nothing. */
+    private final long[] candidates;
+
+    public Dispatch(List<Program.Expression> rules) {
+        this.rules = rules.toArray(Program.Expression[]::new);
+        candidates = new long[(this.rules.length + 63) / 64];
+        Map<String, Map<Integer, Condition>> conditionsByIndex = new LinkedHashMap<>();
+        for (int rule = 0; rule < this.rules.length; rule++) {
+            List<Condition> conditions = new ArrayList<>();
+            collectConditions(this.rules[rule].root, conditions);
+            for (Condition condition : conditions) {
+                String key = condition.form + " " + condition.subject.slot;
+                conditionsByIndex.computeIfAbsent(key, k -> new LinkedHashMap<>()).putIfAbsent(rule, condition);
             }
         }
-        List<Map<Integer, Asks>> best = new ArrayList<>(found.values());
-        best.removeIf(m -> m.size() < FEWEST);
-        best.sort(Comparator.comparingInt(m -> -m.size()));
-        axes = best.stream().limit(MOST_AXES).map(this::axis).toArray(Axis[]::new);
+        List<Map<Integer, Condition>> mostUsed = new ArrayList<>(conditionsByIndex.values());
+        mostUsed.removeIf(conditions -> conditions.size() < MIN_RULES_PER_INDEX);
+        mostUsed.sort(Comparator.comparingInt(conditions -> -conditions.size()));
+        indexes = mostUsed.stream().limit(MAX_INDEXES).map(this::buildIndex).toArray(Index[]::new);
     }
 
-    /** How many values are looked up before any truth is tried. */
-    public int axes() {
-        return axes.length;
+    /** How many values are looked up before any rule is evaluated. */
+    public int indexCount() {
+        return indexes.length;
     }
 
-    /** The first that holds, or -1. */
-    public int first(Frame f) {
-        Arrays.fill(may, -1L);
-        for (Axis x : axes) {
-            x.subject.need(f);
-            long[] by = x.by(f);
-            for (int w = 0; w < may.length; w++) may[w] &= by == null ? x.any[w] : by[w] | x.any[w];
+    /** The number of the first rule that is true, or -1. */
+    public int first(Frame frame) {
+        Arrays.fill(candidates, -1L);
+        for (Index index : indexes) {
+            index.subject.evaluate(frame);
+            long[] matching = index.candidates(frame);
+            long[] unconditional = index.unconditional;
+            for (int word = 0; word < candidates.length; word++) {
+                candidates[word] &= matching == null ? unconditional[word] : matching[word] | unconditional[word];
+            }
         }
-        for (int w = 0; w < may.length; w++) {
-            for (long left = may[w]; left != 0; left &= left - 1) {
-                int i = 64 * w + Long.numberOfTrailingZeros(left);
-                if (i < all.length && all[i].evaluateBoolean(f)) return i;
+        for (int word = 0; word < candidates.length; word++) {
+            for (long remaining = candidates[word]; remaining != 0; remaining &= remaining - 1) {
+                int rule = 64 * word + Long.numberOfTrailingZeros(remaining);
+                if (rule < rules.length && rules[rule].evaluateBoolean(frame)) return rule;
             }
         }
         return -1;
     }
 
-    /** The same by trying all in order: what {@link #first} has to equal. */
-    public int firstByLinearScan(Frame f) {
-        for (int i = 0; i < all.length; i++) if (all[i].evaluateBoolean(f)) return i;
+    /** The result of {@link #first} by evaluating all rules in order; for tests and benchmarks. */
+    public int firstByLinearScan(Frame frame) {
+        for (int rule = 0; rule < rules.length; rule++) if (rules[rule].evaluateBoolean(frame)) return rule;
         return -1;
     }
 
-    private static void conjuncts(Node n, List<Asks> into) {
-        if (n instanceof Node.Logic l && l.op == '&') {
-            conjuncts(l.a, into);
-            conjuncts(l.b, into);
-        } else if (n instanceof Node.Same s && !s.not()) {
-            Node.Const c = s.b instanceof Node.Const x ? x : s.a instanceof Node.Const y ? y : null;
-            if (c != null) into.add(new Asks(c == s.b ? s.a : s.b, Form.TEXT, List.of(c.bytes), 0, 0, null));
-        } else if (n instanceof Node.Among a) {
-            if (a.wholes != null) into.add(new Asks(a.a, Form.WHOLE, null, 0, 0, a.wholes));
-            else into.add(new Asks(a.a, Form.TEXT, Arrays.stream(a.texts).filter(t -> t != null).toList(), 0, 0, null));
-        } else if (n instanceof Node.Within w && !w.a.type.isFractional()) {
-            into.add(new Asks(w.a, Form.WHOLE, null, w.lowWhole, w.highWhole, null));
-        } else if (n instanceof Node.Stands s && s.where == '^') {
-            into.add(new Asks(s.a, Form.PREFIX, List.of(s.what), 0, 0, null));
-        } else if (n instanceof Node.Compare c && c.b instanceof Node.Const k && c.a.type.kind() == Type.Kind.INT
-            && k.type.kind() == Type.Kind.INT) {
-            long v = k.whole;
-            boolean none = c.op.equals("<") && v == Long.MIN_VALUE || c.op.equals(">") && v == Long.MAX_VALUE;
-            if (none || c.op.equals("!=")) return;
-            long low = c.op.equals("<") || c.op.equals("<=") ? Long.MIN_VALUE : c.op.equals(">") ? v + 1 : v;
-            long high = c.op.equals(">") || c.op.equals(">=") ? Long.MAX_VALUE : c.op.equals("<") ? v - 1 : v;
-            into.add(new Asks(c.a, Form.WHOLE, null, low, high, null));
+    /** Collects the conditions that must all hold for a node to be true, as far as they can be indexed. */
+    private static void collectConditions(Node node, List<Condition> into) {
+        if (node instanceof Node.BooleanOperation operation && operation.operator == '&') {
+            collectConditions(operation.left, into);
+            collectConditions(operation.right, into);
+        } else if (node instanceof Node.BytesEquality equality && !equality.isNegated()) {
+            if (equality.right instanceof Node.Constant constant) {
+                into.add(Condition.equalToAny(equality.left, List.of(constant.bytes)));
+            } else if (equality.left instanceof Node.Constant constant) {
+                into.add(Condition.equalToAny(equality.right, List.of(constant.bytes)));
+            }
+        } else if (node instanceof Node.InSet set) {
+            if (set.integers != null) into.add(Condition.oneOf(set.operand, set.integers));
+            else into.add(Condition.equalToAny(set.operand,
+                Arrays.stream(set.byteStrings).filter(Objects::nonNull).toList()));
+        } else if (node instanceof Node.InRange range && !range.operand.type.isFractional()) {
+            into.add(Condition.inRange(range.operand, range.lowLong, range.highLong));
+        } else if (node instanceof Node.SubstringTest test && test.anchor == '^') {
+            into.add(Condition.startsWith(test.operand, test.pattern));
+        } else if (node instanceof Node.NumberComparison comparison) {
+            collectComparison(comparison, into);
         }
     }
 
-    private static void set(long[] bits, int i) {
-        bits[i / 64] |= 1L << i % 64;
+    /** A comparison of an integer with a constant is a range. */
+    private static void collectComparison(Node.NumberComparison comparison, List<Condition> into) {
+        boolean isInteger = comparison.right instanceof Node.Constant
+            && comparison.left.type.kind() == Type.Kind.INT
+            && comparison.right.type.kind() == Type.Kind.INT;
+        if (!isInteger) return;
+        long constant = ((Node.Constant) comparison.right).longValue;
+        switch (comparison.operator) {
+            case "==" -> into.add(Condition.inRange(comparison.left, constant, constant));
+            case "<=" -> into.add(Condition.inRange(comparison.left, Long.MIN_VALUE, constant));
+            case ">=" -> into.add(Condition.inRange(comparison.left, constant, Long.MAX_VALUE));
+            case "<" -> {
+                if (constant == Long.MIN_VALUE) return;
+                into.add(Condition.inRange(comparison.left, Long.MIN_VALUE, constant - 1));
+            }
+            case ">" -> {
+                if (constant == Long.MAX_VALUE) return;
+                into.add(Condition.inRange(comparison.left, constant + 1, Long.MAX_VALUE));
+            }
+            default -> { }
+        }
+    }
+
+    private static void setBit(long[] bits, int bit) {
+        bits[bit / 64] |= 1L << bit % 64;
+    }
+
+    private static void clearBit(long[] bits, int bit) {
+        bits[bit / 64] &= ~(1L << bit % 64);
     }
 
-    private Axis axis(Map<Integer, Asks> asks) {
-        long[] any = new long[may.length];
-        Arrays.fill(any, -1L);
-        asks.keySet().forEach(i -> any[i / 64] &= ~(1L << i % 64));
-        Asks one = asks.values().iterator().next();
-        return switch (one.form) {
-            case TEXT -> new Texts(one.subject, any, asks);
-            case PREFIX -> new Prefixes(one.subject, any, asks);
-            case WHOLE -> new Wholes(one.subject, any, asks);
+    private Index buildIndex(Map<Integer, Condition> conditions) {
+        long[] unconditional = new long[candidates.length];
+        Arrays.fill(unconditional, -1L);
+        conditions.keySet().forEach(rule -> clearBit(unconditional, rule));
+        Condition any = conditions.values().iterator().next();
+        return switch (any.form) {
+            case EXACT -> new ExactIndex(any.subject, unconditional, conditions);
+            case PREFIX -> new PrefixIndex(any.subject, unconditional, conditions);
+            case INTERVAL -> new IntervalIndex(any.subject, unconditional, conditions);
         };
     }
 
-    private final class Texts extends Axis {
-        private final byte[][] texts;
-        private final long[][] sets;
-
-        Texts(Node subject, long[] any, Map<Integer, Asks> asks) {
-            super(subject, any);
-            int n = asks.values().stream().mapToInt(a -> a.texts.size()).sum();
-            int size = Integer.highestOneBit(Math.max(2, n) * 4 - 1);
-            texts = new byte[size][];
-            sets = new long[size][];
-            asks.forEach((i, a) -> {
-                for (byte[] t : a.texts) {
-                    int at = find(t, 0, t.length);
-                    texts[at] = t;
-                    if (sets[at] == null) sets[at] = new long[may.length];
-                    set(sets[at], i);
-                }
-            });
+    /** Rules by equality of bytes: a hash table with open addressing. */
+    private final class ExactIndex extends Index {
+        private final byte[][] keys;
+        private final long[][] rulesByKey;
+        private final int maxLength;
+
+        ExactIndex(Node subject, long[] unconditional, Map<Integer, Condition> conditions) {
+            super(subject, unconditional);
+            int keyCount = conditions.values().stream().mapToInt(condition -> condition.byteStrings.size()).sum();
+            int size = Integer.highestOneBit(Math.max(2, keyCount) * 4 - 1);
+            keys = new byte[size][];
+            rulesByKey = new long[size][];
+            conditions.forEach(this::add);
+            maxLength = Arrays.stream(keys).filter(Objects::nonNull).mapToInt(key -> key.length).max().orElse(0);
         }
 
-        private int find(byte[] b, int from, int to) {
-            int at = (int) Node.Hash.of(b, from, to) & texts.length - 1;
-            while (texts[at] != null && !Arrays.equals(texts[at], 0, texts[at].length, b, from, to)) {
-                at = at + 1 & texts.length - 1;
+        private void add(int rule, Condition condition) {
+            for (byte[] key : condition.byteStrings) {
+                int index = find(key, 0, key.length);
+                keys[index] = key;
+                if (rulesByKey[index] == null) rulesByKey[index] = new long[candidates.length];
+                setBit(rulesByKey[index], rule);
             }
-            return at;
         }
 
-        @Override long[] by(Frame f) {
-            // Longer than any constant is like none, and is not gone through.
-            int slot = subject.slot;
-            if (f.to[slot] - f.from[slot] > longest()) return null;
-            return sets[find(f.bytes[slot], f.from[slot], f.to[slot])];
+        /** The place of a key, or the empty place where it belongs. */
+        private int find(byte[] bytes, int start, int end) {
+            int index = (int) Node.Hash.of(bytes, start, end) & keys.length - 1;
+            while (keys[index] != null && !Arrays.equals(keys[index], 0, keys[index].length, bytes, start, end)) {
+                index = index + 1 & keys.length - 1;
+            }
+            return index;
         }
 
-        private int longest = -1;
-
-        private int longest() {
-            if (longest < 0) for (byte[] t : texts) longest = Math.max(longest, t == null ? 0 : t.length);
-            return longest;
+        @Override long[] candidates(Frame frame) {
+            int slot = subject.slot;
+            // A value longer than every key equals none; hashing it would take time that grows with its length.
+            if (frame.ends[slot] - frame.starts[slot] > maxLength) return null;
+            return rulesByKey[find(frame.bytes[slot], frame.starts[slot], frame.ends[slot])];
         }
     }
 
-    /** A tree of bytes; each place knows all whose prefix ends on the way to it. */
-    private final class Prefixes extends Axis {
-        private static final class Place {
+    /** Rules by prefix: a trie of bytes, whose nodes hold the rules for every prefix that ends on the way to them. */
+    private final class PrefixIndex extends Index {
+        private static final class TrieNode {
             byte[] keys = new byte[0];
-            Place[] next = new Place[0];
-            long[] set;
+            TrieNode[] children = new TrieNode[0];
+            final long[] rules;
 
-            Place child(byte b) {
-                for (int i = 0; i < keys.length; i++) if (keys[i] == b) return next[i];
+            TrieNode(int words) {
+                rules = new long[words];
+            }
+
+            TrieNode child(byte key) {
+                for (int i = 0; i < keys.length; i++) if (keys[i] == key) return children[i];
                 return null;
             }
-        }
 
-        private final Place root = new Place();
-
-        Prefixes(Node subject, long[] any, Map<Integer, Asks> asks) {
-            super(subject, any);
-            root.set = new long[may.length];
-            asks.forEach((i, a) -> {
-                Place p = root;
-                for (byte b : a.texts.get(0)) {
-                    Place c = p.child(b);
-                    if (c == null) {
-                        int n = p.keys.length;
-                        p.keys = Arrays.copyOf(p.keys, n + 1);
-                        p.next = Arrays.copyOf(p.next, n + 1);
-                        p.keys[n] = b;
-                        p.next[n] = c = new Place();
-                        c.set = new long[may.length];
-                    }
-                    p = c;
+            TrieNode childOrNew(byte key) {
+                TrieNode child = child(key);
+                if (child != null) return child;
+                child = new TrieNode(rules.length);
+                int count = keys.length;
+                keys = Arrays.copyOf(keys, count + 1);
+                children = Arrays.copyOf(children, count + 1);
+                keys[count] = key;
+                children[count] = child;
+                return child;
+            }
+
+            /** Adds the rules of each node to all nodes below it. */
+            void propagate() {
+                for (TrieNode child : children) {
+                    for (int word = 0; word < rules.length; word++) child.rules[word] |= rules[word];
+                    child.propagate();
                 }
-                set(p.set, i);
-            });
-            spread(root);
+            }
         }
 
-        private void spread(Place p) {
-            for (Place c : p.next) {
-                for (int w = 0; w < may.length; w++) c.set[w] |= p.set[w];
-                spread(c);
-            }
+        private final TrieNode root = new TrieNode(candidates.length);
+
+        PrefixIndex(Node subject, long[] unconditional, Map<Integer, Condition> conditions) {
+            super(subject, unconditional);
+            conditions.forEach((rule, condition) -> {
+                TrieNode node = root;
+                for (byte key : condition.byteStrings.get(0)) node = node.childOrNew(key);
+                setBit(node.rules, rule);
+            });
+            root.propagate();
         }
 
-        @Override long[] by(Frame f) {
-            byte[] b = f.bytes[subject.slot];
-            Place p = root;
-            for (int i = f.from[subject.slot]; i < f.to[subject.slot]; i++) {
-                Place c = p.child(b[i]);
-                if (c == null) break;
-                p = c;
+        @Override long[] candidates(Frame frame) {
+            byte[] bytes = frame.bytes[subject.slot];
+            TrieNode node = root;
+            for (int i = frame.starts[subject.slot]; i < frame.ends[subject.slot]; i++) {
+                TrieNode child = node.child(bytes[i]);
+                if (child == null) break;
+                node = child;
             }
-            return p.set;
+            return node.rules;
         }
     }
 
-    /** Between two neighbouring ends of ranges all numbers are alike. */
-    private final class Wholes extends Axis {
-        private final long[] begins;                        // of stretches; the first begins at the least number
-        private final long[][] sets;
-
-        Wholes(Node subject, long[] any, Map<Integer, Asks> asks) {
-            super(subject, any);
-            TreeSet<Long> cuts = new TreeSet<>(List.of(Long.MIN_VALUE));
-            for (Asks a : asks.values()) {
-                for (long[] r : ranges(a)) {
-                    cuts.add(r[0]);
-                    if (r[1] < Long.MAX_VALUE) cuts.add(r[1] + 1);
+    /** Rules by ranges of integers: the limits of all ranges cut the integers into intervals with one set each. */
+    private final class IntervalIndex extends Index {
+        /** In ascending order, from the smallest integer on; an interval ends before the start of the next. */
+        private final long[] intervalStarts;
+        private final long[][] rulesByInterval;
+
+        IntervalIndex(Node subject, long[] unconditional, Map<Integer, Condition> conditions) {
+            super(subject, unconditional);
+            TreeSet<Long> starts = new TreeSet<>(List.of(Long.MIN_VALUE));
+            for (Condition condition : conditions.values()) {
+                for (Range range : ranges(condition)) {
+                    starts.add(range.low);
+                    if (range.high < Long.MAX_VALUE) starts.add(range.high + 1);
                 }
             }
-            begins = cuts.stream().mapToLong(x -> x).toArray();
-            sets = new long[begins.length][may.length];
-            asks.forEach((i, a) -> {
-                for (long[] r : ranges(a)) {
-                    int at = Arrays.binarySearch(begins, r[0]);
-                    for (; at < begins.length && begins[at] <= r[1]; at++) set(sets[at], i);
-                }
-            });
+            intervalStarts = starts.stream().mapToLong(start -> start).toArray();
+            rulesByInterval = new long[intervalStarts.length][candidates.length];
+            conditions.forEach(this::add);
         }
 
-        private static List<long[]> ranges(Asks a) {
-            if (a.wholes == null) return List.of(new long[] {a.low, a.high});
-            return Arrays.stream(a.wholes).mapToObj(w -> new long[] {w, w}).toList();
+        private void add(int rule, Condition condition) {
+            for (Range range : ranges(condition)) {
+                int interval = Arrays.binarySearch(intervalStarts, range.low);
+                for (; interval < intervalStarts.length && intervalStarts[interval] <= range.high; interval++) {
+                    setBit(rulesByInterval[interval], rule);
+                }
+            }
         }
 
-        @Override long[] by(Frame f) {
-            int at = Arrays.binarySearch(begins, f.whole[subject.slot]);
-            return sets[at >= 0 ? at : -at - 2];
+        @Override long[] candidates(Frame frame) {
+            int found = Arrays.binarySearch(intervalStarts, frame.longs[subject.slot]);
+            // A value that starts no interval belongs to the one before its insertion point.
+            return rulesByInterval[found >= 0 ? found : -found - 2];
         }
     }
 
-    /** The values of an input that a truth admits, where it says so with constants: null where it does not. */
-    public static List<String> admitted(Program.Expression e, String input) {
-        List<Asks> asks = new ArrayList<>();
-        conjuncts(e.root, asks);
-        Map<String, Boolean> all = null;
-        for (Asks a : asks) {
-            if (a.form != Form.TEXT || !(a.subject instanceof Node.Read r) || !r.input.name().equals(input)) continue;
-            Map<String, Boolean> here = new HashMap<>();
-            for (byte[] t : a.texts) here.put(new String(t, java.nio.charset.StandardCharsets.ISO_8859_1), true);
-            if (all == null) all = here;
-            else all.keySet().retainAll(new HashSet<>(here.keySet()));
+    /** A range of integers, both ends inclusive. */
+    private record Range(long low, long high) { }
+
+    private static List<Range> ranges(Condition condition) {
+        if (condition.integers == null) return List.of(new Range(condition.low, condition.high));
+        return Arrays.stream(condition.integers).mapToObj(value -> new Range(value, value)).toList();
+    }
+
+    /**
+     * The constants that an expression compares an input with, if it can be true for these values only; null if its
+     * conditions don't limit the input to certain values.
+     */
+    public static List<String> exactValues(Program.Expression expression, String input) {
+        List<Condition> conditions = new ArrayList<>();
+        collectConditions(expression.root, conditions);
+        Set<String> values = null;
+        for (Condition condition : conditions) {
+            if (condition.form != Form.EXACT) continue;
+            if (!(condition.subject instanceof Node.ReadInput read) || !read.input.name().equals(input)) continue;
+            Set<String> allowed = new HashSet<>();
+            for (byte[] bytes : condition.byteStrings) allowed.add(new String(bytes, StandardCharsets.ISO_8859_1));
+            if (values == null) values = allowed;
+            else values.retainAll(allowed);
         }
-        return all == null ? null : List.copyOf(all.keySet());
+        return values == null ? null : List.copyOf(values);
     }
 }
--- a/src/main/java/mothcross/expr/Node.java
+++ b/src/main/java/mothcross/expr/Node.java
@@ -2,235 +2,298 @@
 
 import com.google.re2j.Matcher;
 import com.google.re2j.Pattern;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 
 /**
- * A part of a compiled program: computed at most once for a request, into its slot of the frame. Owns its worst cost,
- * fixed when it is made; each kind counts the steps that it takes and must never take more than it foresaw, allocate,
- * or fail: every operation has a value for everything.
+ * A node of a compiled program. Its value is computed at most once per request, into its slot of the {@link Frame}.
+ * The worst-case cost in steps is fixed when the node is made. Every kind of node counts the steps that it takes and
+ * takes no more than that; evaluation allocates nothing and cannot fail, since every operation is defined for all
+ * values.
  */
 abstract class Node {
+    /** The cost of a node that is not bounded; sums and products that overflow count as unbounded, too. */
+    static final long UNBOUNDED_STEPS = Long.MAX_VALUE;
+
     final Type type;
-    /** Steps of this part alone, and of all that it may need, at worst. */
-    final long own, cost;
-    final Node[] parts;
+    /** Worst-case steps of this node without its operands. */
+    final long ownSteps;
+    /** Worst-case steps of this node and of everything that it may evaluate. */
+    final long worstCaseSteps;
+    final Node[] operands;
     int slot;
 
-    Node(Type type, long own, Node... parts) {
+    Node(Type type, long ownSteps, Node... operands) {
         this.type = type;
-        this.own = own;
-        this.parts = parts;
-        long sum = own;
-        for (Node p : parts) sum = plus(sum, p.cost);
-        this.cost = sum;
+        this.ownSteps = ownSteps;
+        this.operands = operands;
+        long sum = ownSteps;
+        for (Node operand : operands) sum = saturatedAdd(sum, operand.worstCaseSteps);
+        this.worstCaseSteps = sum;
     }
 
-    /** Whether all that it stands on are constants. */
-    boolean constant() {
-        if (parts.length == 0) return false;
-        for (Node p : parts) if (!p.constant()) return false;
+    /** Whether the value depends on constants only. */
+    boolean isConstant() {
+        if (operands.length == 0) return false;
+        for (Node operand : operands) if (!operand.isConstant()) return false;
         return true;
     }
 
-    /** Numbers past this are no cost but none at all: the part has no bound. */
-    static final long ENDLESS = Long.MAX_VALUE;
-
-    static long plus(long a, long b) {
-        return a == ENDLESS || b == ENDLESS || a + b < 0 ? ENDLESS : a + b;
+    static long saturatedAdd(long a, long b) {
+        return a == UNBOUNDED_STEPS || b == UNBOUNDED_STEPS || a + b < 0 ? UNBOUNDED_STEPS : a + b;
     }
 
-    static long times(long a, long b) {
-        if (a == ENDLESS || b == ENDLESS) return ENDLESS;
-        return a != 0 && b > ENDLESS / a ? ENDLESS : a * b;
+    static long saturatedMultiply(long a, long b) {
+        if (a == UNBOUNDED_STEPS || b == UNBOUNDED_STEPS) return UNBOUNDED_STEPS;
+        return a != 0 && b > UNBOUNDED_STEPS / a ? UNBOUNDED_STEPS : a * b;
     }
 
-    final Node need(Frame f) {
-        if (f.fresh(slot)) {
-            f.steps++;
-            compute(f);
+    /** Computes the value unless that was done for this request already. */
+    final Node evaluate(Frame frame) {
+        if (frame.markComputed(slot)) {
+            frame.steps++;
+            compute(frame);
         }
         return this;
     }
 
-    final boolean truth(Frame f) {
-        need(f);
-        return f.whole[slot] != 0;
+    final boolean evaluateBoolean(Frame frame) {
+        evaluate(frame);
+        return frame.longs[slot] != 0;
     }
 
-    final long whole(Frame f) {
-        need(f);
-        return f.whole[slot];
+    final long evaluateLong(Frame frame) {
+        evaluate(frame);
+        return frame.longs[slot];
     }
 
-    final double number(Frame f) {
-        need(f);
-        return type.isFractional() ? f.number[slot] : f.whole[slot];
+    final double evaluateDouble(Frame frame) {
+        evaluate(frame);
+        return type.isFractional() ? frame.doubles[slot] : frame.longs[slot];
     }
 
-    final int length(Frame f) {
-        return f.to[slot] - f.from[slot];
+    /** The length in bytes of the computed value. */
+    final int length(Frame frame) {
+        return frame.ends[slot] - frame.starts[slot];
     }
 
+    /** The kind of node as operators see it when an expression is explained; independent of the class name. */
+    abstract String label();
+
     /** Puts the value into the slot. */
-    abstract void compute(Frame f);
+    abstract void compute(Frame frame);
 
-    final void is(Frame f, boolean v) {
-        f.put(slot, v ? 1L : 0L);
+    final void putBoolean(Frame frame, boolean value) {
+        frame.put(slot, value ? 1L : 0L);
     }
 
-    /** The value of another part becomes this one's. */
-    final void like(Frame f, Node n) {
-        n.need(f);
-        f.there[slot] = f.there[n.slot];
-        f.whole[slot] = n.type.isFractional() == type.isFractional() ? f.whole[n.slot] : (long) f.number[n.slot];
-        f.number[slot] = n.type.isFractional() ? f.number[n.slot] : f.whole[n.slot];
-        f.bytes[slot] = f.bytes[n.slot];
-        f.from[slot] = f.from[n.slot];
-        f.to[slot] = f.to[n.slot];
+    /** Evaluates another node and takes its value, converted between integer and double where the types differ. */
+    final void copyFrom(Frame frame, Node source) {
+        source.evaluate(frame);
+        int from = source.slot;
+        boolean sameRepresentation = source.type.isFractional() == type.isFractional();
+        frame.present[slot] = frame.present[from];
+        frame.longs[slot] = sameRepresentation ? frame.longs[from] : (long) frame.doubles[from];
+        frame.doubles[slot] = source.type.isFractional() ? frame.doubles[from] : frame.longs[from];
+        frame.bytes[slot] = frame.bytes[from];
+        frame.starts[slot] = frame.starts[from];
+        frame.ends[slot] = frame.ends[from];
     }
 
-    static final class Const extends Node {
-        final long whole;
-        final double number;
+    /** A constant of any type. */
+    static final class Constant extends Node {
+        final long longValue;
+        final double doubleValue;
         final byte[] bytes;
 
-        Const(Type type, long whole, double number, byte[] bytes) {
+        Constant(Type type, long longValue, double doubleValue, byte[] bytes) {
             super(type, 1);
-            this.whole = whole;
-            this.number = number;
+            this.longValue = longValue;
+            this.doubleValue = doubleValue;
             this.bytes = bytes;
         }
 
-        @Override boolean constant() {
+        @Override boolean isConstant() {
             return true;
         }
 
-        static Const of(boolean v) {
-            return new Const(Type.BOOL, v ? 1 : 0, 0, null);
+        static Constant of(boolean value) {
+            return new Constant(Type.BOOL, value ? 1 : 0, 0, null);
         }
 
-        @Override void compute(Frame f) {
-            f.whole[slot] = whole;
-            f.number[slot] = number;
-            if (bytes != null) f.put(slot, bytes, 0, bytes.length);
-            f.there[slot] = true;
+        @Override String label() {
+            return "const";
+        }
+
+        @Override void compute(Frame frame) {
+            frame.longs[slot] = longValue;
+            frame.doubles[slot] = doubleValue;
+            if (bytes != null) frame.put(slot, bytes, 0, bytes.length);
+            frame.present[slot] = true;
         }
     }
 
-    static final class Read extends Node {
+    /** An input of the request, truncated to its maximum length. */
+    static final class ReadInput extends Node {
         final Inputs.Input input;
 
-        Read(Inputs.Input input) {
+        ReadInput(Inputs.Input input) {
             super(input.type(), 1);
             this.input = input;
         }
 
-        @Override void compute(Frame f) {
-            f.there[slot] = false;
-            f.cut[slot] = false;
-            f.bytes[slot] = null;
-            f.from[slot] = f.to[slot] = 0;
-            f.whole[slot] = 0;
-            f.number[slot] = 0;
-            f.request.read(input.number(), f, slot);
-            if (type.kind() != Type.Kind.BYTES || length(f) <= type.maxLength()) return;
-            f.to[slot] = f.from[slot] + (int) type.maxLength();
-            f.cut[slot] = true;
-            if (input.overflow() == Inputs.Overflow.REJECT) f.overflowedInput(input.name());
+        @Override String label() {
+            return "read";
+        }
+
+        @Override void compute(Frame frame) {
+            frame.present[slot] = false;
+            frame.truncated[slot] = false;
+            frame.bytes[slot] = null;
+            frame.ends[slot] = 0;
+            frame.starts[slot] = 0;
+            frame.longs[slot] = 0;
+            frame.doubles[slot] = 0;
+            frame.request.read(input.number(), frame, slot);
+            if (type.kind() != Type.Kind.BYTES || length(frame) <= type.maxLength()) return;
+            frame.ends[slot] = frame.starts[slot] + (int) type.maxLength();
+            frame.truncated[slot] = true;
+            if (input.overflow() == Inputs.Overflow.REJECT) frame.recordOverflow(input.name());
         }
     }
 
-    static final class WasCut extends Node {
-        final Node a;
+    /** {@code cut(x)}: whether an input was truncated. */
+    static final class WasTruncated extends Node {
+        final Node operand;
 
-        WasCut(Node a) {
-            super(Type.BOOL, 1, a);
-            this.a = a;
+        WasTruncated(Node operand) {
+            super(Type.BOOL, 1, operand);
+            this.operand = operand;
         }
 
-        @Override void compute(Frame f) {
-            a.need(f);
-            is(f, f.cut[a.slot]);
+        @Override String label() {
+            return "wascut";
+        }
+
+        @Override void compute(Frame frame) {
+            operand.evaluate(frame);
+            putBoolean(frame, frame.truncated[operand.slot]);
         }
     }
 
-    static final class Has extends Node {
-        final Node a;
+    /** {@code has(x)}: whether an optional value is present. */
+    static final class IsPresent extends Node {
+        final Node operand;
+
+        IsPresent(Node operand) {
+            super(Type.BOOL, 1, operand);
+            this.operand = operand;
+        }
 
-        Has(Node a) {
-            super(Type.BOOL, 1, a);
-            this.a = a;
+        @Override String label() {
+            return "has";
         }
 
-        @Override void compute(Frame f) {
-            a.need(f);
-            is(f, f.there[a.slot]);
+        @Override void compute(Frame frame) {
+            operand.evaluate(frame);
+            putBoolean(frame, frame.present[operand.slot]);
         }
     }
 
-    /** The first where it is there, else the second. */
-    static final class Else extends Node {
-        final Node a, b;
+    /** {@code x ?? y}: the first value if it is present, else the second. */
+    static final class Coalesce extends Node {
+        final Node value;
+        final Node defaultValue;
 
-        Else(Type type, Node a, Node b) {
-            super(type, 1, a, b);
-            this.a = a;
-            this.b = b;
+        Coalesce(Type type, Node value, Node defaultValue) {
+            super(type, 1, value, defaultValue);
+            this.value = value;
+            this.defaultValue = defaultValue;
         }
 
-        @Override void compute(Frame f) {
-            a.need(f);
-            like(f, f.there[a.slot] ? a : b);
+        @Override String label() {
+            return "else";
+        }
+
+        @Override void compute(Frame frame) {
+            value.evaluate(frame);
+            copyFrom(frame, frame.present[value.slot] ? value : defaultValue);
         }
     }
 
-    static final class Choice extends Node {
-        final Node condition, yes, no;
+    /** {@code if condition then x else y}; evaluates only the branch that is taken. */
+    static final class Conditional extends Node {
+        final Node condition;
+        final Node thenBranch;
+        final Node elseBranch;
 
-        Choice(Type type, Node condition, Node yes, Node no) {
-            super(type, 1, condition, yes, no);
+        Conditional(Type type, Node condition, Node thenBranch, Node elseBranch) {
+            super(type, 1, condition, thenBranch, elseBranch);
             this.condition = condition;
-            this.yes = yes;
-            this.no = no;
+            this.thenBranch = thenBranch;
+            this.elseBranch = elseBranch;
+        }
+
+        @Override String label() {
+            return "choice";
         }
 
-        @Override void compute(Frame f) {
-            like(f, condition.truth(f) ? yes : no);
+        @Override void compute(Frame frame) {
+            copyFrom(frame, condition.evaluateBoolean(frame) ? thenBranch : elseBranch);
         }
     }
 
-    static final class Logic extends Node {
-        final char op;                                      // '&', '|', '!'
-        final Node a, b;
+    /** {@code &&} and {@code ||}, which evaluate the right side only if the left does not decide, and {@code !}. */
+    static final class BooleanOperation extends Node {
+        /** '&amp;', '|' or '!'. */
+        final char operator;
+        final Node left;
+        /** Null for '!'. */
+        final Node right;
+
+        BooleanOperation(char operator, Node left, Node right) {
+            super(Type.BOOL, 1, operator == '!' ? new Node[] {left} : new Node[] {left, right});
+            this.operator = operator;
+            this.left = left;
+            this.right = right;
+        }
 
-        Logic(char op, Node a, Node b) {
-            super(Type.BOOL, 1, op == '!' ? new Node[] {a} : new Node[] {a, b});
-            this.op = op;
-            this.a = a;
-            this.b = b;
+        @Override String label() {
+            return "logic";
         }
 
-        @Override void compute(Frame f) {
-            boolean x = a.truth(f);
-            is(f, op == '!' ? !x : op == '&' ? x && b.truth(f) : x || b.truth(f));
+        @Override void compute(Frame frame) {
+            boolean value = left.evaluateBoolean(frame);
+            putBoolean(frame, switch (operator) {
+                case '!' -> !value;
+                case '&' -> value && right.evaluateBoolean(frame);
+                default -> value || right.evaluateBoolean(frame);
+            });
         }
     }
 
-    /** Arithmetic: integers go to the nearest end where they would run over, fractions follow IEEE 754. */
-    static final class Sum extends Node {
-        final char op;
-        final Node a, b;
+    /** Arithmetic on two numbers. Integers saturate at the limits of 64 bits, doubles follow IEEE 754. */
+    static final class Arithmetic extends Node {
+        final char operator;
+        final Node left;
+        final Node right;
 
-        Sum(Type type, char op, Node a, Node b) {
-            super(type, 1, a, b);
-            this.op = op;
-            this.a = a;
-            this.b = b;
+        Arithmetic(Type type, char operator, Node left, Node right) {
+            super(type, 1, left, right);
+            this.operator = operator;
+            this.left = left;
+            this.right = right;
         }
 
-        @Override void compute(Frame f) {
+        @Override String label() {
+            return "sum";
+        }
+
+        @Override void compute(Frame frame) {
             if (type.isFractional()) {
-                double x = a.number(f), y = b.number(f);
-                f.put(slot, switch (op) {
+                double x = left.evaluateDouble(frame);
+                double y = right.evaluateDouble(frame);
+                frame.put(slot, switch (operator) {
                     case '+' -> x + y;
                     case '-' -> x - y;
                     case '*' -> x * y;
@@ -238,26 +301,27 @@
                     default -> x % y;
                 });
             } else {
-                f.put(slot, whole(op, a.whole(f), b.whole(f)));
+                frame.put(slot, saturated(operator, left.evaluateLong(frame), right.evaluateLong(frame)));
             }
         }
 
-        static long whole(char op, long x, long y) {
-            switch (op) {
+        static long saturated(char operator, long x, long y) {
+            switch (operator) {
                 case '+' -> {
-                    long r = x + y;
-                    return ((x ^ r) & (y ^ r)) < 0 ? end(x < 0) : r;
+                    long result = x + y;
+                    return ((x ^ result) & (y ^ result)) < 0 ? limit(x < 0) : result;
                 }
                 case '-' -> {
-                    long r = x - y;
-                    return ((x ^ y) & (x ^ r)) < 0 ? end(x < 0) : r;
+                    long result = x - y;
+                    return ((x ^ y) & (x ^ result)) < 0 ? limit(x < 0) : result;
                 }
                 case '*' -> {
-                    long high = Math.multiplyHigh(x, y), r = x * y;
-                    return high == r >> 63 ? r : end(x < 0 != y < 0);
+                    long high = Math.multiplyHigh(x, y);
+                    long result = x * y;
+                    return high == result >> 63 ? result : limit(x < 0 != y < 0);
                 }
                 case '/' -> {
-                    return y == -1 ? whole('-', 0, x) : x / y;
+                    return y == -1 ? saturated('-', 0, x) : x / y;
                 }
                 default -> {
                     return y == -1 ? 0 : x % y;
@@ -265,214 +329,263 @@
             }
         }
 
-        private static long end(boolean negative) {
+        private static long limit(boolean negative) {
             return negative ? Long.MIN_VALUE : Long.MAX_VALUE;
         }
     }
 
-    static final class Compare extends Node {
-        final String op;
-        final Node a, b;
-        private final boolean fraction, less, equal, not;
+    /** Compares two numbers or two booleans. NaN is equal to nothing and neither less nor greater than anything. */
+    static final class NumberComparison extends Node {
+        private static final int UNORDERED = 2;
+
+        final String operator;
+        final Node left;
+        final Node right;
+        private final boolean isFractional;
+        private final boolean isLess;
+        private final boolean includesEqual;
+        private final boolean negated;
+
+        NumberComparison(String operator, Node left, Node right) {
+            super(Type.BOOL, 1, left, right);
+            this.operator = operator;
+            this.left = left;
+            this.right = right;
+            isFractional = left.type.isFractional() || right.type.isFractional();
+            isLess = operator.charAt(0) == '<';
+            includesEqual = operator.endsWith("=");
+            negated = operator.charAt(0) == '!';
+        }
 
-        Compare(String op, Node a, Node b) {
-            super(Type.BOOL, 1, a, b);
-            this.op = op;
-            this.a = a;
-            this.b = b;
-            fraction = a.type.isFractional() || b.type.isFractional();
-            less = op.charAt(0) == '<';
-            equal = op.endsWith("=");
-            not = op.charAt(0) == '!';
+        @Override String label() {
+            return "compare";
         }
 
-        @Override void compute(Frame f) {
-            int c;
-            if (fraction) {
-                double x = a.number(f), y = b.number(f);
-                c = x < y ? -1 : x > y ? 1 : x == y ? 0 : 2;     // 2: no number, which compares with nothing
+        @Override void compute(Frame frame) {
+            int order;
+            if (isFractional) {
+                double x = left.evaluateDouble(frame);
+                double y = right.evaluateDouble(frame);
+                order = x < y ? -1 : x > y ? 1 : x == y ? 0 : UNORDERED;
             } else {
-                c = Long.compare(a.whole(f), b.whole(f));
+                order = Long.compare(left.evaluateLong(frame), right.evaluateLong(frame));
             }
-            boolean same = op.equals("==") || not;
-            if (same) is(f, c == 0 != not);
-            else is(f, c == 0 && equal || c == (less ? -1 : 1));
+            boolean equality = operator.equals("==") || negated;
+            if (equality) putBoolean(frame, order == 0 != negated);
+            else putBoolean(frame, order == 0 && includesEqual || order == (isLess ? -1 : 1));
         }
     }
 
-    static final class Within extends Node {
-        final Node a;
-        final double low, high;
-        final long lowWhole, highWhole;
+    /** {@code x in low..high}, both inclusive. */
+    static final class InRange extends Node {
+        final Node operand;
+        final double lowDouble;
+        final double highDouble;
+        final long lowLong;
+        final long highLong;
+
+        InRange(Node operand, Constant low, Constant high) {
+            super(Type.BOOL, 1, operand);
+            this.operand = operand;
+            this.lowDouble = low.type.isFractional() ? low.doubleValue : low.longValue;
+            this.highDouble = high.type.isFractional() ? high.doubleValue : high.longValue;
+            this.lowLong = low.longValue;
+            this.highLong = high.longValue;
+        }
 
-        Within(Node a, Const low, Const high) {
-            super(Type.BOOL, 1, a);
-            this.a = a;
-            this.low = low.type.isFractional() ? low.number : low.whole;
-            this.high = high.type.isFractional() ? high.number : high.whole;
-            this.lowWhole = low.whole;
-            this.highWhole = high.whole;
+        @Override String label() {
+            return "within";
         }
 
-        @Override void compute(Frame f) {
-            if (a.type.isFractional()) {
-                double x = a.number(f);
-                is(f, x >= low && x <= high);
+        @Override void compute(Frame frame) {
+            if (operand.type.isFractional()) {
+                double value = operand.evaluateDouble(frame);
+                putBoolean(frame, value >= lowDouble && value <= highDouble);
             } else {
-                long x = a.whole(f);
-                is(f, x >= lowWhole && x <= highWhole);
+                long value = operand.evaluateLong(frame);
+                putBoolean(frame, value >= lowLong && value <= highLong);
             }
         }
     }
 
-    /** Bytes against constants, by one hash and one comparison; or a number among some, by halving. */
-    static final class Among extends Node {
-        final Node a;
-        final byte[][] texts;                               // by hash, open addressing
-        final long[] wholes;
-        private final int longest;
+    /** {@code x in [...]}: bytes by one lookup in a hash table of constants, an integer by binary search. */
+    static final class InSet extends Node {
+        /** Steps of a binary search, whatever the size of the list: 2^64 values at most. */
+        static final int BINARY_SEARCH_STEPS = 64;
+
+        final Node operand;
+        /** A hash table with open addressing; its size is a power of two. Null for integers. */
+        final byte[][] byteStrings;
+        /** In ascending order; null for bytes. */
+        final long[] integers;
+        private final int maxLength;
 
-        Among(Node a, byte[][] texts, long[] wholes, int longest, long own) {
-            super(Type.BOOL, own, a);
-            this.a = a;
-            this.texts = texts;
-            this.wholes = wholes;
-            this.longest = longest;
+        InSet(Node operand, byte[][] byteStrings, long[] integers, int maxLength, long ownSteps) {
+            super(Type.BOOL, ownSteps, operand);
+            this.operand = operand;
+            this.byteStrings = byteStrings;
+            this.integers = integers;
+            this.maxLength = maxLength;
         }
 
-        @Override void compute(Frame f) {
-            a.need(f);
-            if (wholes != null) {
-                f.steps += 64;
-                is(f, java.util.Arrays.binarySearch(wholes, f.whole[a.slot]) >= 0);
+        @Override String label() {
+            return "among";
+        }
+
+        @Override void compute(Frame frame) {
+            operand.evaluate(frame);
+            if (integers != null) {
+                frame.steps += BINARY_SEARCH_STEPS;
+                putBoolean(frame, Arrays.binarySearch(integers, frame.longs[operand.slot]) >= 0);
                 return;
             }
-            int n = length(f, a);
-            if (n > longest) {
-                is(f, false);
+            int length = operand.length(frame);
+            if (length > maxLength) {
+                putBoolean(frame, false);
                 return;
             }
-            f.steps += 2L * n;
-            byte[] b = f.bytes[a.slot];
-            int from = f.from[a.slot], at = (int) Hash.of(b, from, from + n) & texts.length - 1;
-            for (byte[] t; (t = texts[at]) != null; at = at + 1 & texts.length - 1) {
-                f.steps++;
-                if (t.length == n && java.util.Arrays.equals(t, 0, n, b, from, from + n)) {
-                    is(f, true);
+            frame.steps += 2L * length;
+            byte[] value = frame.bytes[operand.slot];
+            int start = frame.starts[operand.slot];
+            int end = start + length;
+            int index = (int) Hash.of(value, start, end) & byteStrings.length - 1;
+            while (byteStrings[index] != null) {
+                byte[] candidate = byteStrings[index];
+                frame.steps++;
+                if (candidate.length == length && Arrays.equals(candidate, 0, length, value, start, end)) {
+                    putBoolean(frame, true);
                     return;
                 }
+                index = index + 1 & byteStrings.length - 1;
             }
-            is(f, false);
-        }
-
-        private static int length(Frame f, Node a) {
-            return f.to[a.slot] - f.from[a.slot];
+            putBoolean(frame, false);
         }
     }
 
-    /** Two byte strings the same; costs the shorter. */
-    static final class Same extends Node {
-        final Node a, b;
-        private final boolean not;
+    /** {@code ==} and {@code !=} of two byte strings. Costs the length of the shorter at most. */
+    static final class BytesEquality extends Node {
+        final Node left;
+        final Node right;
+        private final boolean negated;
+
+        BytesEquality(Node left, Node right, boolean negated, long ownSteps) {
+            super(Type.BOOL, ownSteps, left, right);
+            this.left = left;
+            this.right = right;
+            this.negated = negated;
+        }
 
-        boolean not() {
-            return not;
+        boolean isNegated() {
+            return negated;
         }
 
-        Same(Node a, Node b, boolean not, long own) {
-            super(Type.BOOL, own, a, b);
-            this.a = a;
-            this.b = b;
-            this.not = not;
+        @Override String label() {
+            return "same";
         }
 
-        @Override void compute(Frame f) {
-            a.need(f);
-            b.need(f);
-            int n = a.length(f);
-            boolean same = n == b.length(f);
-            if (same) {
-                f.steps += n;
-                same = java.util.Arrays.equals(f.bytes[a.slot], f.from[a.slot], f.to[a.slot], f.bytes[b.slot],
-                    f.from[b.slot], f.to[b.slot]);
+        @Override void compute(Frame frame) {
+            left.evaluate(frame);
+            right.evaluate(frame);
+            int length = left.length(frame);
+            boolean equal = length == right.length(frame);
+            if (equal) {
+                frame.steps += length;
+                equal = Arrays.equals(frame.bytes[left.slot], frame.starts[left.slot], frame.ends[left.slot],
+                    frame.bytes[right.slot], frame.starts[right.slot], frame.ends[right.slot]);
             }
-            is(f, same != not);
+            putBoolean(frame, equal != negated);
         }
     }
 
-    /** Whether a constant stands at the begin, at the end or anywhere. */
-    static final class Stands extends Node {
-        final Node a;
-        final byte[] what;
-        final char where;                                   // '^', '$', '*'
+    /** {@code starts}, {@code ends} and {@code contains}: a search for a constant at the start, the end or anywhere. */
+    static final class SubstringTest extends Node {
+        final Node operand;
+        final byte[] pattern;
+        /** '^' for the start, '$' for the end, '*' for anywhere. */
+        final char anchor;
 
-        Stands(Node a, byte[] what, char where, long own) {
-            super(Type.BOOL, own, a);
-            this.a = a;
-            this.what = what;
-            this.where = where;
+        SubstringTest(Node operand, byte[] pattern, char anchor, long ownSteps) {
+            super(Type.BOOL, ownSteps, operand);
+            this.operand = operand;
+            this.pattern = pattern;
+            this.anchor = anchor;
         }
 
-        @Override void compute(Frame f) {
-            a.need(f);
-            byte[] b = f.bytes[a.slot];
-            int from = f.from[a.slot], to = f.to[a.slot], last = to - what.length;
+        @Override String label() {
+            return "stands";
+        }
+
+        @Override void compute(Frame frame) {
+            operand.evaluate(frame);
+            byte[] value = frame.bytes[operand.slot];
+            int first = frame.starts[operand.slot];
+            int last = frame.ends[operand.slot] - pattern.length;
             boolean found = false;
-            if (last >= from) {
-                if (where == '^') found = at(f, b, from);
-                else if (where == '$') found = at(f, b, last);
-                else for (int i = from; i <= last && !found; i++) found = at(f, b, i);
+            if (last >= first) {
+                if (anchor == '^') found = matchesAt(frame, value, first);
+                else if (anchor == '$') found = matchesAt(frame, value, last);
+                else for (int i = first; i <= last && !found; i++) found = matchesAt(frame, value, i);
             }
-            is(f, found);
+            putBoolean(frame, found);
         }
 
-        private boolean at(Frame f, byte[] b, int i) {
-            for (int k = 0; k < what.length; k++) {
-                f.steps++;
-                if (b[i + k] != what[k]) return false;
+        private boolean matchesAt(Frame frame, byte[] value, int offset) {
+            for (int i = 0; i < pattern.length; i++) {
+                frame.steps++;
+                if (value[offset + i] != pattern[i]) return false;
             }
             return true;
         }
     }
 
-    /** The piece of this number where a text is cut at a constant, into so many at most; the last holds the rest. */
-    static final class Piece extends Node {
-        final Node a;
-        private final byte[] at;
-        private final int number, most;
+    /**
+     * {@code split(x, separator, maxPieces)[index]}: one piece of a byte string; the last of {@code maxPieces} pieces
+     * holds the rest. Absent if there are fewer pieces.
+     */
+    static final class SplitPiece extends Node {
+        final Node operand;
+        private final byte[] separator;
+        private final int index;
+        private final int maxPieces;
+
+        SplitPiece(Node operand, byte[] separator, int index, int maxPieces, long ownSteps) {
+            super(operand.type.asRequired().asOptional(), ownSteps, operand);
+            this.operand = operand;
+            this.separator = separator;
+            this.index = index;
+            this.maxPieces = maxPieces;
+        }
 
-        Piece(Node a, byte[] at, int number, int most, long own) {
-            super(a.type.asRequired().asOptional(), own, a);
-            this.a = a;
-            this.at = at;
-            this.number = number;
-            this.most = most;
+        @Override String label() {
+            return "piece";
         }
 
-        @Override void compute(Frame f) {
-            a.need(f);
-            byte[] b = f.bytes[a.slot];
-            int from = f.from[a.slot], to = f.to[a.slot], begin = from;
+        @Override void compute(Frame frame) {
+            operand.evaluate(frame);
+            byte[] value = frame.bytes[operand.slot];
+            int valueEnd = frame.ends[operand.slot];
+            int start = frame.starts[operand.slot];
             for (int piece = 0;; piece++) {
-                int end = piece == most - 1 ? to : find(f, b, begin, to);
-                if (piece == number) {
-                    f.put(slot, b, begin, end);
+                int end = piece == maxPieces - 1 ? valueEnd : findSeparator(frame, value, start, valueEnd);
+                if (piece == index) {
+                    frame.put(slot, value, start, end);
                     return;
                 }
-                if (end == to) {
-                    f.putAbsent(slot);
+                if (end == valueEnd) {
+                    frame.putAbsent(slot);
                     return;
                 }
-                begin = end + at.length;
+                start = end + separator.length;
             }
         }
 
-        private int find(Frame f, byte[] b, int from, int to) {
-            outer:
-            for (int i = from; i <= to - at.length; i++) {
-                for (int k = 0; k < at.length; k++) {
-                    f.steps++;
-                    if (b[i + k] != at[k]) continue outer;
+        /** The offset of the next separator, {@code to} if there is none. */
+        private int findSeparator(Frame frame, byte[] value, int from, int to) {
+            candidates:
+            for (int i = from; i <= to - separator.length; i++) {
+                for (int k = 0; k < separator.length; k++) {
+                    frame.steps++;
+                    if (value[i + k] != separator[k]) continue candidates;
                 }
                 return i;
             }
@@ -480,140 +593,187 @@
         }
     }
 
-    /** The first bytes, or all but those. */
-    static final class Part extends Node {
-        final Node a;
-        private final int n;
-        private final boolean first;
+    /** {@code first(x, n)} and {@code skip(x, n)}: the first n bytes, or all after them; nothing is copied. */
+    static final class Slice extends Node {
+        final Node operand;
+        private final int length;
+        private final boolean isPrefix;
+
+        Slice(Type type, Node operand, int length, boolean isPrefix) {
+            super(type, 1, operand);
+            this.operand = operand;
+            this.length = length;
+            this.isPrefix = isPrefix;
+        }
 
-        Part(Type type, Node a, int n, boolean first) {
-            super(type, 1, a);
-            this.a = a;
-            this.n = n;
-            this.first = first;
+        @Override String label() {
+            return "part";
         }
 
-        @Override void compute(Frame f) {
-            a.need(f);
-            int cut = Math.min(f.to[a.slot], f.from[a.slot] + n);
-            f.put(slot, f.bytes[a.slot], first ? f.from[a.slot] : cut, first ? cut : f.to[a.slot]);
+        @Override void compute(Frame frame) {
+            operand.evaluate(frame);
+            int start = frame.starts[operand.slot];
+            int end = frame.ends[operand.slot];
+            int boundary = Math.min(end, start + length);
+            if (isPrefix) frame.put(slot, frame.bytes[operand.slot], start, boundary);
+            else frame.put(slot, frame.bytes[operand.slot], boundary, end);
         }
     }
 
-    /** Bytes that are made go to a place of the scratch that is this part's alone. */
-    static final class Joined extends Node {
-        final Node a, b;
-        private final int place;
+    /** {@code x + y} of byte strings. The result is written to scratch space that only this node uses. */
+    static final class Concatenation extends Node {
+        final Node left;
+        final Node right;
+        private final int scratchOffset;
 
-        Joined(Type type, Node a, Node b, int place) {
-            super(type, plus(1, type.maxLength()), a, b);
-            this.a = a;
-            this.b = b;
-            this.place = place;
+        Concatenation(Type type, Node left, Node right, int scratchOffset) {
+            super(type, saturatedAdd(1, type.maxLength()), left, right);
+            this.left = left;
+            this.right = right;
+            this.scratchOffset = scratchOffset;
         }
 
-        @Override void compute(Frame f) {
-            a.need(f);
-            b.need(f);
-            int n = a.length(f), m = b.length(f);
-            f.steps += n + m;
-            System.arraycopy(f.bytes[a.slot], f.from[a.slot], f.scratch, place, n);
-            System.arraycopy(f.bytes[b.slot], f.from[b.slot], f.scratch, place + n, m);
-            f.put(slot, f.scratch, place, place + n + m);
+        @Override String label() {
+            return "joined";
+        }
+
+        @Override void compute(Frame frame) {
+            left.evaluate(frame);
+            right.evaluate(frame);
+            int leftLength = left.length(frame);
+            int rightLength = right.length(frame);
+            int middle = scratchOffset + leftLength;
+            frame.steps += leftLength + rightLength;
+            System.arraycopy(frame.bytes[left.slot], frame.starts[left.slot], frame.scratch, scratchOffset, leftLength);
+            System.arraycopy(frame.bytes[right.slot], frame.starts[right.slot], frame.scratch, middle, rightLength);
+            frame.put(slot, frame.scratch, scratchOffset, middle + rightLength);
         }
     }
 
-    static final class Lower extends Node {
-        final Node a;
-        private final int place;
+    /** {@code lower(x)}: ASCII letters in lower case, written to scratch space that only this node uses. */
+    static final class ToLowerCase extends Node {
+        final Node operand;
+        private final int scratchOffset;
+
+        ToLowerCase(Node operand, int scratchOffset) {
+            super(operand.type, saturatedAdd(1, operand.type.maxLength()), operand);
+            this.operand = operand;
+            this.scratchOffset = scratchOffset;
+        }
 
-        Lower(Node a, int place) {
-            super(a.type, plus(1, a.type.maxLength()), a);
-            this.a = a;
-            this.place = place;
+        @Override String label() {
+            return "lower";
         }
 
-        @Override void compute(Frame f) {
-            a.need(f);
-            int n = a.length(f), from = f.from[a.slot];
-            f.steps += n;
-            byte[] b = f.bytes[a.slot];
-            for (int i = 0; i < n; i++) {
-                byte c = b[from + i];
-                f.scratch[place + i] = c >= 'A' && c <= 'Z' ? (byte) (c + 32) : c;
+        @Override void compute(Frame frame) {
+            operand.evaluate(frame);
+            int length = operand.length(frame);
+            int start = frame.starts[operand.slot];
+            byte[] value = frame.bytes[operand.slot];
+            frame.steps += length;
+            for (int i = 0; i < length; i++) {
+                byte c = value[start + i];
+                frame.scratch[scratchOffset + i] = c >= 'A' && c <= 'Z' ? (byte) (c + ('a' - 'A')) : c;
             }
-            f.put(slot, f.scratch, place, place + n);
+            frame.put(slot, frame.scratch, scratchOffset, scratchOffset + length);
         }
     }
 
-    /** Digits to an integer; absent where it is none, empty, or too large. */
-    static final class Digits extends Node {
-        final Node a;
-        private final int base, most;
+    /** {@code decimal(x)} and {@code hex(x)}: an integer from digits; absent if empty, not all digits or too large. */
+    static final class ParseInteger extends Node {
+        /** 2^64 - 1 has 16 hexadecimal digits. */
+        private static final int MAX_HEX_DIGITS = 16;
+        /** 2^63 - 1 has 19 decimal digits. */
+        private static final int MAX_DECIMAL_DIGITS = 19;
+        /** Covers one for the node and one for each digit. */
+        private static final int OWN_STEPS = 21;
 
-        Digits(Node a, int base) {
-            super(Type.INT.asOptional(), 21, a);
-            this.a = a;
+        final Node operand;
+        private final int base;
+        private final int maxDigits;
+
+        ParseInteger(Node operand, int base) {
+            super(Type.INT.asOptional(), OWN_STEPS, operand);
+            this.operand = operand;
             this.base = base;
-            this.most = base == 16 ? 16 : 19;
-        }
-
-        @Override void compute(Frame f) {
-            a.need(f);
-            int n = a.length(f);
-            f.putAbsent(slot);
-            if (n == 0 || n > most) return;
-            long v = 0;
-            for (int i = f.from[a.slot]; i < f.to[a.slot]; i++) {
-                f.steps++;
-                byte c = f.bytes[a.slot][i];
-                int d = c < 0 ? -1 : Character.digit(c, base);
-                if (d < 0) return;
-                if (base == 10 && v > (Long.MAX_VALUE - d) / 10) return;
-                v = v * base + d;
+            this.maxDigits = base == 16 ? MAX_HEX_DIGITS : MAX_DECIMAL_DIGITS;
+        }
+
+        @Override String label() {
+            return "digits";
+        }
+
+        @Override void compute(Frame frame) {
+            operand.evaluate(frame);
+            int length = operand.length(frame);
+            frame.putAbsent(slot);
+            if (length == 0 || length > maxDigits) return;
+            long value = 0;
+            for (int i = frame.starts[operand.slot]; i < frame.ends[operand.slot]; i++) {
+                frame.steps++;
+                byte c = frame.bytes[operand.slot][i];
+                int digit = c < 0 ? -1 : Character.digit(c, base);
+                if (digit < 0) return;
+                if (base == 10 && value > (Long.MAX_VALUE - digit) / 10) return;
+                value = value * base + digit;
             }
-            f.put(slot, v);
+            frame.put(slot, value);
         }
     }
 
+    /** {@code length(x)}: the length of a byte string. */
     static final class Length extends Node {
-        final Node a;
+        final Node operand;
+
+        Length(Node operand) {
+            super(Type.INT, 1, operand);
+            this.operand = operand;
+        }
 
-        Length(Node a) {
-            super(Type.INT, 1, a);
-            this.a = a;
+        @Override String label() {
+            return "length";
         }
 
-        @Override void compute(Frame f) {
-            a.need(f);
-            f.put(slot, (long) a.length(f));
+        @Override void compute(Frame frame) {
+            operand.evaluate(frame);
+            frame.put(slot, (long) operand.length(frame));
         }
     }
 
+    /** {@code hash(x)}: a 64-bit hash of bytes (FNV-1a) or of an integer, finished by a mixing function. */
     static final class Hash extends Node {
-        final Node a;
+        private static final long FNV_PRIME = 0x100000001b3L;
+
+        final Node operand;
 
-        Hash(Node a, long own) {
-            super(Type.INT, own, a);
-            this.a = a;
+        Hash(Node operand, long ownSteps) {
+            super(Type.INT, ownSteps, operand);
+            this.operand = operand;
         }
 
-        @Override void compute(Frame f) {
-            a.need(f);
-            if (a.type.kind() == Type.Kind.INT) {
-                f.put(slot, mix(f.whole[a.slot]));
+        @Override String label() {
+            return "hash";
+        }
+
+        @Override void compute(Frame frame) {
+            operand.evaluate(frame);
+            int from = operand.slot;
+            if (operand.type.kind() == Type.Kind.INT) {
+                frame.put(slot, mix(frame.longs[from]));
             } else {
-                f.steps += a.length(f);
-                f.put(slot, of(f.bytes[a.slot], f.from[a.slot], f.to[a.slot]));
+                frame.steps += operand.length(frame);
+                frame.put(slot, of(frame.bytes[from], frame.starts[from], frame.ends[from]));
             }
         }
 
-        static long of(byte[] b, int from, int to) {
-            long h = to - from;
-            for (int i = from; i < to; i++) h = (h ^ b[i]) * 0x100000001b3L;
-            return mix(h);
+        /** FNV-1a of signed bytes, with the length in place of the usual offset basis. */
+        static long of(byte[] bytes, int start, int end) {
+            long hash = end - start;
+            for (int i = start; i < end; i++) hash = (hash ^ bytes[i]) * FNV_PRIME;
+            return mix(hash);
         }
 
+        /** The finalizer of SplitMix64. */
         static long mix(long x) {
             x = (x ^ (x >>> 30)) * 0xbf58476d1ce4e5b9L;
             x = (x ^ (x >>> 27)) * 0x94d049bb133111ebL;
@@ -621,101 +781,129 @@
         }
     }
 
-    /** 0 to n - 1, evenly. */
+    /** {@code bucket(x, n)}: the unsigned remainder, from 0 to n - 1; uniform if the operand is. */
     static final class Bucket extends Node {
-        final Node a;
-        private final long n;
+        final Node operand;
+        private final long bucketCount;
+
+        Bucket(Node operand, long bucketCount) {
+            super(Type.INT, 1, operand);
+            this.operand = operand;
+            this.bucketCount = bucketCount;
+        }
 
-        Bucket(Node a, long n) {
-            super(Type.INT, 1, a);
-            this.a = a;
-            this.n = n;
+        @Override String label() {
+            return "bucket";
         }
 
-        @Override void compute(Frame f) {
-            f.put(slot, Long.remainderUnsigned(a.whole(f), n));
+        @Override void compute(Frame frame) {
+            frame.put(slot, Long.remainderUnsigned(operand.evaluateLong(frame), bucketCount));
         }
     }
 
+    /** {@code in_cidr(address, range)}: whether an address is in a network; never for one of the other IP version. */
     static final class InCidr extends Node {
-        final Node a;
-        private final byte[] net;
-        private final int bits;
-
-        InCidr(Node a, byte[] net, int bits) {
-            super(Type.BOOL, 17, a);
-            this.a = a;
-            this.net = net;
-            this.bits = bits;
-        }
-
-        @Override void compute(Frame f) {
-            a.need(f);
-            boolean in = a.length(f) == net.length;
-            for (int i = 0; in && i < bits; i += 8) {
-                f.steps++;
-                int mask = bits - i >= 8 ? 0xff : 0xff << 8 - (bits - i);
-                in = ((f.bytes[a.slot][f.from[a.slot] + i / 8] ^ net[i / 8]) & mask & 0xff) == 0;
+        /** One for the node and one for each byte of an IPv6 address. */
+        private static final int OWN_STEPS = 17;
+
+        final Node operand;
+        private final byte[] network;
+        private final int prefixBits;
+
+        InCidr(Node operand, byte[] network, int prefixBits) {
+            super(Type.BOOL, OWN_STEPS, operand);
+            this.operand = operand;
+            this.network = network;
+            this.prefixBits = prefixBits;
+        }
+
+        @Override String label() {
+            return "incidr";
+        }
+
+        @Override void compute(Frame frame) {
+            operand.evaluate(frame);
+            byte[] address = frame.bytes[operand.slot];
+            int start = frame.starts[operand.slot];
+            boolean matches = operand.length(frame) == network.length;
+            for (int bit = 0; matches && bit < prefixBits; bit += 8) {
+                frame.steps++;
+                int left = prefixBits - bit;
+                int mask = left >= 8 ? 0xff : 0xff << 8 - left;
+                matches = ((address[start + bit / 8] ^ network[bit / 8]) & mask & 0xff) == 0;
             }
-            is(f, in);
+            putBoolean(frame, matches);
         }
     }
 
-    /** Time since midnight, or the day of the week from Monday = 1, at a fixed distance from UTC. */
-    static final class Clock extends Node {
+    /** {@code time_of_day(offset)} and {@code weekday(offset)}, Monday = 1, at a fixed offset from UTC. */
+    static final class TimeField extends Node {
         private static final double DAY_MS = 86_400_000;
-        private final double offset;
-        private final boolean day;
+        /** 1 January 1970 was a Thursday, three days after a Monday. */
+        private static final int EPOCH_DAYS_AFTER_MONDAY = 3;
+
+        private final double offsetMs;
+        private final boolean isWeekday;
+
+        TimeField(double offsetMs, boolean isWeekday) {
+            super(isWeekday ? Type.INT : Type.DURATION, 1);
+            this.offsetMs = offsetMs;
+            this.isWeekday = isWeekday;
+        }
 
-        Clock(double offset, boolean day) {
-            super(day ? Type.INT : Type.DURATION, 1);
-            this.offset = offset;
-            this.day = day;
+        @Override String label() {
+            return "clock";
         }
 
-        @Override void compute(Frame f) {
-            double days = Math.floor((f.now + offset) / DAY_MS);
-            if (day) f.put(slot, 1 + Math.floorMod((long) days + 3, 7L));
-            else f.put(slot, f.now + offset - days * DAY_MS);
+        @Override void compute(Frame frame) {
+            double days = Math.floor((frame.nowMs + offsetMs) / DAY_MS);
+            if (isWeekday) frame.put(slot, 1 + Math.floorMod((long) days + EPOCH_DAYS_AFTER_MONDAY, 7L));
+            else frame.put(slot, frame.nowMs + offsetMs - days * DAY_MS);
         }
     }
 
-    /** A pattern on a bounded text, by an engine whose time is linear in it. */
-    static final class Matches extends Node implements CharSequence {
-        final Node a;
+    /** {@code matches(x, pattern)}: a search for a regular expression, by an engine of linear time (RE2). */
+    static final class RegexMatch extends Node implements CharSequence {
+        final Node operand;
         private final Pattern pattern;
-        private Matcher matcher;                            // one lookup at a time is evaluated, under the desk's lock
-        private byte[] b;
-        private int from, to;
-
-        Matches(Node a, Pattern pattern, long own) {
-            super(Type.BOOL, own, a);
-            this.a = a;
+        /** Reused: the director's lock ensures that one lookup is evaluated at a time. */
+        private Matcher matcher;
+        private byte[] input;
+        private int start;
+        private int end;
+
+        RegexMatch(Node operand, Pattern pattern, long ownSteps) {
+            super(Type.BOOL, ownSteps, operand);
+            this.operand = operand;
             this.pattern = pattern;
         }
 
-        @Override void compute(Frame f) {
-            a.need(f);
-            b = f.bytes[a.slot];
-            from = f.from[a.slot];
-            to = f.to[a.slot];
-            f.steps += own - 1;
+        @Override String label() {
+            return "matches";
+        }
+
+        @Override void compute(Frame frame) {
+            operand.evaluate(frame);
+            input = frame.bytes[operand.slot];
+            start = frame.starts[operand.slot];
+            end = frame.ends[operand.slot];
+            frame.steps += ownSteps - 1;
             if (matcher == null) matcher = pattern.matcher(this);
             else matcher.reset(this);
-            is(f, matcher.find());
-            b = null;
+            putBoolean(frame, matcher.find());
+            input = null;
         }
 
         @Override public int length() {
-            return to - from;
+            return end - start;
         }
 
-        @Override public char charAt(int i) {
-            return (char) (b[from + i] & 0xff);
+        @Override public char charAt(int index) {
+            return (char) (input[start + index] & 0xff);
         }
 
-        @Override public CharSequence subSequence(int x, int y) {
-            return new String(b, from + x, y - x, java.nio.charset.StandardCharsets.ISO_8859_1);
+        @Override public CharSequence subSequence(int from, int to) {
+            return new String(input, start + from, to - from, StandardCharsets.ISO_8859_1);
         }
     }
 }
--- a/src/main/java/mothcross/expr/Parser.java
+++ b/src/main/java/mothcross/expr/Parser.java
@@ -6,199 +6,244 @@
 import java.util.List;
 
 /**
- * From text to tree, by hand: one method for each strength of operator. Owns the grammar (docs/operate/routes.md has
- * it); must never know a type, and never go deeper than {@link #DEEPEST} or take more than {@link #LONGEST} characters.
+ * A recursive-descent lexer and parser with one level of recursion for each operator precedence. The grammar is in
+ * docs/operate/routes.md. The parser knows no types. The length of the source text and the depth of nesting are
+ * limited, so that parsing can neither take long nor overflow the stack.
  */
 final class Parser {
-    static final int LONGEST = 4000, DEEPEST = 60;
-    private static final String[][] LEVELS = {{"||"}, {"&&"}, {"==", "!=", "<=", ">=", "<", ">", "in"}, {"??"}, {"+",
-        "-"},
+    static final int MAX_SOURCE_CHARS = 4000;
+    /** Levels of parentheses, calls, lists and the like. */
+    static final int MAX_NESTING = 60;
+    /** From the weakest to the strongest; where one is the start of another, the longer comes first. */
+    private static final String[][] OPERATORS_BY_PRECEDENCE = {
+        {"||"},
+        {"&&"},
+        {"==", "!=", "<=", ">=", "<", ">", "in"},
+        {"??"},
+        {"+", "-"},
         {"*", "/", "%"}};
+    private static final int COMPARISON_PRECEDENCE = 2;
+    private static final int SUM_PRECEDENCE = 4;
+    /** Each level of nesting recurses once for each precedence and once for the unary operators. */
+    private static final int MAX_RECURSION = MAX_NESTING * (OPERATORS_BY_PRECEDENCE.length + 1);
 
-    private final String text;
-    private int at, depth;
+    private final String source;
+    private int position;
+    private int depth;
 
-    private Parser(String text) {
-        this.text = text;
+    private Parser(String source) {
+        this.source = source;
     }
 
-    static SyntaxTree parse(String text) throws ExpressionException {
-        Parser p = new Parser(text);
-        if (text.length() > LONGEST) throw p.bad(LONGEST, text.length(), "longer than " + LONGEST + " characters",
-            null);
-        SyntaxTree t = p.level(0);
-        p.blank();
-        if (p.at < text.length()) throw p.bad(p.at, p.at + 1, "nothing more is expected here", null);
-        return t;
+    static SyntaxTree parse(String source) throws ExpressionException {
+        Parser parser = new Parser(source);
+        if (source.length() > MAX_SOURCE_CHARS) {
+            throw parser.error(MAX_SOURCE_CHARS, source.length(), "longer than " + MAX_SOURCE_CHARS + " characters",
+                null);
+        }
+        SyntaxTree tree = parser.binary(0);
+        parser.skipWhitespace();
+        if (parser.position < source.length()) throw parser.errorHere("nothing more is expected here");
+        return tree;
+    }
+
+    private ExpressionException error(int from, int to, String message, String hint) {
+        return new ExpressionException(source, from, to, message, hint);
     }
 
-    private ExpressionException bad(int from, int to, String message, String hint) {
-        return new ExpressionException(text, from, to, message, hint);
+    /** An error at the next character. */
+    private ExpressionException errorHere(String message) {
+        return error(position, position + 1, message, null);
     }
 
-    private void blank() {
-        while (at < text.length()) {
-            char c = text.charAt(at);
-            if (c == '#') while (at < text.length() && text.charAt(at) != '\n') at++;
-            else if (Character.isWhitespace(c)) at++;
+    /** Skips whitespace and comments. */
+    private void skipWhitespace() {
+        while (!atEnd()) {
+            char c = source.charAt(position);
+            if (c == '#') skipLine();
+            else if (Character.isWhitespace(c)) position++;
             else return;
         }
     }
 
-    private boolean next(String what) {
-        int before = at;
-        blank();
-        int end = at + what.length();
-        boolean here = text.startsWith(what, at);
-        boolean word = Character.isLetter(what.charAt(what.length() - 1));
-        if (word && end < text.length() && wordly(text.charAt(end))) here = false;
-        // "<" is not the begin of "<=", and "!" not that of "!=".
-        boolean may = what.equals("<") || what.equals(">") || what.equals("!");
-        if (may && text.startsWith("=", end)) here = false;
-        at = here ? end : before;
-        return here;
+    private void skipLine() {
+        while (!atEnd() && source.charAt(position) != '\n') position++;
+    }
+
+    private boolean atEnd() {
+        return position >= source.length();
     }
 
-    private void need(String what, String why) throws ExpressionException {
-        blank();
-        if (!next(what)) throw bad(at, at + 1, "'" + what + "' is expected here, " + why, null);
+    /** Consumes a token if it is the next one. */
+    private boolean accept(String token) {
+        int before = position;
+        skipWhitespace();
+        int end = position + token.length();
+        boolean found = source.startsWith(token, position);
+        boolean isWord = Character.isLetter(token.charAt(token.length() - 1));
+        if (isWord && end < source.length() && isNameCharacter(source.charAt(end))) found = false;
+        // "<", ">" and "!" are not tokens where they begin "<=", ">=" and "!=".
+        boolean mayBePrefix = token.equals("<") || token.equals(">") || token.equals("!");
+        if (mayBePrefix && source.startsWith("=", end)) found = false;
+        position = found ? end : before;
+        return found;
     }
 
-    private static boolean wordly(char c) {
+    private void expect(String token, String reason) throws ExpressionException {
+        skipWhitespace();
+        if (!accept(token)) throw errorHere("'" + token + "' is expected here, " + reason);
+    }
+
+    private static boolean isNameCharacter(char c) {
         return Character.isLetterOrDigit(c) || c == '_';
     }
 
-    private SyntaxTree level(int level) throws ExpressionException {
-        if (++depth > DEEPEST * (LEVELS.length + 1)) throw bad(at, at + 1, "nested too deeply", null);
+    private SyntaxTree binary(int precedence) throws ExpressionException {
+        if (++depth > MAX_RECURSION) throw errorHere("nested too deeply");
         try {
-            if (level == LEVELS.length) return unary();
-            SyntaxTree a = level(level + 1);
+            if (precedence == OPERATORS_BY_PRECEDENCE.length) return unary();
+            SyntaxTree left = binary(precedence + 1);
             while (true) {
-                String op = null;
-                for (String o : LEVELS[level]) if (op == null && next(o)) op = o;
-                if (op == null) return a;
-                SyntaxTree b = op.equals("in") ? among() : level(level + 1);
-                a = new SyntaxTree.Binary(a.from(), b.to(), op, a, b);
-                // Comparisons do not chain: a < b < c would compare a truth.
-                if (level == 2) return a;
+                String operator = acceptOperator(precedence);
+                if (operator == null) return left;
+                SyntaxTree right = operator.equals("in") ? rangeOrList() : binary(precedence + 1);
+                left = new SyntaxTree.Binary(left.from(), right.to(), operator, left, right);
+                // Comparisons do not chain: a < b < c would compare a boolean with a number.
+                if (precedence == COMPARISON_PRECEDENCE) return left;
             }
         } finally {
             depth--;
         }
     }
 
-    private SyntaxTree among() throws ExpressionException {
-        blank();
-        int from = at;
-        if (!next("[")) {
-            SyntaxTree low = level(4);
-            need("..", "between the ends of a range");
-            SyntaxTree high = level(4);
+    private String acceptOperator(int precedence) {
+        for (String operator : OPERATORS_BY_PRECEDENCE[precedence]) if (accept(operator)) return operator;
+        return null;
+    }
+
+    private SyntaxTree rangeOrList() throws ExpressionException {
+        skipWhitespace();
+        int from = position;
+        if (!accept("[")) {
+            SyntaxTree low = binary(SUM_PRECEDENCE);
+            expect("..", "between the ends of a range");
+            SyntaxTree high = binary(SUM_PRECEDENCE);
             return new SyntaxTree.Range(from, high.to(), low, high);
         }
-        List<SyntaxTree> all = list("]");
-        return new SyntaxTree.Among(from, at, all);
+        List<SyntaxTree> elements = elements("]");
+        return new SyntaxTree.ListLiteral(from, position, elements);
     }
 
-    private List<SyntaxTree> list(String end) throws ExpressionException {
-        List<SyntaxTree> all = new ArrayList<>();
-        if (next(end)) return all;
-        do all.add(level(0)); while (next(","));
-        need(end, "at the end of the list");
-        return all;
+    private List<SyntaxTree> elements(String end) throws ExpressionException {
+        List<SyntaxTree> elements = new ArrayList<>();
+        if (accept(end)) return elements;
+        do elements.add(binary(0)); while (accept(","));
+        expect(end, "at the end of the list");
+        return elements;
     }
 
     private SyntaxTree unary() throws ExpressionException {
-        blank();
-        int from = at;
-        for (String op : new String[] {"!", "-"}) {
-            if (!next(op)) continue;
-            if (++depth > DEEPEST * (LEVELS.length + 1)) throw bad(at, at + 1, "nested too deeply", null);
-            SyntaxTree a = unary();
+        skipWhitespace();
+        int from = position;
+        for (String operator : new String[] {"!", "-"}) {
+            if (!accept(operator)) continue;
+            if (++depth > MAX_RECURSION) throw errorHere("nested too deeply");
+            SyntaxTree operand = unary();
             depth--;
-            return new SyntaxTree.Unary(from, a.to(), op, a);
+            return new SyntaxTree.Unary(from, operand.to(), operator, operand);
         }
-        SyntaxTree t = primary();
-        while (next("[")) {
-            SyntaxTree index = level(0);
-            need("]", "after the number of the piece");
-            t = new SyntaxTree.Piece(t.from(), at, t, index);
+        SyntaxTree tree = primary();
+        while (accept("[")) {
+            SyntaxTree index = binary(0);
+            expect("]", "after the number of the piece");
+            tree = new SyntaxTree.Index(tree.from(), position, tree, index);
         }
-        return t;
+        return tree;
     }
 
     private SyntaxTree primary() throws ExpressionException {
-        blank();
-        int from = at;
-        if (at == text.length()) throw bad(at, at + 1, "the expression ends where a value is expected", null);
-        if (next("(")) {
-            SyntaxTree t = level(0);
-            need(")", "to close the one at column " + (from + 1));
-            return t;
-        }
-        if (next("if")) {
-            SyntaxTree c = level(0);
-            need("then", "after the condition");
-            SyntaxTree yes = level(0);
-            need("else", "since every choice needs both ways");
-            SyntaxTree no = level(0);
-            return new SyntaxTree.Choice(from, no.to(), c, yes, no);
+        skipWhitespace();
+        int from = position;
+        if (position == source.length()) throw errorHere("the expression ends where a value is expected");
+        if (accept("(")) {
+            SyntaxTree tree = binary(0);
+            expect(")", "to close the one at column " + (from + 1));
+            return tree;
         }
-        char c = text.charAt(at);
-        if (c == '\'' || c == '"') return quoted(c);
+        if (accept("if")) return conditional(from);
+        char c = source.charAt(position);
+        if (c == '\'' || c == '"') return string(c);
         if (Character.isDigit(c)) return number();
-        if (!Character.isLetter(c) && c != '_') throw bad(at, at + 1, "a value is expected here", null);
-        while (at < text.length() && wordly(text.charAt(at))) at++;
-        String name = text.substring(from, at);
-        if (name.equals("true") || name.equals("false")) return new SyntaxTree.Truth(from, at, name.equals("true"));
-        if (next("(")) {
-            List<SyntaxTree> args = list(")");
-            return new SyntaxTree.Call(from, at, name, args);
+        if (!Character.isLetter(c) && c != '_') throw errorHere("a value is expected here");
+        while (!atEnd() && isNameCharacter(source.charAt(position))) position++;
+        String name = source.substring(from, position);
+        if (name.equals("true") || name.equals("false")) {
+            return new SyntaxTree.BooleanLiteral(from, position, name.equals("true"));
         }
-        return new SyntaxTree.Name(from, at, name);
+        if (accept("(")) {
+            List<SyntaxTree> arguments = elements(")");
+            return new SyntaxTree.Call(from, position, name, arguments);
+        }
+        return new SyntaxTree.Name(from, position, name);
+    }
+
+    private SyntaxTree conditional(int from) throws ExpressionException {
+        SyntaxTree condition = binary(0);
+        expect("then", "after the condition");
+        SyntaxTree thenBranch = binary(0);
+        expect("else", "since every 'if' needs both branches");
+        SyntaxTree elseBranch = binary(0);
+        return new SyntaxTree.Conditional(from, elseBranch.to(), condition, thenBranch, elseBranch);
     }
 
-    private SyntaxTree number() throws ExpressionException {
-        int from = at;
-        while (at < text.length() && Character.isDigit(text.charAt(at))) at++;
-        boolean range = text.startsWith("..", at);
-        if (!range && at < text.length() && text.charAt(at) == '.') {
-            at++;
-            while (at < text.length() && Character.isDigit(text.charAt(at))) at++;
+    private SyntaxTree number() {
+        int from = position;
+        skipDigits();
+        boolean isRange = source.startsWith("..", position);
+        if (!isRange && !atEnd() && source.charAt(position) == '.') {
+            position++;
+            skipDigits();
         }
-        String digits = text.substring(from, at);
-        int unit = at;
-        while (at < text.length() && Character.isLetter(text.charAt(at))) at++;
-        return new SyntaxTree.Number(from, at, digits, text.substring(unit, at));
+        String digits = source.substring(from, position);
+        int unitStart = position;
+        while (!atEnd() && Character.isLetter(source.charAt(position))) position++;
+        return new SyntaxTree.NumberLiteral(from, position, digits, source.substring(unitStart, position));
+    }
+
+    private void skipDigits() {
+        while (!atEnd() && Character.isDigit(source.charAt(position))) position++;
     }
 
-    private SyntaxTree quoted(char mark) throws ExpressionException {
-        int from = at++;
-        ByteArrayOutputStream b = new ByteArrayOutputStream();
+    private SyntaxTree string(char quote) throws ExpressionException {
+        int from = position++;
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         while (true) {
-            if (at >= text.length()) throw bad(from, at, "the text does not end", null);
-            int c = text.codePointAt(at);
-            at += Character.charCount(c);
-            if (c == mark) return new SyntaxTree.Text(from, at, b.toByteArray());
-            if (c != '\\') {
-                b.writeBytes(new String(Character.toChars(c)).getBytes(StandardCharsets.UTF_8));
-                continue;
-            }
-            char e = at < text.length() ? text.charAt(at++) : ' ';
-            switch (e) {
-                case '\\', '\'', '"' -> b.write(e);
-                case 'n' -> b.write('\n');
-                case 't' -> b.write('\t');
-                case 'r' -> b.write('\r');
-                case 'x' -> {
-                    int high = at + 1 < text.length() ? Character.digit(text.charAt(at), 16) : -1;
-                    int low = high >= 0 ? Character.digit(text.charAt(at + 1), 16) : -1;
-                    if (low < 0) throw bad(at - 2, at + 2, "two hex digits are expected after \\x", null);
-                    b.write(16 * high + low);
-                    at += 2;
-                }
-                default -> throw bad(at - 2, at, "no such escape", "known are \\\\ \\' \\\" \\n \\r \\t \\xHH");
+            if (atEnd()) throw error(from, position, "the string does not end", null);
+            int codePoint = source.codePointAt(position);
+            position += Character.charCount(codePoint);
+            if (codePoint == quote) return new SyntaxTree.StringLiteral(from, position, bytes.toByteArray());
+            if (codePoint == '\\') escape(bytes);
+            else bytes.writeBytes(Character.toString(codePoint).getBytes(StandardCharsets.UTF_8));
+        }
+    }
+
+    /** The rest of an escape sequence, after its backslash. */
+    private void escape(ByteArrayOutputStream bytes) throws ExpressionException {
+        char escaped = atEnd() ? ' ' : source.charAt(position++);
+        switch (escaped) {
+            case '\\', '\'', '"' -> bytes.write(escaped);
+            case 'n' -> bytes.write('\n');
+            case 't' -> bytes.write('\t');
+            case 'r' -> bytes.write('\r');
+            case 'x' -> {
+                int high = position + 1 < source.length() ? Character.digit(source.charAt(position), 16) : -1;
+                int low = high >= 0 ? Character.digit(source.charAt(position + 1), 16) : -1;
+                if (low < 0) throw error(position - 2, position + 2, "two hex digits are expected after \\x", null);
+                bytes.write(16 * high + low);
+                position += 2;
             }
+            default -> throw error(position - 2, position, "no such escape",
+                "known are \\\\ \\' \\\" \\n \\r \\t \\xHH");
         }
     }
 }
--- a/src/main/java/mothcross/expr/SyntaxTree.java
+++ b/src/main/java/mothcross/expr/SyntaxTree.java
@@ -2,32 +2,40 @@
 
 import java.util.List;
 
-/** What was parsed, before types: each part with its place in the text. */
+/** The abstract syntax tree of an expression, before type checking. Each node has its position in the source text. */
 sealed interface SyntaxTree {
+    /** Offset of the first character in the source text. */
     int from();
 
+    /** Offset after the last character in the source text. */
     int to();
 
-    record Number(int from, int to, String digits, String unit) implements SyntaxTree { }
+    /** A number with an optional unit; {@code unit} is empty where there is none. */
+    record NumberLiteral(int from, int to, String digits, String unit) implements SyntaxTree { }
 
-    record Text(int from, int to, byte[] bytes) implements SyntaxTree { }
+    record StringLiteral(int from, int to, byte[] bytes) implements SyntaxTree { }
 
-    record Truth(int from, int to, boolean value) implements SyntaxTree { }
+    record BooleanLiteral(int from, int to, boolean value) implements SyntaxTree { }
 
+    /** The name of an input or of a defined expression. */
     record Name(int from, int to, String name) implements SyntaxTree { }
 
-    record Call(int from, int to, String name, List<SyntaxTree> args) implements SyntaxTree { }
+    record Call(int from, int to, String name, List<SyntaxTree> arguments) implements SyntaxTree { }
 
-    record Piece(int from, int to, SyntaxTree of, SyntaxTree index) implements SyntaxTree { }
+    /** An element by its number, as in {@code split(x, '/', 8)[2]}. */
+    record Index(int from, int to, SyntaxTree indexed, SyntaxTree index) implements SyntaxTree { }
 
-    record Unary(int from, int to, String op, SyntaxTree a) implements SyntaxTree { }
+    record Unary(int from, int to, String operator, SyntaxTree operand) implements SyntaxTree { }
 
-    record Binary(int from, int to, String op, SyntaxTree a, SyntaxTree b) implements SyntaxTree { }
+    record Binary(int from, int to, String operator, SyntaxTree left, SyntaxTree right) implements SyntaxTree { }
 
-    /** Right of {@code in}: constants, or two ends of a range, both within it. */
-    record Among(int from, int to, List<SyntaxTree> all) implements SyntaxTree { }
+    /** A list of constants, right of {@code in}. */
+    record ListLiteral(int from, int to, List<SyntaxTree> elements) implements SyntaxTree { }
 
+    /** A range {@code low..high} of constants, both inclusive, right of {@code in}. */
     record Range(int from, int to, SyntaxTree low, SyntaxTree high) implements SyntaxTree { }
 
-    record Choice(int from, int to, SyntaxTree condition, SyntaxTree yes, SyntaxTree no) implements SyntaxTree { }
+    /** {@code if condition then thenBranch else elseBranch}. */
+    record Conditional(int from, int to, SyntaxTree condition, SyntaxTree thenBranch, SyntaxTree elseBranch)
+        implements SyntaxTree { }
 }
--- a/src/main/java/mothcross/route/RouteTable.java
+++ b/src/main/java/mothcross/route/RouteTable.java
@@ -223,7 +223,7 @@
                     + workloadIndex.keySet());
                 return -1;
             }
-            List<String> admitted = match == null ? null : Dispatch.admitted(match, "workload");
+            List<String> admitted = match == null ? null : Dispatch.exactValues(match, "workload");
             for (Map.Entry<String, Integer> sent : workloadIndex.entrySet()) {
                 if (admitted != null && !admitted.contains(sent.getKey())) continue;
                 Workload from = workloads[sent.getValue()];
