--- a/src/main/java/mothcross/cli/ExprCommand.java
+++ b/src/main/java/mothcross/cli/ExprCommand.java
@@ -7,9 +7,9 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import mothcross.net.Start;
+import mothcross.net.StartupConfig;
 import mothcross.operators.OperatorsFile;
-import mothcross.operators.Part;
+import mothcross.operators.SettingsPart;
 import mothcross.route.RouteRules;
 import mothcross.route.RouteTable;
 import picocli.CommandLine;
@@ -32,10 +32,11 @@
     }
 
     /** {@code told} null: workloads and hops of the settings are not checked. */
-    static RouteTable compiled(RouteRules rules, Start told, List<String> faults) {
-        return RouteTable.compile(rules, told == null ? null : told.opening.workloads, told == null ? null
-            : told.opening.workloadTable,
-            told == null ? 1 : told.opening.directorsInZone, told == null ? NO_HOPS_TOLD : told.mostHops, null, faults);
+    static RouteTable compiled(RouteRules rules, StartupConfig told, List<String> faults) {
+        return RouteTable.compile(rules, told == null ? null : told.directorSettings.workloads,
+            told == null ? null : told.directorSettings.workloadTable,
+            told == null ? 1 : told.directorSettings.directorsInZone, told == null ? NO_HOPS_TOLD : told.maxHops, null,
+            faults);
     }
 
     private static final class Which {
@@ -46,14 +47,14 @@
         private Path config;
 
         /** Null where it has said what is wrong. */
-        RouteTable table() throws Start.Unusable {
+        RouteTable table() throws StartupConfig.InvalidConfigException {
             List<String> faults = new ArrayList<>();
             RouteTable t = null;
             try {
-                RouteRules rules = OperatorsFile.read(file).part(Part.ROUTES);
+                RouteRules rules = OperatorsFile.read(file).part(SettingsPart.ROUTES);
                 if (rules == null) faults.add(file + " has no routes");
-                else t = compiled(rules, config == null ? null : Start.read(config, null, false), faults);
-            } catch (OperatorsFile.Unusable e) {
+                else t = compiled(rules, config == null ? null : StartupConfig.read(config, null, false), faults);
+            } catch (OperatorsFile.InvalidOperatorsFileException e) {
                 for (String fault : e.faults()) faults.add(file + ": " + fault);
             }
             for (String fault : faults) System.err.println("mothcross: " + fault);
@@ -66,7 +67,7 @@
     static final class Check implements Callable<Integer> {
         @Mixin private Which which;
 
-        @Override public Integer call() throws Start.Unusable {
+        @Override public Integer call() throws StartupConfig.InvalidConfigException {
             RouteTable t = which.table();
             if (t == null) return USAGE;
             System.out.println(t.size() + " rules; a request costs at most " + t.worstCaseSteps() + " steps");
@@ -124,7 +125,7 @@
 
         @Option(names = "--header", paramLabel = "NAME:VALUE") private List<String> headers = List.of();
 
-        @Override public Integer call() throws Start.Unusable {
+        @Override public Integer call() throws StartupConfig.InvalidConfigException {
             RouteTable t = which.table();
             if (t == null) return USAGE;
             Head h = new Head(target + "\n" + String.join("\n", headers), t.headers());
--- a/src/main/java/mothcross/cli/FleetCommand.java
+++ b/src/main/java/mothcross/cli/FleetCommand.java
@@ -16,10 +16,10 @@
 import mothcross.fleet.net.AdminClient;
 import mothcross.fleet.net.FleetMessageCodec;
 import mothcross.fleet.net.FleetNode;
-import mothcross.net.Start;
-import mothcross.operators.Directors;
+import mothcross.net.StartupConfig;
+import mothcross.operators.FleetSettings;
 import mothcross.operators.OperatorsFile;
-import mothcross.operators.Part;
+import mothcross.operators.SettingsPart;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -38,12 +38,12 @@
     @Spec private CommandSpec spec;
 
     /** The member that the operators' part asks for, before it begins. */
-    static FleetNode node(Directors d, Start start, String relay, long skewMs, DoubleConsumer share) {
+    static FleetNode node(FleetSettings d, StartupConfig start, String relay, long skewMs, DoubleConsumer share) {
         FailureDetectorSettings u = FailureDetectorSettings.DEFAULTS;
         FailureDetectorSettings pace = new FailureDetectorSettings(d.periodMs(), 0.3 * d.periodMs(),
             u.indirectProbes(), u.suspicionRounds(), u.rings(), u.lowShare(),
             u.highShare(), d.silentMs(), u.proposalDelayMs(), d.holdMs(), u.forgetAfterMs());
-        int fixed = d.directors() > 0 ? d.directors() : start.opening.directorsInZone;
+        int fixed = d.directors() > 0 ? d.directors() : start.directorSettings.directorsInZone;
         List<InetSocketAddress> seeds = d.seeds().stream().map(FleetCommand::socket).toList();
         return new FleetNode(d.fleet(), start.name, socket(d.listen()), seeds, keys(d), d.file(), pace,
             new LimitShare(fixed, d.leaseMs(), 4 * d.periodMs()), relay == null ? null : socket(relay), skewMs, share);
@@ -60,7 +60,7 @@
         };
     }
 
-    static List<FleetMessageCodec.Key> keys(Directors d) {
+    static List<FleetMessageCodec.Key> keys(FleetSettings d) {
         return d.keys().stream().map(k -> new FleetMessageCodec.Key(k.id(),
             k.secret().getBytes(StandardCharsets.UTF_8))).toList();
     }
@@ -80,18 +80,18 @@
         @Option(names = "--operators", paramLabel = "FILE", required = true,
             description = "the operators' file, for the fleet's name and keys") private Path operators;
 
-        private Directors known;
+        private FleetSettings known;
 
         @Option(names = "--at", paramLabel = "HOST:PORT",
             description = "the director's address in the fleet (default: the file's)") private String at;
 
-        JsonObject ask(String what) throws IOException, OperatorsFile.Unusable {
+        JsonObject ask(String what) throws IOException, OperatorsFile.InvalidOperatorsFileException {
             return ask(what, new byte[0]);
         }
 
-        JsonObject ask(String what, byte[] body) throws IOException, OperatorsFile.Unusable {
-            if (known == null) known = OperatorsFile.read(operators).part(Part.FLEET);
-            Directors d = known;
+        JsonObject ask(String what, byte[] body) throws IOException, OperatorsFile.InvalidOperatorsFileException {
+            if (known == null) known = OperatorsFile.read(operators).part(SettingsPart.FLEET);
+            FleetSettings d = known;
             if (d == null) throw new IOException("the file has no part fleet");
             InetSocketAddress to = socket(at == null ? d.listen() : at);
             try {
@@ -103,7 +103,8 @@
     }
 
     static int failed(Exception e) {
-        return e instanceof OperatorsFile.Unusable u ? Main.plainly(u) : Main.plainly(e.getMessage());
+        return e instanceof OperatorsFile.InvalidOperatorsFileException u ? Main.plainly(u)
+            : Main.plainly(e.getMessage());
     }
 
     /** One line for the view, one for each member; the exit state. */
@@ -134,7 +135,7 @@
             if (!json) return show(o, true);
             System.out.println(o);
             return OK;
-        } catch (IOException | OperatorsFile.Unusable e) {
+        } catch (IOException | OperatorsFile.InvalidOperatorsFileException e) {
             return failed(e);
         }
     }
@@ -155,7 +156,7 @@
                 Thread.sleep(500);
             }
             return state;
-        } catch (IOException | OperatorsFile.Unusable e) {
+        } catch (IOException | OperatorsFile.InvalidOperatorsFileException e) {
             return failed(e);
         }
     }
@@ -170,7 +171,7 @@
             lines.forEach(l -> System.out.println(l.getAsString()));
             return lines.get(0).getAsString().contains("judged FINE") && lines.get(0).getAsString().contains(" is IN ")
                 ? OK : TROUBLE;
-        } catch (IOException | OperatorsFile.Unusable e) {
+        } catch (IOException | OperatorsFile.InvalidOperatorsFileException e) {
             return failed(e);
         }
     }
--- a/src/main/java/mothcross/cli/ListCommand.java
+++ b/src/main/java/mothcross/cli/ListCommand.java
@@ -11,10 +11,10 @@
 import mothcross.membership.MembershipSnapshot;
 import mothcross.membership.NodeState;
 import mothcross.membership.SnapshotFormat;
-import mothcross.net.ListOnDisk;
+import mothcross.net.SnapshotFileStore;
+import mothcross.operators.MembershipSettings;
 import mothcross.operators.OperatorsFile;
-import mothcross.operators.Part;
-import mothcross.operators.Remembering;
+import mothcross.operators.SettingsPart;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -43,10 +43,11 @@
             description = "whose list it has to be") private String director;
         private AgeLimits ages = AgeLimits.DEFAULTS;
 
-        SnapshotFormat.Result read(double now) throws OperatorsFile.Unusable {
-            Remembering r = operators == null ? null : OperatorsFile.read(operators).part(Part.MEMBERSHIP);
+        SnapshotFormat.Result read(double now) throws OperatorsFile.InvalidOperatorsFileException {
+            MembershipSettings r = operators == null ? null
+                : OperatorsFile.read(operators).part(SettingsPart.MEMBERSHIP);
             if (r != null) ages = r.ages();
-            return new ListOnDisk(file, r == null ? null : r.fleet(), director).read(now, ages.clockSkewMs());
+            return new SnapshotFileStore(file, r == null ? null : r.fleet(), director).read(now, ages.clockSkewMs());
         }
 
         Membership believed(MembershipSnapshot kept, double now) {
@@ -79,7 +80,7 @@
     static final class Show implements Callable<Integer> {
         @picocli.CommandLine.Mixin private Which which;
 
-        @Override public Integer call() throws OperatorsFile.Unusable {
+        @Override public Integer call() throws OperatorsFile.InvalidOperatorsFileException {
             double now = System.currentTimeMillis();
             SnapshotFormat.Result r = which.read(now);
             if (r == null || r.snapshot() == null) return refused(which, r);
@@ -105,7 +106,7 @@
     static final class Verify implements Callable<Integer> {
         @picocli.CommandLine.Mixin private Which which;
 
-        @Override public Integer call() throws OperatorsFile.Unusable {
+        @Override public Integer call() throws OperatorsFile.InvalidOperatorsFileException {
             double now = System.currentTimeMillis();
             SnapshotFormat.Result r = which.read(now);
             if (r == null || r.snapshot() == null) return refused(which, r);
--- a/src/main/java/mothcross/cli/Main.java
+++ b/src/main/java/mothcross/cli/Main.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 import mothcross.fleet.net.FleetNode;
-import mothcross.net.Life;
-import mothcross.net.Start;
-import mothcross.operators.Changes;
-import mothcross.operators.Directors;
+import mothcross.net.DirectorServer;
+import mothcross.net.StartupConfig;
+import mothcross.operators.FleetSettings;
+import mothcross.operators.MembershipSettings;
 import mothcross.operators.OperatorsFile;
-import mothcross.operators.Part;
-import mothcross.operators.Remembering;
+import mothcross.operators.PolicySettings;
+import mothcross.operators.SettingsPart;
 import mothcross.route.RouteRules;
 import mothcross.route.RouteTable;
 import mothcross.simhost.SimHost;
@@ -77,18 +77,18 @@
         private Path operators;
 
         /** Both files, or neither: what can't be used in one leaves the other unused as well. */
-        Both read() throws Start.Unusable, OperatorsFile.Unusable {
+        Both read() throws StartupConfig.InvalidConfigException, OperatorsFile.InvalidOperatorsFileException {
             OperatorsFile features = operators == null ? null : OperatorsFile.read(operators);
-            Remembering list = features == null ? null : features.part(Part.MEMBERSHIP);
-            Start start = config == null ? null : Start.read(config, listen, list == null);
-            return new Both(start, features, list, features == null ? null : features.part(Part.ROUTES),
-                features == null ? null : features.part(Part.FLEET), features == null ? null
-                : features.part(Part.POLICY));
+            MembershipSettings list = features == null ? null : features.part(SettingsPart.MEMBERSHIP);
+            StartupConfig start = config == null ? null : StartupConfig.read(config, listen, list == null);
+            return new Both(start, features, list, features == null ? null : features.part(SettingsPart.ROUTES),
+                features == null ? null : features.part(SettingsPart.FLEET), features == null ? null
+                : features.part(SettingsPart.POLICY));
         }
     }
 
-    private record Both(Start start, OperatorsFile features, Remembering list, RouteRules routes, Directors fleet,
-                        Changes changes) { }
+    private record Both(StartupConfig start, OperatorsFile features, MembershipSettings list, RouteRules routes,
+                        FleetSettings fleet, PolicySettings changes) { }
 
     /** What {@code serve} begins beside the director, and has to end: before it ends itself, and after. */
     interface Beside {
@@ -97,7 +97,7 @@
         void after() throws InterruptedException;
     }
 
-    static int plainly(OperatorsFile.Unusable e) {
+    static int plainly(OperatorsFile.InvalidOperatorsFileException e) {
         for (String fault : e.faults()) plainly(e.file() + ": " + fault);
         return USAGE;
     }
@@ -129,10 +129,10 @@
         @Override public Integer call() throws InterruptedException {
             try {
                 Both both = told.read();
-                Start start = both.start;
+                StartupConfig start = both.start;
                 if (start == null) return plainly("no configuration: give --config or set ROUTER_CONFIG");
-                Life life = new Life(start, both.list, both.routes);
-                if (both.fleet != null) life.share(0);      // until it knows which part is its own
+                DirectorServer life = new DirectorServer(start, both.list, both.routes);
+                if (both.fleet != null) life.scaleLimits(0);  // until it knows which part is its own
                 Thread end = new Thread(() -> end(life), "end");
                 Runtime.getRuntime().addShutdownHook(end);      // before it serves: SIGTERM may come at once
                 CountDownLatch serves = new CountDownLatch(1);
@@ -140,15 +140,15 @@
                 try {
                     if (both.changes != null) beside = PolicyCommand.begin(both.fleet, both.changes, start, life, relay,
                         skewMs, tellsPlan, b -> beside = b);
-                    life.begin();
-                } catch (java.io.IOException | Start.Unusable e) {
+                    life.start();
+                } catch (java.io.IOException | StartupConfig.InvalidConfigException e) {
                     Runtime.getRuntime().removeShutdownHook(end);
-                    return plainly(e instanceof Start.Unusable ? e.getMessage()
+                    return plainly(e instanceof StartupConfig.InvalidConfigException ? e.getMessage()
                         : "can't begin at " + start.listen + ": " + e.getMessage());
                 }
                 if (both.fleet != null && both.changes == null) {
                     try {
-                        FleetNode n = FleetCommand.node(both.fleet, start, relay, skewMs, life::share);
+                        FleetNode n = FleetCommand.node(both.fleet, start, relay, skewMs, life::scaleLimits);
                         n.start();
                         beside = FleetCommand.ending(n);
                     } catch (java.io.IOException e) {
@@ -160,19 +160,19 @@
                 serves.countDown();
                 life.await();
                 return 0;
-            } catch (Start.Unusable e) {
+            } catch (StartupConfig.InvalidConfigException e) {
                 return plainly(e.getMessage());
-            } catch (OperatorsFile.Unusable e) {
+            } catch (OperatorsFile.InvalidOperatorsFileException e) {
                 return plainly(e);
             }
         }
 
-        private synchronized void reload(Life life, CountDownLatch serves) {
+        private synchronized void reload(DirectorServer life, CountDownLatch serves) {
             try {
                 serves.await();
                 Both both = told.read();
                 life.reload(both.start, both.list, both.routes);
-            } catch (Start.Unusable | OperatorsFile.Unusable e) {
+            } catch (StartupConfig.InvalidConfigException | OperatorsFile.InvalidOperatorsFileException e) {
                 life.reloadFailed(e.getMessage());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -180,11 +180,11 @@
         }
 
         /** The signal's own exit status is not ours: what was taken is answered, then it ends with 0. */
-        private void end(Life life) {
+        private void end(DirectorServer life) {
             try {
                 Beside b = beside;
                 if (b != null) b.before();
-                life.end();
+                life.stop();
                 if (b != null) b.after();
                 Runtime.getRuntime().halt(0);
             } catch (InterruptedException e) {
@@ -204,7 +204,7 @@
         @Override public Integer call() {
             try {
                 Both both = told.read();
-                Start s = both.start;
+                StartupConfig s = both.start;
                 if (both.routes != null) {
                     List<String> faults = new ArrayList<>();
                     RouteTable t = ExprCommand.compiled(both.routes, s, faults);
@@ -217,12 +217,12 @@
                     return plainly("no configuration: give --config or set ROUTER_CONFIG, or --operators");
                 }
                 if (s != null) System.out.println(s.name + " listens on " + s.listen + ", discovery " + s.discovery
-                    + ", workloads " + s.opening.workloads.keySet() + ", places " + s.opening.zones
-                    + ", kinds " + s.opening.kinds);
+                    + ", workloads " + s.directorSettings.workloads.keySet() + ", places " + s.directorSettings.zones
+                    + ", kinds " + s.directorSettings.kinds);
                 return 0;
-            } catch (Start.Unusable e) {
+            } catch (StartupConfig.InvalidConfigException e) {
                 return plainly(e.getMessage());
-            } catch (OperatorsFile.Unusable e) {
+            } catch (OperatorsFile.InvalidOperatorsFileException e) {
                 return plainly(e);
             }
         }
--- a/src/main/java/mothcross/cli/PolicyCommand.java
+++ b/src/main/java/mothcross/cli/PolicyCommand.java
@@ -16,12 +16,12 @@
 import java.util.concurrent.Callable;
 import java.util.function.Consumer;
 import mothcross.fleet.net.FleetNode;
-import mothcross.net.Life;
-import mothcross.net.Start;
-import mothcross.operators.Changes;
-import mothcross.operators.Directors;
+import mothcross.net.DirectorServer;
+import mothcross.net.StartupConfig;
+import mothcross.operators.FleetSettings;
 import mothcross.operators.OperatorsFile;
-import mothcross.operators.Part;
+import mothcross.operators.PolicySettings;
+import mothcross.operators.SettingsPart;
 import mothcross.policy.Plan;
 import mothcross.policy.net.PolicyActivator;
 import mothcross.policy.net.PolicyNode;
@@ -55,14 +55,15 @@
     // ---- for serve ----
 
     /** Joins the fleet, learns the policy that is decided, and comes back when this director may serve by it. */
-    static Main.Beside begin(Directors d, Changes c, Start start, Life life, String relay, long skewMs,
-                             boolean tellsPlan, Consumer<Main.Beside> ends) throws IOException, InterruptedException {
-        FleetNode fleet = FleetCommand.node(d, start, relay, skewMs, life::share);
+    static Main.Beside begin(FleetSettings d, PolicySettings c, StartupConfig start, DirectorServer life,
+                             String relay, long skewMs, boolean tellsPlan, Consumer<Main.Beside> ends)
+        throws IOException, InterruptedException {
+        FleetNode fleet = FleetCommand.node(d, start, relay, skewMs, life::scaleLimits);
         InetSocketAddress at = FleetCommand.socket(d.listen());
         PolicyNode policy = new PolicyNode(d.fleet(), start.name, fleet.initialIncarnation(), at.getHostString(),
             at.getPort(), c.voters(), fleet::members, c.leaseMs(), c.dir(), new Tables(life), fleet::send);
         fleet.attach(policy);
-        life.follows(policy, tellsPlan);
+        life.usePolicy(policy, tellsPlan);
         Main.Beside b = new Main.Beside() {
             @Override public void after() throws InterruptedException {
                 policy.leave();
@@ -81,20 +82,20 @@
     }
 
     /** Texts of the policy as tables of routes. */
-    private record Tables(Life life) implements PolicyActivator {
+    private record Tables(DirectorServer life) implements PolicyActivator {
         @Override public Object compile(String digest, byte[] text, List<String> faults) {
             try {
                 RouteRules r = OperatorsFile.policy("policy", new String(text, StandardCharsets.UTF_8))
-                    .part(Part.ROUTES);
-                return r == null ? NO_RULES : life.compiled(r, faults);
-            } catch (OperatorsFile.Unusable e) {
+                    .part(SettingsPart.ROUTES);
+                return r == null ? NO_RULES : life.compilePolicy(r, faults);
+            } catch (OperatorsFile.InvalidOperatorsFileException e) {
                 faults.addAll(e.faults());
                 return null;
             }
         }
 
         @Override public void activate(Plan plan, Object main, Object trial) {
-            life.take(plan, table(main), table(trial));
+            life.activatePolicy(plan, table(main), table(trial));
         }
 
         private static RouteTable table(Object o) {
@@ -110,13 +111,13 @@
     }
 
     private interface Asks {
-        int ask() throws IOException, OperatorsFile.Unusable, InterruptedException;
+        int ask() throws IOException, OperatorsFile.InvalidOperatorsFileException, InterruptedException;
     }
 
     private static int asked(Asks a) {
         try {
             return a.ask();
-        } catch (IOException | OperatorsFile.Unusable e) {
+        } catch (IOException | OperatorsFile.InvalidOperatorsFileException e) {
             return FleetCommand.failed(e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -135,7 +136,7 @@
 
     /** Until the director says how the step went; null where it has not by then. */
     private static String outcome(FleetCommand.Whom whom, String key, double untilMs)
-        throws IOException, OperatorsFile.Unusable, InterruptedException {
+        throws IOException, OperatorsFile.InvalidOperatorsFileException, InterruptedException {
         while (true) {
             JsonObject o = checked(whom.ask("policy tried " + key));
             if (o.has("outcome")) return o.get("outcome").getAsString();
@@ -145,7 +146,7 @@
     }
 
     private static int step(FleetCommand.Whom whom, String what, double seconds)
-        throws IOException, OperatorsFile.Unusable, InterruptedException {
+        throws IOException, OperatorsFile.InvalidOperatorsFileException, InterruptedException {
         String key = key(), word = what.substring(0, what.indexOf(' '));
         checked(whom.ask("policy " + word + " " + key + what.substring(word.length())));
         String how = outcome(whom, key, System.nanoTime() / 1e6 + seconds * 1000);
@@ -175,7 +176,7 @@
     /** Proposes, and follows the change until it is through, aborted, on trial, or time is up. */
     private static int propose(FleetCommand.Whom whom, String digest, String note, String mode, String deadline,
                                Plan.Canary canary, Boolean leases)
-        throws IOException, OperatorsFile.Unusable, InterruptedException {
+        throws IOException, OperatorsFile.InvalidOperatorsFileException, InterruptedException {
         String id = key();
         double ms = 1000 * seconds(deadline), until = System.nanoTime() / 1e6 + ms * AFTER_DEADLINE;
         JsonObject before = checked(whom.ask("policy status"));
@@ -197,7 +198,7 @@
     }
 
     private static int follow(FleetCommand.Whom whom, String id, double until)
-        throws IOException, OperatorsFile.Unusable, InterruptedException {
+        throws IOException, OperatorsFile.InvalidOperatorsFileException, InterruptedException {
         while (true) {
             JsonObject o = checked(whom.ask("policy status"));
             for (JsonElement e : o.getAsJsonArray("lately")) {
@@ -222,7 +223,7 @@
     }
 
     private static String bring(FleetCommand.Whom whom, String json)
-        throws IOException, OperatorsFile.Unusable, InterruptedException {
+        throws IOException, OperatorsFile.InvalidOperatorsFileException, InterruptedException {
         byte[] text = json.getBytes(StandardCharsets.UTF_8);
         String digest = digest(text);
         checked(whom.ask("policy bring " + digest, text));
--- a/src/main/java/mothcross/experiment/Commands.java
+++ b/src/main/java/mothcross/experiment/Commands.java
@@ -59,7 +59,7 @@
                 String json = OperatorsFile.evaluated(file);
                 hash = hash(json) + "-" + BUILD;
                 return Plan.of(JsonParser.parseString(json).getAsJsonObject());
-            } catch (OperatorsFile.Unusable | IllegalArgumentException | IllegalStateException
+            } catch (OperatorsFile.InvalidOperatorsFileException | IllegalArgumentException | IllegalStateException
                 | UnsupportedOperationException | ClassCastException e) {
                 System.err.println("mothcross: " + file + ": " + e.getMessage());
                 return null;
--- a/src/main/java/mothcross/net/Rulebook.java
+++ b/src/main/java/mothcross/net/ActiveRoutes.java
@@ -9,13 +9,13 @@
  * one
  * lookup, nor decide which text is in force.
  */
-final class Rulebook {
+final class ActiveRoutes {
     private final String director;
     private Plan plan;                                      // null: the operators' own file, no changes by the fleet
     private Routing main, trial;
     private double share = 1;
 
-    Rulebook(String director) {
+    ActiveRoutes(String director) {
         this.director = director;
     }
 
--- a/src/main/java/mothcross/net/ClientConnection.java
+++ b/src/main/java/mothcross/net/ClientConnection.java
@@ -38,7 +38,7 @@
     private static final double WHOLE_MS = 2000, IDLE_MS = 7000, LINGER_MS = 500,
         UNREAD_MS = 100, SILENT_MS = 300;
     private static final int NOTHING = 0, REST = 1, NEXT = 2;     // what it awaits of its client
-    /** What a connection is worth keeping where descriptors run short, see {@link Desk#admit}. */
+    /** What a connection is worth keeping where descriptors run short, see {@link Dispatcher#admit}. */
     static final int REFUSED = 0, SILENT = 1, IDLE = 2, YOUNG = 3, NEW = 4, IN_USE = 5;
     private static final String PATH = "/api/v2/", PART = "piece-", HEALTHY = "/-/healthy";
     private static final int LAST_GROUP = 255;
@@ -80,7 +80,7 @@
         }
     };
 
-    ClientConnection(Desk desk) {
+    ClientConnection(Dispatcher desk) {
         super(desk);
     }
 
--- a/src/main/java/mothcross/net/Connection.java
+++ b/src/main/java/mothcross/net/Connection.java
@@ -20,13 +20,13 @@
     private static final String SELF = "connection";
     private static final byte[] NONE = new byte[0];
 
-    final Desk desk;
+    final Dispatcher desk;
     IoSession session;
     /** What came in and is not used up: {@code bytes} from {@code from} to {@code to}. */
     byte[] bytes = NONE;
     int from, to;
 
-    Connection(Desk desk) {
+    Connection(Dispatcher desk) {
         this.desk = desk;
     }
 
@@ -83,10 +83,10 @@
 
     /** The socket library's side of all connections; accepted ones become clients. */
     static final class Callbacks extends IoHandlerAdapter {
-        private final Desk desk;
+        private final Dispatcher desk;
         private final boolean accepts;
 
-        Callbacks(Desk desk, boolean accepts) {
+        Callbacks(Dispatcher desk, boolean accepts) {
             this.desk = desk;
             this.accepts = accepts;
         }
--- a/src/main/java/mothcross/net/Life.java
+++ b/src/main/java/mothcross/net/DirectorServer.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import mothcross.Workload;
 import mothcross.membership.WriteScheduler;
-import mothcross.operators.Remembering;
+import mothcross.operators.MembershipSettings;
 import mothcross.policy.Plan;
 import mothcross.route.RouteRules;
 import mothcross.route.RouteTable;
@@ -29,23 +29,23 @@
  * for timers) and the order of start and end. Must never touch a node before a lookup asks for one, and never
  * say that it is ready before it is.
  */
-public final class Life {
+public final class DirectorServer {
     private static final Logger LOG = LoggerFactory.getLogger("mothcross");
     private static final double COUNTERS_MS = 10_000;
     private static final int CLIENT_READ = 16 << 10;
     private static final long LAST_WRITE_MS = 500;
 
-    private Start start;
-    private Remembering remembering;
+    private StartupConfig start;
+    private MembershipSettings remembering;
     private RouteRules routes;
-    private final Desk desk;
+    private final Dispatcher desk;
     private final DiscoveryWatch watch;
-    private final Remembered remembered;            // null where the operators leave it off
+    private final PersistentMembership remembered;  // null where the operators leave it off
     private final Acceptor acceptor;
     private final NioSocketConnector connector;
     private final IoProcessor<NioSession> processor;
     private final CountDownLatch over = new CountDownLatch(1);
-    private final Ending ending = new Ending();
+    private final ShutdownSequence ending = new ShutdownSequence();
     private double share = 1;
 
     /** Accepts no faster than clients that have to go make room, so that descriptors never run out. */
@@ -76,23 +76,23 @@
         acceptor.most = start.sockets * 11 / 16 + 1;
     }
 
-    public Life(Start start) {
+    public DirectorServer(StartupConfig start) {
         this(start, null);
     }
 
     /** {@code remembering} null: only what is told counts, from the file's list on. */
-    public Life(Start start, Remembering remembering) {
+    public DirectorServer(StartupConfig start, MembershipSettings remembering) {
         this(start, remembering, remembering == null ? null
-            : new ListOnDisk(remembering.file(), remembering.fleet(), start.name));
+            : new SnapshotFileStore(remembering.file(), remembering.fleet(), start.name));
     }
 
     /** {@code routes} null: every lookup goes as it was asked. */
-    public Life(Start start, Remembering remembering, RouteRules routes) {
+    public DirectorServer(StartupConfig start, MembershipSettings remembering, RouteRules routes) {
         this(start, remembering);
         this.routes = routes;
     }
 
-    Life(Start start, Remembering remembering, ListKeeper keeper) {
+    DirectorServer(StartupConfig start, MembershipSettings remembering, SnapshotStore keeper) {
         this.start = start;
         this.remembering = remembering;
         Executor threads = Executors.newCachedThreadPool(r -> {
@@ -103,12 +103,13 @@
         processor = new Processor(threads);
         connector = new NioSocketConnector(threads, processor);
         acceptor = new Acceptor(threads, processor);
-        desk = new Desk(start.opening, connector, start.mostHops);
+        desk = new Dispatcher(start.directorSettings, connector, start.maxHops);
         limits();
-        remembered = remembering == null ? null : new Remembered(desk, remembering.ages(),
+        remembered = remembering == null ? null : new PersistentMembership(desk, remembering.ages(),
             new WriteScheduler(remembering.urgentMs(), remembering.gatherMs()),
             keeper, remembering.fleet(), start.name, System.currentTimeMillis());
-        watch = new DiscoveryWatch(desk, remembered == null ? new News.Straight(desk) : remembered, start.discovery);
+        watch = new DiscoveryWatch(desk, remembered == null ? new DiscoveryListener.Direct(desk) : remembered,
+            start.discovery);
         connector.setHandler(new Connection.Callbacks(desk, false));
         acceptor.setHandler(new Connection.Callbacks(desk, true));
         acceptor.setReuseAddress(true);
@@ -120,14 +121,14 @@
         }
         acceptor.getSessionConfig().setMaxReadBufferSize(CLIENT_READ);
         // The desk's timer fires sooner.
-        connector.setConnectTimeoutMillis((long) start.opening.connectMs + 1000);
+        connector.setConnectTimeoutMillis((long) start.directorSettings.connectMs + 1000);
     }
 
     /** Throws where what is known can't be used, or where it can't listen. */
-    public void begin() throws IOException, Start.Unusable {
+    public void start() throws IOException, StartupConfig.InvalidConfigException {
         RouteTable table = table(routes, start, null);
         if (table != null) {
-            desk.rules = new Rulebook(start.name);
+            desk.rules = new ActiveRoutes(start.name);
             desk.rules.share(share);
             desk.rules.take(null, table, null);
         }
@@ -137,7 +138,7 @@
             else remembered.begin(start.known == null ? null : DiscoveryWatch.kept(start.known, remembering.fleet(),
                 start.name, start.writtenAt));
         } catch (RuntimeException e) {
-            throw new Start.Unusable("field known can't be used: " + e.getMessage());
+            throw new StartupConfig.InvalidConfigException("field known can't be used: " + e.getMessage());
         } finally {
             desk.leave();
         }
@@ -149,7 +150,7 @@
         acceptor.bind(start.listen);
         desk.locked(() -> {
             counters();
-            desk.ready = ending.state() == Ending.State.SERVING;    // it may have been told to end meanwhile
+            desk.ready = ending.state() == ShutdownSequence.State.SERVING;  // it may have been told to end meanwhile
         });
         LOG.info("{} serves on {}", start.name, acceptor.getLocalAddress());
     }
@@ -168,12 +169,13 @@
     }
 
     /** The rules compiled for what this director is told; null where there are none. */
-    private static RouteTable table(RouteRules rules, Start told, RouteTable before) throws Start.Unusable {
+    private static RouteTable table(RouteRules rules, StartupConfig told, RouteTable before)
+        throws StartupConfig.InvalidConfigException {
         if (rules == null) return null;
         List<String> faults = new ArrayList<>();
-        RouteTable t = RouteTable.compile(rules, told.opening.workloads, told.opening.workloadTable,
-            told.opening.directorsInZone, told.mostHops, before, faults);
-        if (t == null) throw new Start.Unusable(String.join("; ", faults));
+        RouteTable t = RouteTable.compile(rules, told.directorSettings.workloads, told.directorSettings.workloadTable,
+            told.directorSettings.directorsInZone, told.maxHops, before, faults);
+        if (t == null) throw new StartupConfig.InvalidConfigException(String.join("; ", faults));
         for (String n : t.notes()) LOG.atWarn().addKeyValue("note", n).log("routes: a part can never matter");
         LOG.atInfo().addKeyValue("rules", t.size()).addKeyValue("worst_steps", t.worstCaseSteps())
             .log("routes: compiled");
@@ -181,7 +183,7 @@
     }
 
     /** This director's part of each limit, in parts of the fixed one; from any thread. */
-    public void share(double times) {
+    public void scaleLimits(double times) {
         desk.locked(() -> {
             share = times;
             if (desk.rules != null) desk.rules.share(times);
@@ -189,39 +191,40 @@
     }
 
     /** Before it begins: somebody else says whether it is up to date, and brings its tables. */
-    public void follows(Current current, boolean tellsPlan) {
+    public void usePolicy(ServingPermit current, boolean tellsPlan) {
         desk.locked(() -> {
             desk.current = current;
             desk.tellsPlan = tellsPlan;
-            desk.rules = new Rulebook(start.name);
+            desk.rules = new ActiveRoutes(start.name);
             desk.rules.share(share);
         });
     }
 
     /** Rules made ready for what this director is told; null with their faults. */
-    public RouteTable compiled(RouteRules rules, List<String> faults) {
+    public RouteTable compilePolicy(RouteRules rules, List<String> faults) {
         RouteTable[] before = new RouteTable[1];
         desk.locked(() -> before[0] = desk.rules == null ? null : desk.rules.table());
-        return RouteTable.compile(rules, start.opening.workloads, start.opening.workloadTable,
-            start.opening.directorsInZone, start.mostHops, before[0], faults);
+        return RouteTable.compile(rules, start.directorSettings.workloads, start.directorSettings.workloadTable,
+            start.directorSettings.directorsInZone, start.maxHops, before[0], faults);
     }
 
     /** From the next lookup on; those under way keep what they began with. */
-    public void take(Plan plan, RouteTable main, RouteTable trial) {
+    public void activatePolicy(Plan plan, RouteTable main, RouteTable trial) {
         desk.locked(() -> desk.rules.take(plan, main, trial));
     }
 
     /** SIGHUP: takes over what another file tells, under load; nothing that is open is touched. */
-    public void reload(Start anew) {
+    public void reload(StartupConfig anew) {
         try {
             reload(anew, remembering, routes);
-        } catch (Start.Unusable e) {
+        } catch (StartupConfig.InvalidConfigException e) {
             reloadFailed(e.getMessage());
         }
     }
 
     /** The same with the operators' file read anew; what switches a feature on or off waits for the next start. */
-    public void reload(Start anew, Remembering features, RouteRules rules) throws Start.Unusable {
+    public void reload(StartupConfig anew, MembershipSettings features, RouteRules rules)
+        throws StartupConfig.InvalidConfigException {
         // All is compiled first; a lookup under way keeps what it came under, the next one meets the new table whole.
         boolean own = desk.current == null;                 // else its tables come from the fleet
         RouteTable table = own ? table(rules, start, desk.rules == null ? null : desk.rules.table()) : null;
@@ -241,7 +244,7 @@
             routes = rules;
             if (own && table == null) desk.rules = null;
             if (table != null) {
-                if (desk.rules == null) desk.rules = new Rulebook(start.name);
+                if (desk.rules == null) desk.rules = new ActiveRoutes(start.name);
                 desk.rules.share(share);
                 desk.rules.take(null, table, null);
             }
@@ -264,11 +267,11 @@
         LOG.warn("reload: {}; all stays as it was", why);
     }
 
-    Desk desk() {
+    Dispatcher desk() {
         return desk;
     }
 
-    Remembered remembered() {
+    PersistentMembership remembered() {
         return remembered;
     }
 
@@ -293,10 +296,12 @@
             (r.totalMemory() - r.freeMemory()) >> 20);
     }
 
-    /** SIGTERM: serves as long as requests may come, answers all that is open, then returns: {@link Ending}. */
-    public void end() throws InterruptedException {
+    /**
+     * SIGTERM: serves as long as requests may come, answers all that is open, then returns: {@link ShutdownSequence}.
+     */
+    public void stop() throws InterruptedException {
         double longest = 0;
-        for (Workload w : start.opening.workloadTable) longest = Math.max(longest, w.timeoutMs());
+        for (Workload w : start.directorSettings.workloadTable) longest = Math.max(longest, w.timeoutMs());
         desk.enter();
         try {
             desk.ready = false;
@@ -312,19 +317,19 @@
         }
         LOG.info("told to end: answering what is open");
         for (boolean listens = true;; Thread.sleep(5)) {
-            Ending.State s;
+            ShutdownSequence.State s;
             desk.enter();
             try {
                 s = ending.step(desk.clock(), acceptor.cameAt, desk.clients());
             } finally {
                 desk.leave();
             }
-            if (s == Ending.State.CLOSING && listens) {
+            if (s == ShutdownSequence.State.CLOSING && listens) {
                 listens = false;
                 acceptor.unbind();
                 desk.locked(desk::endResting);
             }
-            if (s == Ending.State.OUT) break;
+            if (s == ShutdownSequence.State.OUT) break;
         }
         desk.locked(() -> {
             watch.stop();
--- a/src/main/java/mothcross/net/News.java
+++ b/src/main/java/mothcross/net/DiscoveryListener.java
@@ -7,7 +7,7 @@
  * Who takes the news of discovery, within the module's round: the desk as it comes, or what is remembered of the
  * fleet first. {@code number} is that of an event.
  */
-interface News {
+interface DiscoveryListener {
     /** The number of the last event that was taken. */
     long last();
 
@@ -31,11 +31,11 @@
     void silent(String why);
 
     /** As the desk takes them: every event in its order. */
-    final class Straight implements News {
-        private final Desk desk;
+    final class Direct implements DiscoveryListener {
+        private final Dispatcher desk;
         private long last;
 
-        Straight(Desk desk) {
+        Direct(Dispatcher desk) {
             this.desk = desk;
         }
 
--- a/src/main/java/mothcross/net/DiscoveryWatch.java
+++ b/src/main/java/mothcross/net/DiscoveryWatch.java
@@ -37,8 +37,8 @@
     private static final double FRAME_EVERY_MS = 1000;
     private static final int LONGEST_FRAME = 4 << 20, RECORD = 27, TRIES_TO_SPEAK = 2;
 
-    private final Desk desk;
-    private final News news;
+    private final Dispatcher desk;
+    private final DiscoveryListener news;
     private InetSocketAddress address;
     private Feed feed;
     private double waitMs = FIRST_WAIT_MS;
@@ -47,7 +47,7 @@
     /** Down once it has brought a frame since the start, or can't: what is known may be older than what was told. */
     private final CountDownLatch spoken = new CountDownLatch(1);
 
-    DiscoveryWatch(Desk desk, News news, InetSocketAddress address) {
+    DiscoveryWatch(Dispatcher desk, DiscoveryListener news, InetSocketAddress address) {
         this.desk = desk;
         this.news = news;
         this.address = address;
--- a/src/main/java/mothcross/net/Desk.java
+++ b/src/main/java/mothcross/net/Dispatcher.java
@@ -28,8 +28,8 @@
  * module writes into hops and answers. Must never decide where a lookup goes, send what the module did not
  * write, answer a lookup twice, or call the module while it is at work.
  */
-final class Desk implements DecisionWriter {
-    private static final Logger LOG = LoggerFactory.getLogger(Desk.class);
+final class Dispatcher implements DecisionWriter {
+    private static final Logger LOG = LoggerFactory.getLogger(Dispatcher.class);
     private static final double BACKSTOP_MS = 20;
     private static final int MOST_CONNECTIONS = 8;
 
@@ -46,10 +46,10 @@
     private final Map<Long, Lookup> open = new HashMap<>();
     final Nodes nodes = new Nodes();
     final AnswerTimes answerTimes;
-    Rulebook rules;                                     // null where the operators have no routes
-    Current current;                                    // null where nobody else decides what is in force
+    ActiveRoutes rules;                                 // null where the operators have no routes
+    ServingPermit current;                              // null where nobody else decides what is in force
     boolean tellsPlan;                                  // of tests only
-    private Witness witness;                            // null where nobody wants to know
+    private HopObserver witness;                        // null where nobody wants to know
     // Every connection to a node that is up or on its way; each takes itself out when it ends.
     final Set<NodeConnection> connections = new LinkedHashSet<>();
     // Filled while the module is at work, empty whenever the lock is free.
@@ -67,7 +67,7 @@
     private double now;
     volatile boolean ready;
 
-    Desk(DirectorSettings opening, IoConnector connector, int mostHops) {
+    Dispatcher(DirectorSettings opening, IoConnector connector, int mostHops) {
         this.opening = opening;
         this.connector = connector;
         this.director = opening.director;
@@ -401,7 +401,7 @@
         return n.standing == Director.IN_SERVICE || n.standing == Director.UNCONFIRMED;
     }
 
-    void witness(Witness w) {
+    void witness(HopObserver w) {
         witness = w;
     }
 
--- a/src/main/java/mothcross/net/Witness.java
+++ b/src/main/java/mothcross/net/HopObserver.java
@@ -6,7 +6,7 @@
  * Hears how hops end, as evidence about the nodes they named, within the module's round. Told of every end,
  * and at the end of the round once more, when it may bring news of the list.
  */
-interface Witness {
+interface HopObserver {
     void saw(Hop hop);
 
     void roundEnds(Director to);
--- a/src/main/java/mothcross/net/NodeConnection.java
+++ b/src/main/java/mothcross/net/NodeConnection.java
@@ -128,7 +128,7 @@
         }
     }
 
-    private NodeConnection(Desk desk, Node node) {
+    private NodeConnection(Dispatcher desk, Node node) {
         super(desk);
         this.node = node;
         node.connections.add(this);
@@ -142,7 +142,7 @@
     }
 
     /** The one that is up and carries least; where even that one carries something, one more is made for later. */
-    private static NodeConnection to(Desk desk, Node node) {
+    private static NodeConnection to(Dispatcher desk, Node node) {
         NodeConnection best = null;
         boolean coming = false;
         for (NodeConnection c : new ArrayList<>(node.connections)) {
@@ -166,7 +166,7 @@
         return waiting.size();
     }
 
-    static void send(Desk desk, Hop h) {
+    static void send(Dispatcher desk, Hop h) {
         NodeConnection c = to(desk, h.node);
         h.on = c;
         if (c.ended) {
@@ -198,7 +198,7 @@
         retireWhenDone();
     }
 
-    static void probe(Desk desk, Node node) {
+    static void probe(Dispatcher desk, Node node) {
         NodeConnection c = to(desk, node);
         Probe p = c.new Probe("p" + c.probeCount++);
         c.probes.put(p.tag, p);
--- a/src/main/java/mothcross/net/Remembered.java
+++ b/src/main/java/mothcross/net/PersistentMembership.java
@@ -29,18 +29,18 @@
  * clock of ages, which goes by elapsed time since the start so that a clock set anew ages nothing. Must never decide
  * what is believed, and never wait for the disk under the desk's lock.
  */
-final class Remembered implements News, Witness, Membership.Changes {
-    private static final Logger LOG = LoggerFactory.getLogger(Remembered.class);
+final class PersistentMembership implements DiscoveryListener, HopObserver, Membership.Changes {
+    private static final Logger LOG = LoggerFactory.getLogger(PersistentMembership.class);
     private static final double TICK_MS = 500;
     private static final int MOST_LINES = 20;               // of single boxes in a second; the rest is summed up
 
     private record Change(ListedNode entry, NodeState is, double coldSince) { }
 
-    private final Desk desk;
+    private final Dispatcher desk;
     private final DirectorSettings opening;
     private final Membership membership;
     private WriteScheduler plan;
-    private final ListKeeper keeper;
+    private final SnapshotStore keeper;
     private final String fleet, director;
     private final double skewMs;                        // asked for at the start only
     private final boolean writes;
@@ -59,8 +59,8 @@
     long writesDone, writesFailed;
 
     /** {@code wall} is the system's clock at the start, by which a list from the disk is judged. */
-    Remembered(Desk desk, AgeLimits ages, WriteScheduler plan, ListKeeper keeper, String fleet, String director,
-               double wall) {
+    PersistentMembership(Dispatcher desk, AgeLimits ages, WriteScheduler plan, SnapshotStore keeper, String fleet,
+                         String director, double wall) {
         this.desk = desk;
         this.opening = desk.opening;
         this.skewMs = ages.clockSkewMs();
--- a/src/main/java/mothcross/net/Ending.java
+++ b/src/main/java/mothcross/net/ShutdownSequence.java
@@ -14,7 +14,7 @@
  * OUT       the process may go: nothing is owed
  * </pre>
  */
-final class Ending {
+final class ShutdownSequence {
     enum State { SERVING, DRAINING, CLOSING, OUT }
 
     // The protocol page's figures for a planned restart: how long requests may still come, the longest deadline that
--- a/src/main/java/mothcross/net/ListOnDisk.java
+++ b/src/main/java/mothcross/net/SnapshotFileStore.java
@@ -17,7 +17,7 @@
  * A kept list as one file, replaced whole: written beside, synced, renamed, and the folder synced. Owns the file,
  * the one beside it, and the lock that keeps a second director from writing. Must never change the file in place.
  */
-public final class ListOnDisk implements ListKeeper {
+public final class SnapshotFileStore implements SnapshotStore {
     private static final long LARGEST = 256 << 20;
     private final Path file, beside, lockFile;
     private final String fleet, director;
@@ -25,7 +25,7 @@
     private FileLock lock;
 
     /** {@code fleet}, {@code director} null: for those who only look. */
-    public ListOnDisk(Path file, String fleet, String director) {
+    public SnapshotFileStore(Path file, String fleet, String director) {
         this.file = file.toAbsolutePath();
         this.fleet = fleet;
         this.director = director;
--- a/src/main/java/mothcross/net/ListKeeper.java
+++ b/src/main/java/mothcross/net/SnapshotStore.java
@@ -8,7 +8,7 @@
  * Where the kept list rests. Called by one thread at a time and never under the desk's lock; failures to write
  * are thrown, what can't be used when reading is a result with its reason.
  */
-public interface ListKeeper {
+public interface SnapshotStore {
     /** What rests there; null where there is nothing yet. */
     SnapshotFormat.Result read(double now, double skew);
 
--- a/src/main/java/mothcross/net/Start.java
+++ b/src/main/java/mothcross/net/StartupConfig.java
@@ -18,65 +18,65 @@
  * that the module's opening reads; must never supply a value of its own for one that is missing there, and
  * tells what can't be used in one plain line.
  */
-public final class Start {
+public final class StartupConfig {
     /** The file, or a value in it, can't be used. */
-    public static final class Unusable extends Exception {
+    public static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Unusable(String text) {
+        InvalidConfigException(String text) {
             super(text);
         }
     }
 
     public final String name;
     public final InetSocketAddress listen, discovery;
-    public final DirectorSettings opening;
-    public final int sockets, mostHops;
+    public final DirectorSettings directorSettings;
+    public final int sockets, maxHops;
     public final double memoryMb;
     final JsonObject known, settings;
     /** When the file was written, Unix ms: as old as what it knows. */
     final double writtenAt;
 
-    private Start(String name, InetSocketAddress listen, InetSocketAddress discovery, DirectorSettings opening,
+    private StartupConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, DirectorSettings opening,
                   int sockets, double memoryMb, int mostHops, JsonObject known, double writtenAt,
                   JsonObject settings) {
         this.name = name;
         this.listen = listen;
         this.discovery = discovery;
-        this.opening = opening;
+        this.directorSettings = opening;
         this.sockets = sockets;
         this.memoryMb = memoryMb;
-        this.mostHops = mostHops;
+        this.maxHops = mostHops;
         this.known = known;
         this.writtenAt = writtenAt;
         this.settings = settings;
     }
 
     /** {@code listen}, where given, stands before the file's. */
-    public static Start read(Path file, String listen) throws Unusable {
+    public static StartupConfig read(Path file, String listen) throws InvalidConfigException {
         return read(file, listen, true);
     }
 
     /** {@code needsKnown} false: the director may start without any list. */
-    public static Start read(Path file, String listen, boolean needsKnown) throws Unusable {
+    public static StartupConfig read(Path file, String listen, boolean needsKnown) throws InvalidConfigException {
         String text;
         double writtenAt;
         try {
             text = Files.readString(file, StandardCharsets.UTF_8);
             writtenAt = Files.getLastModifiedTime(file).toMillis();
         } catch (IOException e) {
-            throw new Unusable("can't read " + file + ": " + e.getClass().getSimpleName());
+            throw new InvalidConfigException("can't read " + file + ": " + e.getClass().getSimpleName());
         }
         try {
             return of(JsonParser.parseString(text).getAsJsonObject(), listen, needsKnown, writtenAt);
         } catch (FieldMap.MalformedFieldException e) {
-            throw new Unusable(file + ": " + e.getMessage());
+            throw new InvalidConfigException(file + ": " + e.getMessage());
         } catch (RuntimeException e) {
-            throw new Unusable(file + ": " + String.valueOf(e.getMessage()).replace('\n', ' '));
+            throw new InvalidConfigException(file + ": " + String.valueOf(e.getMessage()).replace('\n', ' '));
         }
     }
 
-    static Start of(JsonObject all, String listen, boolean needsKnown, double writtenAt) {
+    static StartupConfig of(JsonObject all, String listen, boolean needsKnown, double writtenAt) {
         JsonObject settings = need(all, "settings").getAsJsonObject();
         boolean has = needsKnown || all.has("known") && !all.get("known").isJsonNull();
         JsonObject known = has ? need(all, "known").getAsJsonObject() : null;
@@ -88,7 +88,7 @@
             need(known, "no").getAsLong();
         }
         JsonObject limits = need(all, "limits").getAsJsonObject();
-        return new Start(all.has("name") ? all.get("name").getAsString() : "",
+        return new StartupConfig(all.has("name") ? all.get("name").getAsString() : "",
             DiscoveryWatch.socket(listen != null ? listen : need(all, "listen").getAsString()),
             DiscoveryWatch.socket(need(all, "bulletin").getAsString()), new DirectorSettings(flat, seed),
             need(limits, "sockets").getAsInt(), need(limits, "memory_mb").getAsDouble(),
--- a/src/main/java/mothcross/net/Timers.java
+++ b/src/main/java/mothcross/net/Timers.java
@@ -17,13 +17,13 @@
         abstract void fire();
     }
 
-    private final Desk desk;
+    private final Dispatcher desk;
     private final Condition changed;
     private Timer[] heap = new Timer[64];                 // each earlier than the two at twice its place
     private int size;
     private boolean stopped;
 
-    Timers(Desk desk) {
+    Timers(Dispatcher desk) {
         this.desk = desk;
         this.changed = desk.lock.newCondition();
     }
--- a/src/main/java/mothcross/operators/Directors.java
+++ b/src/main/java/mothcross/operators/FleetSettings.java
@@ -7,14 +7,14 @@
 import java.util.Set;
 
 /** The part {@code fleet}: how this director takes part in the fleet of directors. */
-public record Directors(String fleet, String listen, List<String> seeds, List<Key> keys, Path file, double periodMs,
+public record FleetSettings(String fleet, String listen, List<String> seeds, List<Key> keys, Path file, double periodMs,
                         double silentMs, double holdMs, double leaseMs, int directors) {
     /** The first of them signs, each is taken. */
     public record Key(int id, String secret) { }
 
     private static final int LEAST_SECRET = 16;
 
-    static Directors read(Section s) {
+    static FleetSettings read(Section s) {
         String fleet = s.text("fleet", "the fleet that the directors are of", 100, null);
         String listen = address(s, "listen", null);
         List<String> seeds = new ArrayList<>();
@@ -40,7 +40,7 @@
         double lease = s.number("lease_s", "seconds", 0.5, 3600, 5);
         int directors = s.whole("directors", "directors that share each limit, 0: as the platform tells", 0, 100_000,
             0);
-        return new Directors(fleet, listen, seeds, keys, Path.of(file.indexOf('\0') >= 0 ? "" : file), period,
+        return new FleetSettings(fleet, listen, seeds, keys, Path.of(file.indexOf('\0') >= 0 ? "" : file), period,
             silent * 1000, hold * 1000, lease * 1000, directors);
     }
 
--- a/src/main/java/mothcross/operators/Remembering.java
+++ b/src/main/java/mothcross/operators/MembershipSettings.java
@@ -4,10 +4,10 @@
 import mothcross.membership.AgeLimits;
 
 /** The part {@code membership}: where the list rests on disk, whose it is, and how long what may be believed. */
-public record Remembering(Path file, String fleet, AgeLimits ages, double urgentMs, double gatherMs) {
+public record MembershipSettings(Path file, String fleet, AgeLimits ages, double urgentMs, double gatherMs) {
     private static final double WEEK_S = 7 * 86_400, TEN_YEARS_S = 3650.0 * 86_400;
 
-    static Remembering read(Section s) {
+    static MembershipSettings read(Section s) {
         AgeLimits u = AgeLimits.DEFAULTS;
         String file = s.text("file", "the path of the kept list", 4096, null);
         String fleet = s.text("fleet", "the fleet that the list is of", 200, null);
@@ -26,7 +26,7 @@
         double gather = s.number("write_every_ms", "milliseconds", 20, 600_000, 1000);
         s.require(!(gather < urgent), "write_every_ms", "is less than drain_on_disk_ms");
         Path path = file.indexOf('\0') >= 0 ? Path.of("") : Path.of(file);
-        return new Remembering(path, fleet, new AgeLimits(recent * 1000, old * 1000, hold * 1000, refusals,
+        return new MembershipSettings(path, fleet, new AgeLimits(recent * 1000, old * 1000, hold * 1000, refusals,
             again * 1000, most * 1000, shrunk, withheld * 1000, skew * 1000), urgent, gather);
     }
 }
--- a/src/main/java/mothcross/operators/Routes.java
+++ b/src/main/java/mothcross/operators/RouteSettings.java
@@ -8,11 +8,11 @@
 import mothcross.route.RouteTable;
 
 /** The part {@code routes}: its fields one by one. What they mean together is compiled by {@link RouteTable}. */
-final class Routes {
+final class RouteSettings {
     private static final int LONGEST = 4000;
     private static final List<Integer> STATUS = List.of(400, 403, 404, 429, 503);
 
-    private Routes() { }
+    private RouteSettings() { }
 
     static RouteRules read(Section s) {
         int expression = s.whole("expression_steps", "steps", 1, 1_000_000, 2000);
--- a/src/main/java/mothcross/operators/Template.java
+++ b/src/main/java/mothcross/operators/Template.java
@@ -62,15 +62,15 @@
         String text;
         if (Files.size(file) > LARGEST) {
             text = "larger than " + LARGEST + " bytes";
-            status = Evaluation.AT_FAULT;
+            status = TemplateEvaluation.AT_FAULT;
         } else {
             try {
                 Either<String, ujson.Value> value = in.interpret(Files.readString(file), path(file));
                 text = value.isRight() ? value.toOption().get().toString() : plain(value.left().toOption().get());
-                if (value.isLeft()) status = Evaluation.AT_FAULT;
+                if (value.isLeft()) status = TemplateEvaluation.AT_FAULT;
             } catch (StackOverflowError e) {
                 text = "calls itself too deeply";
-                status = Evaluation.AT_FAULT;
+                status = TemplateEvaluation.AT_FAULT;
             }
         }
         System.out.write(text.getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/mothcross/operators/Evaluation.java
+++ b/src/main/java/mothcross/operators/TemplateEvaluation.java
@@ -15,16 +15,16 @@
  * bounded whatever the template does, and whose library the director itself never loads. Owns that process;
  * must never outlive it, nor wait for it longer than the bound.
  */
-record Evaluation(String text, String fault) {
+record TemplateEvaluation(String text, String fault) {
     static final int HEAP_MB = 96, TIME_MS = 20_000, LONGEST = 4 << 20;
     /** How the child ends where the template is at fault; its standard output then holds the reason. */
     static final int AT_FAULT = 4;
 
-    static Evaluation of(Path file) {
+    static TemplateEvaluation of(Path file) {
         return of(file, HEAP_MB, TIME_MS);
     }
 
-    static Evaluation of(Path file, int heapMb, int timeMs) {
+    static TemplateEvaluation of(Path file, int heapMb, int timeMs) {
         if (!Files.isReadable(file)) return bad("can't be read");
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         Process p;
@@ -50,7 +50,7 @@
             if (out.length > LONGEST) return bad("its value is longer than " + LONGEST + " bytes");
             int status = p.waitFor();
             String text = new String(out, StandardCharsets.UTF_8);
-            if (status == 0) return new Evaluation(text, null);
+            if (status == 0) return new TemplateEvaluation(text, null);
             if (status == AT_FAULT) return bad(text.strip());
             if (System.nanoTime() >= until) return bad("not evaluated within " + timeMs / 1000.0 + " s");
             return bad("not evaluated within a heap of " + heapMb + " MB");
@@ -65,15 +65,15 @@
         }
     }
 
-    private static Evaluation bad(String why) {
-        return new Evaluation(null, why);
+    private static TemplateEvaluation bad(String why) {
+        return new TemplateEvaluation(null, why);
     }
 
     /** What this program runs from, and the libraries beside it that only tools use. */
     private static String classPath() {
         StringBuilder s = new StringBuilder(System.getProperty("java.class.path"));
         try {
-            Path here = Path.of(Evaluation.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+            Path here = Path.of(TemplateEvaluation.class.getProtectionDomain().getCodeSource().getLocation().toURI());
             Path more = here.resolveSibling("lib").resolve("more");
             for (String part : List.of(here.toString(), more + File.separator + "*")) {
                 s.append(File.pathSeparator).append(part);
--- a/src/main/java/mothcross/policy/net/PolicyNode.java
+++ b/src/main/java/mothcross/policy/net/PolicyNode.java
@@ -22,7 +22,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 import mothcross.fleet.net.FleetNode;
-import mothcross.net.Current;
+import mothcross.net.ServingPermit;
 import mothcross.policy.Change;
 import mothcross.policy.Plan;
 import mothcross.policy.PolicyMessage;
@@ -40,7 +40,7 @@
  * compiled beside. Owns the one thread that it runs on, and the order in which a write comes before what rests on it;
  * must never decide anything, nor send from a step whose write has failed.
  */
-public final class PolicyNode implements FleetNode.MessageHandler, Current, AutoCloseable {
+public final class PolicyNode implements FleetNode.MessageHandler, ServingPermit, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("mothcross.policy");
     private static final int MOST_WAITING = 4096;
     private static final long LEAVE_MS = 1500, ASKED_MS = 3000;
--- a/src/test/java/mothcross/net/DrainPathsTest.java
+++ b/src/test/java/mothcross/net/DrainPathsTest.java
@@ -19,9 +19,10 @@
     private static final String ASK = "GET /api/v2/books/%02x HTTP/1.1|Req-Id: %016x|Req-Wait-Ms: 2900|"
         + "Content-Length: %d||%s";
 
-    private static Life told(Map<String, String> start, Map<String, Outside> parties, String listen) throws Exception {
+    private static DirectorServer told(Map<String, String> start, Map<String, Outside> parties, String listen)
+        throws Exception {
         String told = Outside.told(start, parties);
-        return new Life(Start.of(JsonParser.parseString(told).getAsJsonObject(), listen, true, 0));
+        return new DirectorServer(StartupConfig.of(JsonParser.parseString(told).getAsJsonObject(), listen, true, 0));
     }
 
     private static String drains(long event, Outside who, int index, int kind) {
@@ -47,11 +48,11 @@
         Map<String, Outside> parties = new TreeMap<>(Map.of("bulletin", Outside.listening("node", "bulletin", 99),
             "n1", Outside.listening("node", "cache", 1), "p1", Outside.listening("node", "parent", 2),
             "p2", Outside.listening("node", "parent", 3)));
-        Life life = told(Map.of("connect", "5"), parties, "127.0.0.1:" + port);
+        DirectorServer life = told(Map.of("connect", "5"), parties, "127.0.0.1:" + port);
         Thread begins = new Thread(() -> {
             try {
-                life.begin();
-            } catch (IOException | Start.Unusable e) {
+                life.start();
+            } catch (IOException | StartupConfig.InvalidConfigException e) {
                 throw new IllegalStateException(e);
             }
         });
@@ -79,9 +80,9 @@
         for (String how : List.of("refused", "node")) {
             Map<String, Outside> parties = new TreeMap<>(Map.of("bulletin", Outside.listening(how, "bulletin", 99),
                 "n1", Outside.listening("node", "cache", 1)));
-            Life life = told(Map.of("connect", "0.2"), parties, null);
+            DirectorServer life = told(Map.of("connect", "0.2"), parties, null);
             try {
-                life.begin();
+                life.start();
                 Outside a = Outside.client("a", life.port());
                 a.write(String.format(ASK, 10, 10, 0, ""), false);
                 assertTrue(parties.get("n1").read().startsWith("want 000000000000000a"));
@@ -103,11 +104,11 @@
         // So many nodes that each gets one connection.
         for (int i = 0; i < 60; i++) parties.put("x" + i, Outside.listening("refused", "parent", 100 + i));
         int asks = 230;
-        Life life = told(Map.of("connect", "3", "sockets", "380", "streams", "1000",
+        DirectorServer life = told(Map.of("connect", "3", "sockets", "380", "streams", "1000",
             "straight", "true"), parties, null);
         List<Outside> clients = new ArrayList<>();
         try {
-            life.begin();
+            life.start();
             Outside n1 = parties.get("n1"), bulletin = parties.get("bulletin");
             for (int i = 0; i < asks; i++) {
                 Outside c = Outside.client("c" + i, life.port());
@@ -140,11 +141,11 @@
         Map<String, Outside> parties = new TreeMap<>(Map.of("bulletin", Outside.listening("node", "bulletin", 99),
             "n1", Outside.listening("tight", "cache", 1)));
         for (int i = 0; i < 60; i++) parties.put("x" + i, Outside.listening("refused", "parent", 100 + i));
-        Life life = told(Map.of("connect", "0.4", "sockets", "380", "streams", "1000", "effect", "unsafe", "probing",
-            "true"), parties, null);
+        DirectorServer life = told(Map.of("connect", "0.4", "sockets", "380", "streams", "1000", "effect", "unsafe",
+            "probing", "true"), parties, null);
         List<Outside> clients = new ArrayList<>();
         try {
-            life.begin();
+            life.start();
             for (int i = 0; i < 2 || waits(life) == 0; i++) {
                 if (i == 1) Fleet.until("the first is written", () -> waits(life) == 0);
                 Outside c = Outside.client("c" + i, life.port());
@@ -166,11 +167,11 @@
         }
     }
 
-    private static long notSent(Life life) {
+    private static long notSent(DirectorServer life) {
         return ends(life, mothcross.Director.NOT_SENT);
     }
 
-    private static long ends(Life life, int how) {
+    private static long ends(DirectorServer life, int how) {
         life.desk().enter();
         try {
             return life.desk().count.ends[how];
@@ -179,7 +180,7 @@
         }
     }
 
-    private static int waits(Life life) {
+    private static int waits(DirectorServer life) {
         life.desk().enter();
         try {
             return life.desk().connections.stream().mapToInt(NodeConnection::waits).sum();
--- a/src/test/java/mothcross/net/EndingsTest.java
+++ b/src/test/java/mothcross/net/EndingsTest.java
@@ -22,22 +22,23 @@
 
     private final Map<String, Outside> parties = new TreeMap<>();
 
-    private Life life(String how, Map<String, String> start) throws Exception {
+    private DirectorServer life(String how, Map<String, String> start) throws Exception {
         parties.put("bulletin", Outside.listening(how, "bulletin", 99));
         parties.put("n1", Outside.listening("node", "cache", 1));
         String told = Outside.told(start, parties);
-        Life life = new Life(Start.of(JsonParser.parseString(told).getAsJsonObject(), null, true, 0));
-        life.begin();
+        DirectorServer life = new DirectorServer(
+            StartupConfig.of(JsonParser.parseString(told).getAsJsonObject(), null, true, 0));
+        life.start();
         return life;
     }
 
-    private void release(Life life) {
+    private void release(DirectorServer life) {
         if (life != null) life.release();
         for (Outside o : parties.values()) o.release();
         parties.clear();
     }
 
-    private Outside client(String name, Life life) {
+    private Outside client(String name, DirectorServer life) {
         Outside c = Outside.client(name, life.port());
         parties.put(name, c);
         return c;
@@ -61,7 +62,7 @@
 
     /** The request and the end of its client are there together when the director comes to read: nobody waits. */
     @Test(timeOut = 30_000) public void whoHasGoneBeforeItWasReadIsNotSentOn() throws Exception {
-        Life life = null;
+        DirectorServer life = null;
         try {
             life = life("node", Map.of());
             Outside a = client("a", life), b = client("b", life);
@@ -72,7 +73,7 @@
             life.desk().enter();
             try {
                 b.write("GET /-/healthy HTTP/1.1||", false);    // the one thread that reads now waits for the lock
-                Desk d = life.desk();
+                Dispatcher d = life.desk();
                 Fleet.until("it waits", () -> waits(d));
                 a.write(String.format(ASK, 10, 10, 29_000), false);
                 a.close(false);
@@ -94,7 +95,7 @@
      * reset both, and take the answer with it. They are read and not sent on.
      */
     @Test(timeOut = 30_000) public void whatCrossesAnEndResetsNothing() throws Exception {
-        Life life = life("node", Map.of());
+        DirectorServer life = life("node", Map.of());
         try {
             Outside asked = client("asked", life), rests = client("rests", life), b = client("b", life);
             for (Outside c : List.of(rests, b)) {
@@ -103,7 +104,7 @@
             }
             asked.write("GET /api/v2/books/0a HTTP/1.1|Req-Id: 000000000000000a|Connection: close||", false);
             assertTrue(parties.get("n1").read().startsWith("want 000000000000000a "));
-            Desk d = life.desk();
+            Dispatcher d = life.desk();
             d.enter();
             try {
                 b.write("GET /-/healthy HTTP/1.1||", false);    // the one thread that reads now waits for the lock
@@ -126,12 +127,12 @@
     }
 
     /** The timers' thread may wait for the lock as well; the other one reads. */
-    private static boolean waits(Desk d) {
+    private static boolean waits(Dispatcher d) {
         return Thread.getAllStackTraces().keySet().stream().anyMatch(t -> !t.getName().equals("timers")
             && d.lock.hasQueuedThread(t));
     }
 
-    private static Counters counters(Life life) {
+    private static Counters counters(DirectorServer life) {
         life.desk().enter();
         try {
             return life.desk().count;
@@ -142,7 +143,7 @@
 
     /** Half a frame that trickles is no news: the watch is made anew, as after silence. */
     @Test(timeOut = 30_000) public void aWatchThatTricklesIsDead() throws Exception {
-        Life life = null;
+        DirectorServer life = null;
         try {
             life = life("node", Map.of());
             Outside bulletin = parties.get("bulletin");
@@ -158,7 +159,7 @@
 
     /** It says again and again that nothing is new, after an event that never came: that event is asked for. */
     @Test(timeOut = 30_000) public void aWatchThatHasLostItsPlaceIsMadeAnew() throws Exception {
-        Life life = null;
+        DirectorServer life = null;
         try {
             life = life("node", Map.of());
             Outside bulletin = parties.get("bulletin");
@@ -174,13 +175,13 @@
 
     /** SIGHUP names an address where nobody listens yet: it is asked until somebody does, from the same number on. */
     @Test(timeOut = 30_000) public void aWatchMovesToWhereNobodyListensYet() throws Exception {
-        Life life = null;
+        DirectorServer life = null;
         try (Discovery next = new Discovery()) {
             life = life("node", Map.of());
             Outside old = parties.get("bulletin"), n1 = parties.get("n1"), a = client("a", life);
             assertEquals(old.read(), "2");
             String told = Outside.told(Map.of("bulletin", Integer.toString(next.port())), parties);
-            life.reload(Start.of(JsonParser.parseString(told).getAsJsonObject(), null, true, 0));
+            life.reload(StartupConfig.of(JsonParser.parseString(told).getAsJsonObject(), null, true, 0));
             assertTrue(old.gone());
             next.numbersFrom(3);
             next.open();
@@ -200,7 +201,7 @@
     /** A line that trickles, and an answer that trickles after its time, hold nobody up behind them for ever. */
     @Test(timeOut = 30_000) public void anAnswerThatNeverEndsIsEnded() throws Exception {
         for (String begun : List.of("000000000000000a DO", "000000000000000a DONE n=mem 200000|")) {
-            Life life = null;
+            DirectorServer life = null;
             try {
                 life = life("node", Map.of("connect", "0.2"));
                 Outside a = client("a", life), n1 = parties.get("n1");
@@ -216,7 +217,7 @@
 
     /** A body of 60 MB is refused by its head; its sender gets the refusal and a close in the page's 6 s. */
     @Test(timeOut = 30_000) public void hugeBodiesGetTheirRefusal() throws Exception {
-        Life life = life("node", Map.of("writes", "true"));
+        DirectorServer life = life("node", Map.of("writes", "true"));
         try {
             Outside a = client("a", life);
             long began = System.nanoTime();
@@ -235,7 +236,7 @@
         }
     }
 
-    private static int clients(Life life) {
+    private static int clients(DirectorServer life) {
         life.desk().enter();
         try {
             return life.desk().clients();
@@ -246,14 +247,14 @@
 
     /** Many large bodies at once, none of them whole: past an eighth of the memory they are refused, and let go. */
     @Test(timeOut = 30_000) public void halfReadBodiesAreBounded() throws Exception {
-        Life life = life("node", Map.of("writes", "true", "sockets", "400", "memory", "16"));
+        DirectorServer life = life("node", Map.of("writes", "true", "sockets", "400", "memory", "16"));
         try {
             String most = "y".repeat(150_000);
             for (int i = 0; i < 30; i++) {
                 client("c" + i, life).write("PUT /api/v2/books/0a HTTP/1.1|Req-Id: " + String.format("%016x", i + 1)
                     + "|Content-Length: 200000||" + most, false);
             }
-            Desk d = life.desk();
+            Dispatcher d = life.desk();
             Fleet.until("all is read", () -> d.ahead > 0 && clients(life) < 30);
             for (int i = 0; i < 30; i++) {
                 Outside c = parties.get("c" + i);
@@ -271,23 +272,25 @@
 
     /** The states of a process's end, by time alone. */
     @Test public void theProcessEndsWhenNothingIsOwed() {
-        Ending e = new Ending();
-        assertEquals(e.state(), Ending.State.SERVING);
+        ShutdownSequence e = new ShutdownSequence();
+        assertEquals(e.state(), ShutdownSequence.State.SERVING);
         e.begins(1000, 60_000);
         assertEquals(e.answeredBy(), 1000 + 700 + 3000 - 150.0, "the page's longest deadline");
-        assertEquals(e.step(1699, 0, 0), Ending.State.DRAINING, "who may still come finds somebody");
-        assertEquals(e.step(1710, 1700, 3), Ending.State.DRAINING, "somebody has just come: more may be waiting");
-        assertEquals(e.step(1760, 1700, 3), Ending.State.CLOSING);
-        assertEquals(e.step(e.answeredBy(), 1700, 3), Ending.State.CLOSING, "the last answers are on their way");
-        assertEquals(e.step(e.answeredBy() + 100, 1700, 3), Ending.State.OUT, "before it is killed");
-        Ending quick = new Ending();
+        assertEquals(e.step(1699, 0, 0), ShutdownSequence.State.DRAINING, "who may still come finds somebody");
+        assertEquals(e.step(1710, 1700, 3), ShutdownSequence.State.DRAINING,
+            "somebody has just come: more may be waiting");
+        assertEquals(e.step(1760, 1700, 3), ShutdownSequence.State.CLOSING);
+        assertEquals(e.step(e.answeredBy(), 1700, 3), ShutdownSequence.State.CLOSING,
+            "the last answers are on their way");
+        assertEquals(e.step(e.answeredBy() + 100, 1700, 3), ShutdownSequence.State.OUT, "before it is killed");
+        ShutdownSequence quick = new ShutdownSequence();
         quick.begins(0, 500);
         assertEquals(quick.answeredBy(), 1050.0, "no client waits for longer");
-        assertEquals(quick.step(700, 100, 1), Ending.State.CLOSING);
-        assertEquals(quick.step(701, 100, 0), Ending.State.OUT, "nobody is left");
-        Ending busy = new Ending();
+        assertEquals(quick.step(700, 100, 1), ShutdownSequence.State.CLOSING);
+        assertEquals(quick.step(701, 100, 0), ShutdownSequence.State.OUT, "nobody is left");
+        ShutdownSequence busy = new ShutdownSequence();
         busy.begins(0, 500);
-        assertEquals(busy.step(1060, 1059, 9), Ending.State.CLOSING, "they never stop coming");
+        assertEquals(busy.step(1060, 1059, 9), ShutdownSequence.State.CLOSING, "they never stop coming");
     }
 
     /** Where the connection is shut unread to make room, asked again on another, as the front and its clients do. */
--- a/src/test/java/mothcross/net/Fleet.java
+++ b/src/test/java/mothcross/net/Fleet.java
@@ -13,7 +13,7 @@
 import mothcross.membership.MembershipSnapshot;
 import mothcross.membership.Purge;
 import mothcross.membership.SnapshotFormat;
-import mothcross.operators.Remembering;
+import mothcross.operators.MembershipSettings;
 import mothcross.route.RouteRules;
 import mothcross.standin.Box;
 import mothcross.standin.Discovery;
@@ -26,7 +26,7 @@
     final Box parent = new Box(900, Box.PARENT), origin = new Box(901, Box.ORIGIN);
     final Path dir = Files.createTempDirectory("mothcross");
     final Map<String, String> start = new TreeMap<>(Map.of("straight", "false"));
-    final List<Life> lives = new ArrayList<>();
+    final List<DirectorServer> lives = new ArrayList<>();
     private final List<Box> others = new ArrayList<>();
     static final double MINUTE = 60_000, DAY = 86_400_000;
     /** Recent is ten minutes, old a day; what waits in tests waits briefly. */
@@ -85,30 +85,30 @@
         return o.toString();
     }
 
-    Start told(String name) throws Exception {
-        return Start.of(JsonParser.parseString(toldText(name)).getAsJsonObject(), null, false, 0);
+    StartupConfig told(String name) throws Exception {
+        return StartupConfig.of(JsonParser.parseString(toldText(name)).getAsJsonObject(), null, false, 0);
     }
 
-    Remembering remembering(String name, AgeLimits ages) {
-        return new Remembering(file(name), "fleet", ages, 100, 1000);
+    MembershipSettings remembering(String name, AgeLimits ages) {
+        return new MembershipSettings(file(name), "fleet", ages, 100, 1000);
     }
 
-    Life director(String name) throws Exception {
+    DirectorServer director(String name) throws Exception {
         return director(name, remembering(name, AGES));
     }
 
-    Life director(String name, Remembering r) throws Exception {
-        Life l = new Life(told(name), r);
+    DirectorServer director(String name, MembershipSettings r) throws Exception {
+        DirectorServer l = new DirectorServer(told(name), r);
         lives.add(l);
-        l.begin();
+        l.start();
         return l;
     }
 
     /** One that is told the list by discovery, with these rules. */
-    Life routed(String name, RouteRules rules) throws Exception {
-        Life l = new Life(told(name), remembering(name, AGES), rules);
+    DirectorServer routed(String name, RouteRules rules) throws Exception {
+        DirectorServer l = new DirectorServer(told(name), remembering(name, AGES), rules);
         lives.add(l);
-        l.begin();
+        l.start();
         long event = discovery.whole(all());
         discovery.open();
         until("told", () -> event(l) == event);
@@ -124,7 +124,7 @@
         }
     }
 
-    static long event(Life l) {
+    static long event(DirectorServer l) {
         l.desk().enter();
         try {
             return l.remembered().last();
@@ -133,7 +133,7 @@
         }
     }
 
-    static String standing(Life l, Box b) {
+    static String standing(DirectorServer l, Box b) {
         l.desk().enter();
         try {
             return String.valueOf(l.remembered().membership().stateOf(b.id()));
@@ -143,7 +143,7 @@
     }
 
     @Override public void close() throws java.io.IOException {
-        for (Life l : lives) l.release();
+        for (DirectorServer l : lives) l.release();
         discovery.close();
         for (Box b : all()) b.close();
         for (Box b : others) b.close();
--- a/src/test/java/mothcross/net/KilledTest.java
+++ b/src/test/java/mothcross/net/KilledTest.java
@@ -13,7 +13,7 @@
 import mothcross.membership.ListedNode;
 import mothcross.membership.MembershipSnapshot;
 import mothcross.membership.SnapshotFormat;
-import mothcross.operators.Remembering;
+import mothcross.operators.MembershipSettings;
 import mothcross.standin.Box;
 import mothcross.standin.Discovery;
 import org.testng.annotations.Test;
@@ -32,8 +32,9 @@
         private Victim() { }
 
         public static void main(String[] args) throws Exception {
-            Start start = Start.read(Path.of(args[0]), null, false);
-            new Life(start, new Remembering(Path.of(args[1]), "fleet", Fleet.AGES, STATED_MS, 1000)).begin();
+            StartupConfig start = StartupConfig.read(Path.of(args[0]), null, false);
+            new DirectorServer(start, new MembershipSettings(Path.of(args[1]), "fleet", Fleet.AGES, STATED_MS,
+                1000)).start();
             Thread.currentThread().join();
         }
     }
@@ -89,8 +90,8 @@
             } finally {
                 p.destroyForcibly().waitFor();
             }
-            SnapshotFormat.Result r = new ListOnDisk(f.file("d1"), "fleet", "d1").read(System.currentTimeMillis(),
-                5000);
+            SnapshotFormat.Result r = new SnapshotFileStore(f.file("d1"), "fleet", "d1")
+                .read(System.currentTimeMillis(), 5000);
             assertTrue(r != null && r.snapshot() != null, "seed " + seed + ": " + r);
             MembershipSnapshot k = r.snapshot();
             int due = 0;
--- a/src/test/java/mothcross/net/MeasureMembership.java
+++ b/src/test/java/mothcross/net/MeasureMembership.java
@@ -114,7 +114,7 @@
         try (Fleet f = new Fleet(4)) {
             f.discovery.whole(f.all());
             f.discovery.open();
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             double[] last = new double[n];
             int sentAfter = 0;
             try (Clients load = new Clients(d.port(), 8, 0, 10, 0)) {
@@ -162,7 +162,7 @@
                 t[0] = System.nanoTime();
                 byte[] b = SnapshotFormat.encode(k);
                 t[1] = System.nanoTime();
-                ListOnDisk disk = new ListOnDisk(file, "fleet", "d1");
+                SnapshotFileStore disk = new SnapshotFileStore(file, "fleet", "d1");
                 disk.write(k);
                 t[2] = System.nanoTime();
                 Membership m = new Membership(AgeLimits.DEFAULTS, 1000, new SplittableRandom(1),
--- a/src/test/java/mothcross/net/MeasureRoutes.java
+++ b/src/test/java/mothcross/net/MeasureRoutes.java
@@ -55,7 +55,7 @@
         for (int round = 0; round < 2; round++) {
             for (int n : new int[] {0, 10, 1000}) {
                 try (Fleet f = new Fleet(4)) {
-                    Life d = n == 0 ? f.routed("d1", (RouteRules) null) : f.routed("d1", table(n));
+                    DirectorServer d = n == 0 ? f.routed("d1", (RouteRules) null) : f.routed("d1", table(n));
                     double rate;
                     try (Clients load = new Clients(d.port(), 16, 0, 1, 0)) {
                         load.awaitHandled(20_000);
@@ -103,7 +103,8 @@
             try (Fleet f = new Fleet(2)) {
                 f.start.put("directors", "3");
                 for (Box b : f.caches) b.paced(110);
-                List<Life> three = List.of(f.routed("d1", rules), f.routed("d2", rules), f.routed("d3", rules));
+                List<DirectorServer> three = List.of(f.routed("d1", rules), f.routed("d2", rules),
+                    f.routed("d3", rules));
                 List<Office> others = new ArrayList<>();
                 for (int i = 0; i < 9; i++) others.add(new Office("office-" + i, three, 20));
                 Thread.sleep(2000);
@@ -133,7 +134,7 @@
         volatile int asked, handled;
         volatile boolean over;
 
-        Office(String name, List<Life> at, int perS) {
+        Office(String name, List<DirectorServer> at, int perS) {
             int threads = Math.max(3, perS / 5);
             for (int i = 0; i < threads; i++) {
                 int me = i;
--- a/src/test/java/mothcross/net/RememberedTest.java
+++ b/src/test/java/mothcross/net/RememberedTest.java
@@ -14,7 +14,7 @@
 import mothcross.membership.AgeLimits;
 import mothcross.membership.MembershipSnapshot;
 import mothcross.membership.SnapshotFormat;
-import mothcross.operators.Remembering;
+import mothcross.operators.MembershipSettings;
 import mothcross.standin.Box;
 import mothcross.standin.Clients;
 import mothcross.standin.Discovery;
@@ -38,7 +38,7 @@
         String after) throws Exception {
         try (Fleet f = new Fleet(1)) {
             f.keeps("d1", age, 0, List.of(), f.all());
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             Box b = f.caches.get(0);
             assertEquals(Fleet.standing(d, b), before);
             try (Clients.One c = new Clients.One(d.port())) {
@@ -57,7 +57,7 @@
     /** No list at all: every lookup is turned away at once until discovery tells; then the list is kept. */
     @Test public void startsWithNothing() throws Exception {
         try (Fleet f = new Fleet(1)) {
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             try (Clients.One c = new Clients.One(d.port())) {
                 assertEquals(c.status(1, 10, 3), 503);
                 f.discovery.whole(f.all());
@@ -71,7 +71,8 @@
     }
 
     private static MembershipSnapshot kept(Fleet f, String name) {
-        SnapshotFormat.Result r = new ListOnDisk(f.file(name), "fleet", name).read(System.currentTimeMillis(), 5000);
+        SnapshotFormat.Result r = new SnapshotFileStore(f.file(name), "fleet", name).read(System.currentTimeMillis(),
+            5000);
         return r == null ? null : r.snapshot();
     }
 
@@ -79,7 +80,7 @@
     @Test public void discoveryFlaps() throws Exception {
         try (Fleet f = new Fleet(2)) {
             f.keeps("d1", 60_000, 0, List.of(), f.all());
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             f.discovery.numbersFrom(11);
             f.discovery.whole(f.all());
             try (Clients load = new Clients(d.port(), 2, 5, 10, 100)) {
@@ -105,7 +106,7 @@
             Box mute = f.caches.get(0), away = f.caches.get(1), well = f.caches.get(2);
             mute.mute(true);
             away.vanished();
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             List<Clients.One> open = new ArrayList<>();
             for (int i = 0; i < 24; i++) {
                 open.add(new Clients.One(d.port()));
@@ -139,7 +140,7 @@
         long of(Counters c);
     }
 
-    private static int counted(Life d, Counted what) {
+    private static int counted(DirectorServer d, Counted what) {
         d.desk().enter();
         try {
             return (int) what.of(d.desk().count);
@@ -154,7 +155,7 @@
             f.keeps("d1", HOUR, 0, List.of(), f.all());
             Box gone = f.caches.get(0).gone(), was = f.caches.get(1);
             Box other = f.also(was.replacedBy(77, System.currentTimeMillis(), System.currentTimeMillis()));
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             try (Clients load = new Clients(d.port(), 3, 1, 10, 0)) {
                 Fleet.until("refused", () -> Fleet.standing(d, gone).equals("REFUSED"));
                 Fleet.until("answers", () -> Fleet.standing(d, was).equals("PROVEN"));
@@ -208,9 +209,9 @@
         try (Fleet f = new Fleet(1)) {
             f.discovery.whole(f.all());
             f.discovery.open();
-            Life first = f.director("d1");
+            DirectorServer first = f.director("d1");
             Fleet.until("kept", () -> kept(f, "d1") != null);
-            Life second = f.director("d1");
+            DirectorServer second = f.director("d1");
             Fleet.until("told", () -> Fleet.event(second) == 1 && Fleet.event(first) == 1);
             long event = f.discovery.changes(Discovery.DRAINING, f.caches.get(0));
             Fleet.until("both", () -> Fleet.event(second) == event && kept(f, "d1").lastEvent() == event);
@@ -231,17 +232,17 @@
             for (int i = 0; i < cases.length; i++) {
                 String name = "d" + (10 + i);
                 Files.write(f.file(name), (byte[]) cases[i][1]);
-                Life d = f.director(name);
+                DirectorServer d = f.director(name);
                 assertTrue(d.remembered().line().contains(", refused " + cases[i][0] + " 1"), d.remembered().line());
                 Fleet.until("told", () -> Fleet.event(d) == 1);
                 Fleet.until("written anew", () -> kept(f, name) != null);
             }
             Files.createDirectory(f.file("d2"));
-            Life folder = f.director("d2");
+            DirectorServer folder = f.director("d2");
             assertTrue(folder.remembered().line().contains(", refused unreadable 1"), folder.remembered().line());
-            Life nowhere = f.director("d3", new Remembering(f.dir.resolve("none").resolve("list"), "fleet",
-                Fleet.AGES, 100, 1000));
-            for (Life d : List.of(folder, nowhere)) {
+            DirectorServer nowhere = f.director("d3", new MembershipSettings(f.dir.resolve("none").resolve("list"),
+                "fleet", Fleet.AGES, 100, 1000));
+            for (DirectorServer d : List.of(folder, nowhere)) {
                 Fleet.until("told", () -> Fleet.event(d) == 1);
                 Fleet.until("says so", () -> d.remembered().writesFailed > 0);
                 try (Clients.One c = new Clients.One(d.port())) {
@@ -257,8 +258,8 @@
             f.discovery.whole(f.all());
             f.discovery.open();
             AtomicInteger tries = new AtomicInteger();
-            ListOnDisk disk = new ListOnDisk(f.file("d1"), "fleet", "d1");
-            ListKeeper full = new ListKeeper() {
+            SnapshotFileStore disk = new SnapshotFileStore(f.file("d1"), "fleet", "d1");
+            SnapshotStore full = new SnapshotStore() {
                 @Override public SnapshotFormat.Result read(double now, double skew) {
                     return disk.read(now, skew);
                 }
@@ -276,9 +277,9 @@
                     disk.close();
                 }
             };
-            Life d = new Life(f.told("d1"), f.remembering("d1", Fleet.AGES), full);
+            DirectorServer d = new DirectorServer(f.told("d1"), f.remembering("d1", Fleet.AGES), full);
             f.lives.add(d);
-            d.begin();
+            d.start();
             Fleet.until("written at last", () -> kept(f, "d1") != null && d.remembered().writesDone > 0);
             assertEquals(d.remembered().writesFailed, 2);
             assertEquals(tries.get(), 2 + (int) d.remembered().writesDone);
@@ -290,7 +291,7 @@
         try (Fleet f = new Fleet(2)) {
             f.discovery.whole(f.all());
             f.discovery.open();
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             Fleet.until("told", () -> Fleet.event(d) == 1);
             long now = System.currentTimeMillis();
             f.discovery.changes(Discovery.DRAINING, f.caches.get(0));
@@ -301,7 +302,7 @@
             f.discovery.withhold();
             f.lives.remove(d);
             d.release();
-            Life again = f.director("d1");
+            DirectorServer again = f.director("d1");
             assertEquals(Fleet.standing(again, f.caches.get(0)), "DRAINING");
             try (Clients.One c = new Clients.One(again.port())) {
                 for (int i = 0; i < 20; i++) assertEquals(c.status(i, 10, 17), 200);
@@ -318,7 +319,7 @@
             f.keeps("d1", HOUR, 0, List.of(), f.all());
             Box b = f.caches.get(0);
             b.mute(true);
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             List<Clients.One> open = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 open.add(new Clients.One(d.port()));
@@ -336,7 +337,7 @@
         try (Fleet f = new Fleet(2)) {
             Box old = f.caches.get(0);
             f.keeps("d1", 60_000, HOUR, List.of(old), f.all());
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             assertEquals(Fleet.standing(d, old), "OLD");
             try (Clients.One c = new Clients.One(d.port())) {
                 for (int i = 0; i < 40; i++) assertEquals(c.status(i, 10, 3), 200);
@@ -394,7 +395,7 @@
         try (Fleet f = new Fleet(3)) {
             f.discovery.whole(f.all());
             f.discovery.open();
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             f.discovery.changes(Discovery.DRAINING, f.caches.get(0));
             f.discovery.changes(Discovery.READY, f.caches.get(2));
             Fleet.until("event 3", () -> Fleet.event(d) == 3);
@@ -411,7 +412,7 @@
         }
     }
 
-    private static boolean behind(Life d) {
+    private static boolean behind(DirectorServer d) {
         d.desk().enter();
         try {
             return d.remembered().membership().behind();
@@ -425,7 +426,7 @@
         try (Fleet f = new Fleet(2)) {
             f.discovery.whole(f.all());
             f.discovery.open();
-            Life d = f.director("d1");
+            DirectorServer d = f.director("d1");
             Fleet.until("event 1", () -> Fleet.event(d) == 1);
             f.discovery.whole();
             Fleet.until("event 2", () -> Fleet.event(d) == 2);
--- a/src/test/java/mothcross/net/RoutesTest.java
+++ b/src/test/java/mothcross/net/RoutesTest.java
@@ -36,7 +36,7 @@
 
     public void clientsGetWhatTheRulesSay() throws Exception {
         try (Fleet f = new Fleet(3)) {
-            Life d = f.routed("d1", rules(rule("shut", "starts(object, 'ff')", null, -1, 403, null),
+            DirectorServer d = f.routed("d1", rules(rule("shut", "starts(object, 'ff')", null, -1, 403, null),
                 rule("one", "starts(object, 'aa')", "first(object, 2)", -1, 0, null),
                 rule("held", "(header('X-Office') ?? '') != ''", null, -1, 0,
                     new RouteRules.RateLimit("header('X-Office') ?? ''", 0.5, 2, 64))));
@@ -66,7 +66,7 @@
     /** No further hop where a rule takes them all: the failure of the first is the end. */
     public void furtherHopsAreNarrowed() throws Exception {
         try (Fleet f = new Fleet(2)) {
-            Life d = f.routed("d1", rules(rule("none", "true", "'x'", 0, 0, null)));
+            DirectorServer d = f.routed("d1", rules(rule("none", "true", "'x'", 0, 0, null)));
             assertTrue(ask(d.port(), "/api/v2/books/01", "").startsWith("HTTP/1.1 200 "));
             Box first = f.caches.get(0).count() > 0 ? f.caches.get(0) : f.caches.get(1);
             first.gone();
@@ -89,8 +89,8 @@
                 rule("odd", "true", null, -1, 404, null));
             RouteRules bad = rules(rule("even", "starts(object, 7)", null, -1, 0, null), rule("odd",
                 "contains(target, 'x')", null, -1, 0, null));
-            Life d = f.routed("d1", a);
-            Start told = f.told("d1");
+            DirectorServer d = f.routed("d1", a);
+            StartupConfig told = f.told("d1");
             try (Clients load = new Clients(d.port(), 6, 0, 10, 0)) {
                 load.awaitHandled(0);
                 Fleet.until("asked", () -> load.asked.get() > 100);
@@ -99,7 +99,7 @@
                     String fault = "";
                     try {
                         d.reload(told, f.remembering("d1", Fleet.AGES), next);
-                    } catch (Start.Unusable e) {
+                    } catch (StartupConfig.InvalidConfigException e) {
                         fault = e.getMessage();
                     }
                     assertEquals(fault.contains("rules[0].match") && fault.contains("rules[1].match"), next == bad,
--- a/src/test/java/mothcross/net/ServeTest.java
+++ b/src/test/java/mothcross/net/ServeTest.java
@@ -128,21 +128,21 @@
 
     /** The director under test with what it was told. */
     private static final class Run {
-        final Life life;
+        final DirectorServer life;
         final int port;
         private Thread ending;
 
         Run(Map<String, String> start, Map<String, Outside> parties) throws Exception {
-            life = new Life(Start.of(com.google.gson.JsonParser.parseString(Outside.told(start, parties))
-                .getAsJsonObject(), null, true, 0));
-            life.begin();
+            life = new DirectorServer(StartupConfig.of(
+                com.google.gson.JsonParser.parseString(Outside.told(start, parties)).getAsJsonObject(), null, true, 0));
+            life.start();
             port = life.port();
         }
 
         void end() throws InterruptedException {
             ending = new Thread(() -> {
                 try {
-                    life.end();
+                    life.stop();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
--- a/src/test/java/mothcross/operators/OperatorsTest.java
+++ b/src/test/java/mothcross/operators/OperatorsTest.java
@@ -17,7 +17,7 @@
         try {
             OperatorsFile.of(FILE, json);
             return "";
-        } catch (OperatorsFile.Unusable e) {
+        } catch (OperatorsFile.InvalidOperatorsFileException e) {
             return String.join("\n", e.faults());
         }
     }
@@ -117,9 +117,9 @@
     }
 
     @Test public void leftOutIsOffAndDefaultsAreShown() throws Exception {
-        assertNull(OperatorsFile.of(FILE, "{}").part(Part.MEMBERSHIP));
+        assertNull(OperatorsFile.of(FILE, "{}").part(SettingsPart.MEMBERSHIP));
         OperatorsFile f = OperatorsFile.of(FILE, with(", \"recent_s\": 7"));
-        Remembering r = f.part(Part.MEMBERSHIP);
+        MembershipSettings r = f.part(SettingsPart.MEMBERSHIP);
         assertEquals(r.ages().recentMs(), 7000.0);
         assertEquals(r.ages().oldMs(), 86_400_000.0);
         assertTrue(f.show().contains("\"recent_s\": 7.0") && f.show().contains("\"skew_s\": 5.0"), f.show());
@@ -127,7 +127,7 @@
 
     @Test public void theExampleIsTaken() throws Exception {
         OperatorsFile f = OperatorsFile.read(Path.of("deploy", "operators.jsonnet"));
-        assertEquals(f.part(Part.MEMBERSHIP).ages(), mothcross.membership.AgeLimits.DEFAULTS,
+        assertEquals(f.part(SettingsPart.MEMBERSHIP).ages(), mothcross.membership.AgeLimits.DEFAULTS,
             "the example shows the defaults");
     }
 
@@ -150,12 +150,13 @@
         };
         for (Object[] c : cases) {
             Path file = Files.writeString(inner.resolve("t.jsonnet"), (String) c[0]);
-            Evaluation e = Evaluation.of(file, 48, c[1] != null && ((String) c[1]).contains("2.0 s") ? 2000 : 15_000);
+            TemplateEvaluation e = TemplateEvaluation.of(file, 48, c[1] != null && ((String) c[1]).contains("2.0 s")
+                ? 2000 : 15_000);
             assertEquals(e.text(), c[2], (String) c[0] + ": " + e.fault());
             if (c[1] == null) continue;
             assertTrue(e.fault().contains((String) c[1]) && e.fault().lines().count() == 1, c[0] + ": " + e.fault());
         }
-        assertEquals(Evaluation.of(dir.resolve("none")).fault(), "can't be read");
+        assertEquals(TemplateEvaluation.of(dir.resolve("none")).fault(), "can't be read");
     }
 
     @Test public void nearNamesAreFound() {
