--- a/src/main/java/mothcross/cli/EmulateCommand.java
+++ b/src/main/java/mothcross/cli/EmulateCommand.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
-import mothcross.emulator.Against;
 import mothcross.emulator.Baselines;
-import mothcross.emulator.Hunt;
-import mothcross.emulator.Policy;
-import mothcross.emulator.Result;
-import mothcross.emulator.Script;
-import mothcross.emulator.Town;
-import mothcross.emulator.World;
+import mothcross.emulator.DirectorFactory;
+import mothcross.emulator.EarlierBuild;
+import mothcross.emulator.FaultSchedule;
+import mothcross.emulator.ScenarioParameters;
+import mothcross.emulator.Simulation;
+import mothcross.emulator.SimulationResult;
+import mothcross.emulator.WorstCaseSearch;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -51,17 +51,17 @@
     private boolean bySecond;
 
     @Override public Integer call() throws IOException {
-        Town town = new Town();
-        Script script;
+        ScenarioParameters town = new ScenarioParameters();
+        FaultSchedule script;
         try {
             for (Map.Entry<String, Double> e : set.entrySet()) town = town.with(e.getKey(), e.getValue());
-            script = faults != null ? Script.of(Files.readString(faults))
-                : Script.drawn(new SplittableRandom(seed), draw, town);
+            script = faults != null ? FaultSchedule.of(Files.readString(faults))
+                : FaultSchedule.drawn(new SplittableRandom(seed), draw, town);
         } catch (IllegalArgumentException e) {
             return Main.plainly(e.getMessage());
         }
         if (against != null) {
-            Baselines.ALL.put("against", new Against(against).policy());
+            Baselines.ALL.put("against", new EarlierBuild(against).policy());
             policies = new ArrayList<>(policies);
             if (!policies.contains("against")) policies.add("against");
         }
@@ -69,10 +69,10 @@
         if (hunt > 0) return hunt(town);
         System.out.print(script);
         for (String name : policies) {
-            Policy p = Baselines.ALL.get(name);
+            DirectorFactory p = Baselines.ALL.get(name);
             if (p == null) return Main.plainly("no policy '" + name + "'; there are " + Baselines.ALL.keySet());
             long begun = System.nanoTime();
-            Result r = World.play(town, script, p, seed);
+            SimulationResult r = Simulation.play(town, script, p, seed);
             System.out.println(name + ": " + r.line());
             for (String f : r.first) System.out.println("  " + f);
             if (bySecond) {
@@ -86,12 +86,12 @@
         return kept ? 0 : RULE_BROKEN;
     }
 
-    private int hunt(Town town) {
+    private int hunt(ScenarioParameters town) {
         for (String name : policies) {
-            Policy p = Baselines.ALL.get(name);
+            DirectorFactory p = Baselines.ALL.get(name);
             if (p == null) return Main.plainly("no policy '" + name + "'; there are " + Baselines.ALL.keySet());
-            Hunt.Found worst = Hunt.worst(town, p, hunt, seed, Hunt::badness);
-            Hunt.Found shrunk = Hunt.shrink(town, p, worst, Hunt::badness, 0.8);
+            WorstCaseSearch.Found worst = WorstCaseSearch.worst(town, p, hunt, seed, WorstCaseSearch::badness);
+            WorstCaseSearch.Found shrunk = WorstCaseSearch.shrink(town, p, worst, WorstCaseSearch::badness, 0.8);
             System.out.printf(Locale.ROOT, "# %s: the worst of %d days is seed %d, badness %.3f; shrunk to %.3f "
                 + "after %d runs%n%s",
                 name, hunt, worst.seed(), worst.badness(), shrunk.badness(), shrunk.played(), shrunk.script());
--- a/src/main/java/mothcross/cli/RigCommand.java
+++ b/src/main/java/mothcross/cli/RigCommand.java
@@ -22,10 +22,10 @@
 import mothcross.rig.FaultScript;
 import mothcross.rig.FleetRules;
 import mothcross.rig.History;
-import mothcross.rig.PolicyPlay;
 import mothcross.rig.PolicyRules;
-import mothcross.rig.Real;
-import mothcross.rig.Virtual;
+import mothcross.rig.PolicySimulation;
+import mothcross.rig.ProcessFleet;
+import mothcross.rig.SimulatedFleet;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -60,8 +60,8 @@
     }
 
     /** Three voters, or five where there are as many directors and the seed is odd. */
-    private static PolicyPlay policy(FaultScript s, long seed) {
-        return PolicyPlay.play(s, 3000, seed % 2 == 0 ? 3 : 5, seed, null);
+    private static PolicySimulation policy(FaultScript s, long seed) {
+        return PolicySimulation.play(s, 3000, seed % 2 == 0 ? 3 : 5, seed, null);
     }
 
     private static FaultScript read(Path file) throws IOException {
@@ -73,7 +73,7 @@
     int run(@Parameters(paramLabel = "SCRIPT") Path script, @Option(names = "--seed", defaultValue = "1") long seed,
             @Option(names = "--logs", paramLabel = "DIR", description = "keeps each process's log there") Path logs)
         throws IOException, InterruptedException {
-        try (Real r = new Real(read(script), seed, logs)) {
+        try (ProcessFleet r = new ProcessFleet(read(script), seed, logs)) {
             r.play();
             r.said.forEach(System.out::println);
             deaths(r.history);
@@ -113,7 +113,7 @@
     }
 
     /** How long lookups took, those near the exchange of a table at their director apart from the rest. */
-    private static void times(Real r) {
+    private static void times(ProcessFleet r) {
         List<Double> near = new ArrayList<>(), far = new ArrayList<>();
         Map<Integer, Integer> others = new TreeMap<>();
         // One after the other, each through: then the plans are the proposals, in their order.
@@ -154,7 +154,7 @@
                @Option(names = "--events", description = "prints every event") boolean events) throws IOException {
         try {
             if (read(script).hasPolicy()) return said(policy(read(script), seed).rules);
-            Virtual v = Virtual.play(read(script), FailureDetectorSettings.DEFAULTS, seed, null);
+            SimulatedFleet v = SimulatedFleet.play(read(script), FailureDetectorSettings.DEFAULTS, seed, null);
             if (events) v.history.events.forEach(e -> System.out.println(Math.round(e.at()) + " " + e.kind() + " "
                 + e.name() + (e.members().isEmpty() ? "" : " " + e.number() + " " + e.members()) + " " + e.text()));
             return said(v.check(), v.history.events.size());
@@ -209,7 +209,7 @@
         DoubleAccumulator most = new DoubleAccumulator(Math::max, 0);
         LongStream.range(from, from + histories).parallel().forEach(seed -> {
             FaultScript s = FaultScript.drawn(new SplittableRandom(seed));
-            Virtual v = Virtual.play(s, FailureDetectorSettings.DEFAULTS, seed, null);
+            SimulatedFleet v = SimulatedFleet.play(s, FailureDetectorSettings.DEFAULTS, seed, null);
             most.accumulate(v.mostParts - 1);
             FleetRules r = v.check();
             if (r.broken.isEmpty()) return;
@@ -233,7 +233,7 @@
 
     private static boolean fails(FaultScript s, long seed) {
         if (s.hasPolicy()) return !policy(s, seed).rules.broken.isEmpty();
-        return !Virtual.play(s, FailureDetectorSettings.DEFAULTS, seed, null).check().broken.isEmpty();
+        return !SimulatedFleet.play(s, FailureDetectorSettings.DEFAULTS, seed, null).check().broken.isEmpty();
     }
 
 }
--- a/src/main/java/mothcross/emulator/Pipe.java
+++ b/src/main/java/mothcross/emulator/BandwidthLink.java
@@ -9,7 +9,7 @@
  * by
  * {@link #drop}.
  */
-final class Pipe {
+final class BandwidthLink {
     /** One flow: full-pace ms it needs, and what follows its end. */
     static final class Job implements Comparable<Job> {
         private final double ends;
@@ -29,13 +29,13 @@
         }
     }
 
-    private final Clockwork clock;
+    private final EventQueue clock;
     private final PriorityQueue<Job> jobs = new PriorityQueue<>();
     private double flows, done, at;
     private int running;
     private long orders, armed;
 
-    Pipe(Clockwork clock, double flows) {
+    BandwidthLink(EventQueue clock, double flows) {
         this.clock = clock;
         this.flows = flows;
         this.at = clock.now;
--- a/src/main/java/mothcross/emulator/Baselines.java
+++ b/src/main/java/mothcross/emulator/Baselines.java
@@ -21,7 +21,7 @@
  */
 public final class Baselines {
     /** By name; {@code decide} is the module itself. */
-    public static final Map<String, Policy> ALL = new LinkedHashMap<>();
+    public static final Map<String, DirectorFactory> ALL = new LinkedHashMap<>();
 
     static {
         ALL.put("decide", (seed, w, places, may, told, caches, parents, purge) ->
@@ -41,7 +41,7 @@
 
     private Baselines() { }
 
-    private static Policy plain(Choice how, double keepsUpToKb, int further) {
+    private static DirectorFactory plain(Choice how, double keepsUpToKb, int further) {
         return (seed, w, places, may, told, caches, parents, purge) -> new Plain(how, keepsUpToKb, further, seed,
             places, may, purge);
     }
--- a/src/main/java/mothcross/emulator/Store.java
+++ b/src/main/java/mothcross/emulator/CacheStore.java
@@ -10,7 +10,7 @@
  * lower
  * rank. Owns the copies and their sizes.
  */
-final class Store {
+final class CacheStore {
     /** One copy: when the origin gave it out, its size, the group it is of. */
     record Copy(double minted, double kb, int group, int rank) { }
 
@@ -21,7 +21,7 @@
     private final LinkedHashMap<Long, Copy>[] ranks = new LinkedHashMap[RANKS];
     private double kb;
 
-    Store(double mostKb) {
+    CacheStore(double mostKb) {
         this.mostKb = mostKb;
         for (int i = 0; i < RANKS; i++) ranks[i] = new LinkedHashMap<>(16, 0.75f, true);
     }
--- a/src/main/java/mothcross/emulator/Policy.java
+++ b/src/main/java/mothcross/emulator/DirectorFactory.java
@@ -9,7 +9,7 @@
 
 /** Makes the director of one host: the module itself, or what it is compared with. */
 @FunctionalInterface
-public interface Policy {
+public interface DirectorFactory {
     Director make(long seed, Workload[] workloads, Topology places, Capabilities may, SiteParameters told,
                   SlowStartLimits caches, SlowStartLimits parents, double purgeTakesMs);
 }
--- a/src/main/java/mothcross/emulator/Against.java
+++ b/src/main/java/mothcross/emulator/EarlierBuild.java
@@ -22,14 +22,14 @@
  * between the two sets of types, by name; what the earlier one does not know (a narrowing) is left out. Must never mix
  * classes of the two.
  */
-public final class Against {
+public final class EarlierBuild {
     private final ClassLoader loader;
     private final Class<?> reader, writer;
     private final Constructor<?> make;
     private final Map<String, Method> calls = new HashMap<>();
 
     /** {@code build}: a jar, or a folder of classes. Throws where it holds no module that can be called. */
-    public Against(Path build) throws IOException {
+    public EarlierBuild(Path build) throws IOException {
         loader = new URLClassLoader(new URL[] {build.toUri().toURL()}, ClassLoader.getPlatformClassLoader());
         try {
             Class<?> director = type("Director");
@@ -52,7 +52,7 @@
         }
     }
 
-    public Policy policy() {
+    public DirectorFactory policy() {
         return (seed, workloads, places, may, told, caches, parents, purge) -> {
             Object[] args = {seed, workloads, places, may, told, caches, parents, purge};
             for (int i = 0; i < args.length; i++) args[i] = over(args[i], make.getParameterTypes()[i]);
--- a/src/main/java/mothcross/emulator/Clockwork.java
+++ b/src/main/java/mothcross/emulator/EventQueue.java
@@ -7,7 +7,7 @@
  * same, so
  * that a run is the same to the byte by its seed. Owns the time; must never look at a real clock.
  */
-final class Clockwork {
+final class EventQueue {
     private double[] at = new double[1024];
     private long[] order = new long[1024];
     private Runnable[] what = new Runnable[1024];
--- a/src/main/java/mothcross/emulator/Script.java
+++ b/src/main/java/mothcross/emulator/FaultSchedule.java
@@ -11,7 +11,7 @@
  * Owns the
  * notation (docs/operate/emulator.md has it); must never depend on what the policy does.
  */
-public final class Script {
+public final class FaultSchedule {
     /** One line, taken apart. */
     private record Line(double at, String what, String whom, double value, double lasts, String text) { }
 
@@ -21,8 +21,8 @@
     private final List<Line> lines = new ArrayList<>();
 
     /** Throws with the line's number where one can't be read. */
-    public static Script of(String text) {
-        Script s = new Script();
+    public static FaultSchedule of(String text) {
+        FaultSchedule s = new FaultSchedule();
         int number = 0;
         for (String raw : text.split("\n")) {
             number++;
@@ -70,16 +70,16 @@
     }
 
     /** Without one of its lines: for shrinking a script to what matters. */
-    public Script without(int i) {
-        Script s = new Script();
+    public FaultSchedule without(int i) {
+        FaultSchedule s = new FaultSchedule();
         s.lines.addAll(lines);
         s.lines.remove(i);
         return s;
     }
 
     /** With each span halved, or each number nearer to harmless: the same kinds in a milder form. */
-    public Script milder() {
-        Script s = new Script();
+    public FaultSchedule milder() {
+        FaultSchedule s = new FaultSchedule();
         for (Line l : lines) {
             double value = l.value > 1 ? 1 + (l.value - 1) / 2 : l.value;
             Line m = new Line(l.at, l.what, l.whom, value, l.lasts / 2, null);
@@ -91,7 +91,7 @@
     }
 
     /** A script drawn by chance: so many faults over a run of these seconds. */
-    public static Script drawn(SplittableRandom r, int faults, Town t) {
+    public static FaultSchedule drawn(SplittableRandom r, int faults, ScenarioParameters t) {
         StringBuilder s = new StringBuilder();
         int caches = t.count("caches") * t.count("places");
         for (int i = 0; i < faults; i++) {
@@ -127,14 +127,14 @@
 
     // ---- what each does ----
 
-    void set(World w) {
+    void set(Simulation w) {
         for (Line l : lines) w.clock.in(l.at, () -> befalls(w, l));
     }
 
-    private static List<Box> boxes(World w, String whom) {
+    private static List<SimulatedNode> boxes(Simulation w, String whom) {
         String[] p = whom.split(" ");
-        List<Box> caches = w.boxes.stream().filter(b -> b.kind == Box.CACHE).toList();
-        List<Box> parents = w.boxes.stream().filter(b -> b.kind == Box.PARENT).toList();
+        List<SimulatedNode> caches = w.boxes.stream().filter(b -> b.kind == SimulatedNode.CACHE).toList();
+        List<SimulatedNode> parents = w.boxes.stream().filter(b -> b.kind == SimulatedNode.PARENT).toList();
         double n = Double.parseDouble(p[1]);
         return switch (p[0]) {
             case "cache" -> List.of(caches.get((int) n % caches.size()));
@@ -153,8 +153,8 @@
         return some;
     }
 
-    private static void befalls(World w, Line l) {
-        Clockwork c = w.clock;
+    private static void befalls(Simulation w, Line l) {
+        EventQueue c = w.clock;
         switch (l.what) {
             case "crash" -> boxes(w, l.whom).forEach(b -> {
                 b.stop();
@@ -213,7 +213,7 @@
             }
             case "hot", "scan", "load" -> {
                 for (int p = 0; p < w.town.count("places"); p++) {
-                    Demand d = w.demandAt(p);
+                    LoadGenerator d = w.demandAt(p);
                     demand(d, l.what, l.value);
                     c.in(l.lasts, () -> demand(d, l.what, l.what.equals("load") ? 1 : 0));
                 }
@@ -222,36 +222,36 @@
             default -> {
                 double each = l.lasts / Math.max(1, w.hosts.size());
                 for (int i = 0; i < w.hosts.size(); i++) {
-                    Host h = w.hosts.get(i);
+                    SimulatedDirector h = w.hosts.get(i);
                     c.in(each * i, () -> kill(w, h, Math.max(500, each)));
                 }
             }
         }
     }
 
-    private static void kill(World w, Host h, double lasts) {
+    private static void kill(Simulation w, SimulatedDirector h, double lasts) {
         if (h.dead) return;
         h.kill();
         w.clock.in(lasts, h::begin);
     }
 
-    private static int place(World w, String whom) {
+    private static int place(Simulation w, String whom) {
         return (int) Double.parseDouble(whom.split(" ")[1]) % w.town.count("places");
     }
 
-    private static List<Host> hosts(World w, String whom) {
+    private static List<SimulatedDirector> hosts(Simulation w, String whom) {
         String[] p = whom.split(" ");
         double n = Double.parseDouble(p[1]);
         return p[0].equals("director") ? List.of(w.hosts.get((int) n % w.hosts.size())) : some(w.hosts, n);
     }
 
-    private static void demand(Demand d, String what, double value) {
+    private static void demand(LoadGenerator d, String what, double value) {
         if (what.equals("load")) d.times = value;
         else if (what.equals("hot")) d.hotShare = value;
         else d.scanShare = value;
     }
 
-    private static void back(World w, Box b) {
+    private static void back(Simulation w, SimulatedNode b) {
         if (b.up && !b.silent || b.fell) return;
         b.start(w.clock.now);
         w.tell(b, Director.IN_SERVICE);
--- a/src/main/java/mothcross/emulator/Hop.java
+++ b/src/main/java/mothcross/emulator/Hop.java
@@ -4,20 +4,20 @@
 final class Hop {
     /** How a box ends it: outcome and note in the module's words, and how long its source was waited for. */
     interface Ends {
-        void end(int outcome, int note, double sourceWait, Store.Copy copy);
+        void end(int outcome, int note, double sourceWait, CacheStore.Copy copy);
     }
 
     final long key;
     final int group, rank, how;
     final double kb, ownMs, oldest, sentAt;
-    final Box source;                       // null: none
+    final SimulatedNode source;                       // null: none
     private final Ends ends;
     boolean over;
     boolean neverRan;                       // its end proved that it did not
-    Pipe.Job sending;
-    Pipe on;
+    BandwidthLink.Job sending;
+    BandwidthLink on;
 
-    Hop(long key, int group, double kb, double ownMs, Box source, int rank, double oldest, int how, double sentAt,
+    Hop(long key, int group, double kb, double ownMs, SimulatedNode source, int rank, double oldest, int how, double sentAt,
         Ends ends) {
         this.key = key;
         this.group = group;
@@ -31,7 +31,7 @@
         this.ends = ends;
     }
 
-    void end(int outcome, int note, double sourceWait, Store.Copy copy) {
+    void end(int outcome, int note, double sourceWait, CacheStore.Copy copy) {
         if (over) return;
         over = true;
         ends.end(outcome, note, sourceWait, copy);
--- a/src/main/java/mothcross/emulator/Demand.java
+++ b/src/main/java/mothcross/emulator/LoadGenerator.java
@@ -7,7 +7,7 @@
  * ahead of
  * any answer; popularity is Zipf's over common and own objects, drifts, and has objects wanted once.
  */
-final class Demand {
+final class LoadGenerator {
     /** What a client wants, over all its tries; worth is counted once. */
     static final class Wish {
         final double at, kb, ownMs;
@@ -28,14 +28,14 @@
     /** One try of it at one director. */
     static final class Lookup {
         final Wish wish;
-        final Host host;
+        final SimulatedDirector host;
         final int run, group;
         final double expires;
         final boolean onceOnly;
         boolean answered, mayHaveRun;
         int index;
 
-        Lookup(Wish wish, Host host, double expires, boolean onceOnly) {
+        Lookup(Wish wish, SimulatedDirector host, double expires, boolean onceOnly) {
             this.wish = wish;
             this.host = host;
             this.run = host.run;
@@ -47,7 +47,7 @@
 
     private static final int GROUPS = 64;
     private static final double BACKSTOP_MS = 20;           // hops end with the client's time, and its answer with them
-    private final World w;
+    private final Simulation w;
     private final int place;
     private final SplittableRandom chance;
     private final double[] cumulated;
@@ -55,7 +55,7 @@
     /** Times the usual rate, and the share of lookups for one object; faults move both. */
     double times = 1, hotShare, scanShare;
 
-    Demand(World w, int place, SplittableRandom chance) {
+    LoadGenerator(Simulation w, int place, SplittableRandom chance) {
         this.w = w;
         this.place = place;
         this.chance = chance;
@@ -68,7 +68,7 @@
 
     /** Lookups a second at this place: the load's share of what its caches can send. */
     double perMs() {
-        Town t = w.town;
+        ScenarioParameters t = w.town;
         double meanMs = t.get("kb") / t.get("flow_kb_ms");
         return times * t.get("load") * t.get("caches") * t.get("cache_flows") / meanMs;
     }
@@ -78,7 +78,7 @@
     }
 
     private void arrives() {
-        Town t = w.town;
+        ScenarioParameters t = w.town;
         if (w.elapsed() >= 1000 * t.get("seconds")) return;
         begin();
         long object = object();
@@ -116,7 +116,7 @@
     }
 
     private void ask(Wish wish) {
-        Host h = w.hostAt(place, chance);
+        SimulatedDirector h = w.hostAt(place, chance);
         wish.tries++;
         if (h == null) {
             again(wish, w.town.get("retry_ms"));
--- a/src/main/java/mothcross/emulator/Checker.java
+++ b/src/main/java/mothcross/emulator/RuleChecker.java
@@ -11,15 +11,15 @@
  * with the
  * module. Owns the counts of breaks and the first of each; must never influence the run.
  */
-final class Checker {
-    private final World w;
+final class RuleChecker {
+    private final Simulation w;
     final long[] broken = new long[6];
     final List<String> first = new ArrayList<>();
     // By director: when it was told that a box drains or is gone, and of purges.
     private final Map<Integer, Map<Integer, Double>> out = new HashMap<>();
     private final Map<Integer, Map<Integer, double[]>> purges = new HashMap<>();
 
-    Checker(World w) {
+    RuleChecker(Simulation w) {
         this.w = w;
     }
 
@@ -27,7 +27,7 @@
         if (broken[rule]++ == 0) first.add("rule " + rule + " at " + Math.round(w.elapsed()) + " ms: " + what);
     }
 
-    void told(int director, Box b, int standing) {
+    void told(int director, SimulatedNode b, int standing) {
         Map<Integer, Double> m = out.computeIfAbsent(director, k -> new HashMap<>());
         if (standing == Director.IN_SERVICE) m.remove(b.index);
         else m.putIfAbsent(b.index, w.clock.now);
@@ -45,11 +45,11 @@
         purges.remove(director);
     }
 
-    void sent(int director, Demand.Lookup l, Box node, Box source) {
+    void sent(int director, LoadGenerator.Lookup l, SimulatedNode node, SimulatedNode source) {
         if (l.answered) breaks(1, "sent after the answer");
         double grace = w.town.get("drain_grace");
         Map<Integer, Double> m = out.getOrDefault(director, Map.of());
-        for (Box b : source == null ? List.of(node) : List.of(node, source)) {
+        for (SimulatedNode b : source == null ? List.of(node) : List.of(node, source)) {
             Double since = m.get(b.index);
             if (since != null && w.clock.now > since + grace) breaks(3, b.id + " was told to be out "
                 + (w.clock.now - since) + " ms before");
@@ -57,18 +57,18 @@
         if (l.onceOnly && l.mayHaveRun) breaks(2, "a once-only lookup was sent again");
     }
 
-    void answered(Demand.Lookup l, boolean bounced) {
+    void answered(LoadGenerator.Lookup l, boolean bounced) {
         if (l.answered) breaks(1, "a second answer");
         if (w.clock.now > l.expires + 1) breaks(1, "an answer " + (w.clock.now - l.expires) + " ms late");
         if (bounced && l.onceOnly && l.mayHaveRun) breaks(2, "bounced what may have run");
     }
 
     /** Its time is up; only a running director owes anything. */
-    void timeIsUp(Demand.Lookup l) {
+    void timeIsUp(LoadGenerator.Lookup l) {
         if (!l.answered && !l.host.dead && l.run == l.host.run) breaks(1, "no answer");
     }
 
-    void served(int director, Demand.Lookup l, Hop h, Store.Copy copy) {
+    void served(int director, LoadGenerator.Lookup l, Hop h, CacheStore.Copy copy) {
         double[] p = purges.getOrDefault(director, Map.of()).get(l.group);
         if (p != null && h.sentAt > p[1] + w.town.get("purge_grace") && copy.minted() < p[0]) {
             breaks(5, "a copy " + (p[0] - copy.minted()) + " ms older than the purge told " + (h.sentAt - p[1])
@@ -76,7 +76,7 @@
         }
     }
 
-    void pushedOver(Box b) {
+    void pushedOver(SimulatedNode b) {
         breaks(4, b.id + " fell over " + Math.round(w.clock.now - b.startedAt) + " ms after its start");
     }
 }
--- a/src/main/java/mothcross/emulator/Town.java
+++ b/src/main/java/mothcross/emulator/ScenarioParameters.java
@@ -8,7 +8,7 @@
  * Times are
  * ms, sizes KB, the rest shares and counts. Owns the names; must never hold what happens.
  */
-public final class Town {
+public final class ScenarioParameters {
     private static final Map<String, Double> USUAL = new LinkedHashMap<>();
 
     static {
@@ -34,13 +34,13 @@
     private final Map<String, Double> values = new LinkedHashMap<>(USUAL);
 
     /** Throws where a name is none of a town's, or a value is out of what can be played. */
-    public Town with(String name, double value) {
+    public ScenarioParameters with(String name, double value) {
         if (!USUAL.containsKey(name)) {
             throw new IllegalArgumentException("a town has no '" + name + "'; it has " + String.join(", ",
                 USUAL.keySet()));
         }
         if (!(value >= 0 && value < 1e9)) throw new IllegalArgumentException(name + " = " + value + " can't be played");
-        Town t = new Town();
+        ScenarioParameters t = new ScenarioParameters();
         t.values.putAll(values);
         t.values.put(name, value);
         return t;
--- a/src/main/java/mothcross/emulator/Host.java
+++ b/src/main/java/mothcross/emulator/SimulatedDirector.java
@@ -18,14 +18,14 @@
  * that are
  * out and the bells; must never let the policy see what its rounds do not bring.
  */
-final class Host implements DecisionWriter {
-    private final World w;
+final class SimulatedDirector implements DecisionWriter {
+    private final Simulation w;
     final int number, place;
-    private final Policy policy;
+    private final DirectorFactory policy;
     private final SplittableRandom chance;
     private Director director;
     private LookupIndexAllocator slots;
-    private Demand.Lookup[] lookups;
+    private LoadGenerator.Lookup[] lookups;
     private final List<List<Hop>> hops = new ArrayList<>();
     private boolean atWork;
     private final List<EventBatch> later = new ArrayList<>();
@@ -35,7 +35,7 @@
     long sent;
     double newsDue;
 
-    Host(World w, int number, int place, Policy policy, SplittableRandom chance) {
+    SimulatedDirector(Simulation w, int number, int place, DirectorFactory policy, SplittableRandom chance) {
         this.w = w;
         this.number = number;
         this.place = place;
@@ -75,16 +75,16 @@
     }
 
     private void start() {
-        Town t = w.town;
+        ScenarioParameters t = w.town;
         slots = new LookupIndexAllocator();
-        lookups = new Demand.Lookup[64];
+        lookups = new LoadGenerator.Lookup[64];
         hops.clear();
         later.clear();
         int places = t.count("places"), here = t.count("directors");
         int[] at = new int[places + 1];
         for (int i = 0; i < places; i++) at[i] = here;
         director = policy.make(chance.nextLong(), new Workload[] {workload(t, false), workload(t, true)},
-            new Topology(place, at, here * places, Box.PARENT, Box.ORIGIN),
+            new Topology(place, at, here * places, SimulatedNode.PARENT, SimulatedNode.ORIGIN),
             new Capabilities(t.count("hops"), true, true, t.get("straight") > 0, true, 1000),
             new SiteParameters(true, true, false, t.get("flow_kb_ms"), t.get("link_flows")),
             new SlowStartLimits(t.get("cold_floor"), t.get("cold_ms"), t.get("cold_breaks"), t.get("cold_span")),
@@ -95,13 +95,13 @@
         dead = false;
         round(to -> {
             to.listStarted(Director.LIST_RESTORED);
-            for (Box b : w.boxes) listed(to, b, b.standing);
+            for (SimulatedNode b : w.boxes) listed(to, b, b.standing);
             to.listFinished();
         });
         dead = wasDead;
     }
 
-    private static Workload workload(Town t, boolean once) {
+    private static Workload workload(ScenarioParameters t, boolean once) {
         return new Workload(once ? Workload.Effect.NON_IDEMPOTENT : Workload.Effect.IDEMPOTENT,
             Workload.DeduplicationScope.ALL, 5000,
             t.get("target"), t.get("stretch"), t.get("abandon"), 1, t.get("late_share"), t.get("fresh"), t.get("stale"),
@@ -113,12 +113,12 @@
         booting = false;
         missed.clear();
         for (List<Hop> all : hops) for (Hop h : all) if (h != null && !h.over) h.drop();
-        for (Demand.Lookup l : lookups) if (l != null && !l.answered) w.demandAt(place).again(l.wish, 500);
+        for (LoadGenerator.Lookup l : lookups) if (l != null && !l.answered) w.demandAt(place).again(l.wish, 500);
     }
 
-    private void listed(Director to, Box b, int standing) {
+    private void listed(Director to, SimulatedNode b, int standing) {
         w.check.told(number, b, standing);
-        to.nodeListed(b.index, b.id, b.kind == Box.CACHE ? b.place : w.town.count("places"), b.kind, b.place, standing,
+        to.nodeListed(b.index, b.id, b.kind == SimulatedNode.CACHE ? b.place : w.town.count("places"), b.kind, b.place, standing,
             b.units(), b.startedAt);
     }
 
@@ -141,11 +141,11 @@
         }
     }
 
-    void news(Box b, int standing, double startedAt) {
+    void news(SimulatedNode b, int standing, double startedAt) {
         round(to -> {
             to.listStarted(Director.LIST_DELTA);
             w.check.told(number, b, standing);
-            to.nodeListed(b.index, b.id, b.kind == Box.CACHE ? b.place : w.town.count("places"), b.kind, b.place,
+            to.nodeListed(b.index, b.id, b.kind == SimulatedNode.CACHE ? b.place : w.town.count("places"), b.kind, b.place,
                 standing, b.units(), startedAt);
             to.listFinished();
         });
@@ -156,17 +156,17 @@
         round(to -> to.purged(-1, group, w.clock.now - at));
     }
 
-    void ask(Demand.Lookup l) {
+    void ask(LoadGenerator.Lookup l) {
         int at = l.index = slots.allocate();
         while (at >= lookups.length) lookups = java.util.Arrays.copyOf(lookups, 2 * lookups.length);
         lookups[at] = l;
         while (hops.size() <= at) hops.add(new ArrayList<>());
         hops.get(at).clear();
-        Demand.Wish x = l.wish;
+        LoadGenerator.Wish x = l.wish;
         round(to -> to.lookup(at, l.onceOnly ? 1 : 0, l.expires, x.object, 0, x.group, x.kb, x.tries > 1, false));
     }
 
-    void left(Demand.Lookup l) {
+    void left(LoadGenerator.Lookup l) {
         int at = l.index;
         if (lookups[at] != l) return;
         slots.markOver(at);
@@ -178,8 +178,8 @@
         if (slots.release(at)) lookups[at] = null;
     }
 
-    private void ended(int at, int number, Box node, Hop h, int outcome, int note, double sourceWait, Store.Copy copy) {
-        Demand.Lookup l = lookups[at];
+    private void ended(int at, int number, SimulatedNode node, Hop h, int outcome, int note, double sourceWait, CacheStore.Copy copy) {
+        LoadGenerator.Lookup l = lookups[at];
         if (dead || l == null) return;
         boolean handled = outcome == Director.SUCCEEDED && !l.answered;
         if (outcome == Director.SUCCEEDED && copy != null) w.check.served(this.number, l, h, copy);
@@ -201,8 +201,8 @@
     // ---- what the policy decides ----
 
     private void send(int at, int node, int source, double giveUpAt, int rank, double maxAge, int how) {
-        Demand.Lookup l = lookups[at];
-        Box b = w.boxes.get(node), from = source == node ? null : w.boxes.get(source);
+        LoadGenerator.Lookup l = lookups[at];
+        SimulatedNode b = w.boxes.get(node), from = source == node ? null : w.boxes.get(source);
         l.mayHaveRun = mayHaveRun(at);
         w.check.sent(number, l, b, from);
         sent++;
@@ -261,7 +261,7 @@
     }
 
     private void answer(int lookup, boolean bounced, double after) {
-        Demand.Lookup l = lookups[lookup];
+        LoadGenerator.Lookup l = lookups[lookup];
         l.mayHaveRun = mayHaveRun(lookup);
         w.check.answered(l, bounced);
         l.answered = true;
@@ -284,7 +284,7 @@
     }
 
     @Override public void probe(int node) {
-        Box b = w.boxes.get(node);
+        SimulatedNode b = w.boxes.get(node);
         w.clock.in(2 * w.town.get("near_ms"), () -> round(to -> to.probeCompleted(node,
             b.reachable() ? Director.SUCCEEDED : Director.CONNECT_FAILED, 2, b.reachable() ? b.report() : null)));
     }
--- a/src/main/java/mothcross/emulator/Box.java
+++ b/src/main/java/mothcross/emulator/SimulatedNode.java
@@ -13,7 +13,7 @@
  * is
  * there. Owns its state; must never know which policy asks, and falls over for good when pushed past what it bears.
  */
-final class Box {
+final class SimulatedNode {
     static final int CACHE = 0, PARENT = 1, ORIGIN = 2;
 
     /** A fill under way, and the hops that wait for it. */
@@ -26,12 +26,12 @@
         }
     }
 
-    private final World w;
+    private final Simulation w;
     final int index, kind, place;
     final String id;
     private final double flows;
-    private final Pipe pipe;
-    private final Store store;
+    private final BandwidthLink pipe;
+    private final CacheStore store;
     private final Map<Long, Fill> fills = new HashMap<>();
     private final Map<Integer, Double> purgedAt = new HashMap<>();      // bounded by the groups there are
     private final ArrayDeque<double[]> work = new ArrayDeque<>();
@@ -47,16 +47,16 @@
     /** The most that came within a span, as a share of what pushes it over. */
     double nearest;
 
-    Box(World w, int index, int kind, int place) {
+    SimulatedNode(Simulation w, int index, int kind, int place) {
         this.w = w;
         this.index = index;
         this.kind = kind;
         this.place = place;
         this.id = (kind == CACHE ? "c" : kind == PARENT ? "p" : "o") + index;
-        Town t = w.town;
+        ScenarioParameters t = w.town;
         flows = t.get(kind == CACHE ? "cache_flows" : kind == PARENT ? "parent_flows" : "origin_flows");
-        pipe = new Pipe(w.clock, flows);
-        store = new Store(1000 * t.get(kind == PARENT ? "parent_mb" : "cache_mb"));
+        pipe = new BandwidthLink(w.clock, flows);
+        store = new CacheStore(1000 * t.get(kind == PARENT ? "parent_mb" : "cache_mb"));
     }
 
     double units() {
@@ -114,7 +114,7 @@
         if (up) store.purge(group, at);
     }
 
-    private void keep(long key, Store.Copy c) {
+    private void keep(long key, CacheStore.Copy c) {
         if (c.minted() >= purgedAt.getOrDefault(c.group(), Double.NEGATIVE_INFINITY)) store.put(key, c);
     }
 
@@ -123,7 +123,7 @@
     /** A lookup comes, as hop or as fill: counted against what a cold box bears. */
     private boolean bears(double ownMs) {
         if (kind == ORIGIN) return true;
-        Town t = w.town;
+        ScenarioParameters t = w.town;
         double span = t.get("cold_span"), now = w.clock.now, warmth = warmth();
         if (warmth >= 1) return true;
         work.add(new double[] {now, ownMs});
@@ -164,7 +164,7 @@
             });
             return;
         }
-        Store.Copy c = good(h.key, h.oldest);
+        CacheStore.Copy c = good(h.key, h.oldest);
         if (c != null) {
             hits++;
             boolean past = w.fresh() > 0 && w.clock.now - c.minted() > w.fresh();
@@ -177,15 +177,15 @@
     }
 
     /** A copy no older than the hop takes, or than its fresh time where it does not say. */
-    private Store.Copy good(long key, double oldest) {
-        Store.Copy c = store.get(key);
+    private CacheStore.Copy good(long key, double oldest) {
+        CacheStore.Copy c = store.get(key);
         if (c == null) return null;
         double age = w.clock.now - c.minted(), most = oldest > 0 ? oldest : w.fresh() > 0 ? w.fresh()
             : Double.MAX_VALUE;
         return age <= most ? c : null;
     }
 
-    private void send(Hop h, Store.Copy copy, int note, double sourceWait) {
+    private void send(Hop h, CacheStore.Copy copy, int note, double sourceWait) {
         if (h.over) {
             held--;
             w.closed(this, h);
@@ -201,7 +201,7 @@
         if (w.closed(this, h)) held--;
     }
 
-    private void ended(Hop h, int outcome, int note, double sourceWait, Store.Copy copy) {
+    private void ended(Hop h, int outcome, int note, double sourceWait, CacheStore.Copy copy) {
         if (w.closed(this, h)) held--;
         h.end(outcome, note, sourceWait, copy);
     }
@@ -209,7 +209,7 @@
     // ---- fills ----
 
     private interface Got {
-        void got(Store.Copy copy, int note);
+        void got(CacheStore.Copy copy, int note);
     }
 
     private void fill(Hop h) {
@@ -231,10 +231,10 @@
         })));
     }
 
-    private void filled(Fill f, Hop first, Store.Copy copy, int note) {
+    private void filled(Fill f, Hop first, CacheStore.Copy copy, int note) {
         fills.remove(first.key, f);
         if (!up) return;
-        if (copy != null && first.rank > 0) keep(first.key, new Store.Copy(copy.minted(), copy.kb(), copy.group(),
+        if (copy != null && first.rank > 0) keep(first.key, new CacheStore.Copy(copy.minted(), copy.kb(), copy.group(),
             first.rank));
         double waited = w.clock.now - f.begun;
         for (Hop h : f.waiting) {
@@ -266,7 +266,7 @@
             got.got(null, Director.SOURCE_UNREACHABLE);
             return;
         }
-        Store.Copy c = good(key, oldest);
+        CacheStore.Copy c = good(key, oldest);
         if (c != null) {
             hits++;
             pipe.add(ownMs, () -> got.got(c, Director.FILLED));
@@ -296,7 +296,7 @@
 
     private final Map<Long, Fetch> parentFills = new HashMap<>();   // each ends with its answer
 
-    private void parentGot(Fetch f, long key, double ownMs, Store.Copy copy) {
+    private void parentGot(Fetch f, long key, double ownMs, CacheStore.Copy copy) {
         parentFills.remove(key, f);
         if (!up) return;
         if (copy != null) keep(key, copy);
@@ -318,7 +318,7 @@
         w.originKb += kb;
         double minted = w.clock.now;
         w.clock.in(w.town.get("origin_ms"), () -> pipe.add(kb / w.town.get("flow_kb_ms"),
-            () -> got.got(new Store.Copy(minted, kb, group, 1), Director.FILLED_BY_ORIGIN)));
+            () -> got.got(new CacheStore.Copy(minted, kb, group, 1), Director.FILLED_BY_ORIGIN)));
     }
 
     /** What answers tell of its load, no fresher than reports are. */
--- a/src/main/java/mothcross/emulator/Result.java
+++ b/src/main/java/mothcross/emulator/SimulationResult.java
@@ -9,9 +9,9 @@
  * counts once,
  * whatever its tries, in the second in which it arose.
  */
-public final class Result {
+public final class SimulationResult {
     private final double seconds;
-    private final List<Demand.Wish> wishes = new ArrayList<>();
+    private final List<LoadGenerator.Wish> wishes = new ArrayList<>();
     private final double target, stretch;
     public long bounced, givenUp, unanswered, hits, handled, events, hops, originFetches, originShed, fallen;
     public long[] broken = new long[6];
@@ -19,17 +19,17 @@
     /** The most any cold box was sent, as a share of what pushes it over. */
     public double nearest;
 
-    Result(Town t) {
+    SimulationResult(ScenarioParameters t) {
         seconds = t.get("seconds");
         target = t.get("target");
         stretch = t.get("stretch");
     }
 
-    void wished(Demand.Wish w) {
+    void wished(LoadGenerator.Wish w) {
         wishes.add(w);
     }
 
-    void handled(Demand.Wish w, double at, int note) {
+    void handled(LoadGenerator.Wish w, double at, int note) {
         handled++;
         if (note == mothcross.Director.HIT || note == mothcross.Director.STALE_HIT) hits++;
         if (w.handled) return;
@@ -40,7 +40,7 @@
     /** The share of wishes of these seconds that were handled by their target time. */
     public double inTime(double from, double to) {
         long all = 0, good = 0;
-        for (Demand.Wish w : wishes) {
+        for (LoadGenerator.Wish w : wishes) {
             if (w.at < 1000 * from || w.at >= 1000 * to) continue;
             all++;
             if (w.inTime) good++;
@@ -65,7 +65,7 @@
 
     /** The names of all figures, in their order. */
     public static List<String> names() {
-        return List.copyOf(new Result(new Town()).figures().keySet());
+        return List.copyOf(new SimulationResult(new ScenarioParameters()).figures().keySet());
     }
 
     /** By name, for tables; the order is the table's. */
--- a/src/main/java/mothcross/emulator/Hunt.java
+++ b/src/main/java/mothcross/emulator/WorstCaseSearch.java
@@ -9,25 +9,25 @@
  * search;
  * the same seed finds the same day, however many threads play.
  */
-public final class Hunt {
+public final class WorstCaseSearch {
     /** A day: how bad it is, and how many were played to find it. */
-    public record Found(long seed, Script script, double badness, int played) { }
+    public record Found(long seed, FaultSchedule script, double badness, int played) { }
 
-    private Hunt() { }
+    private WorstCaseSearch() { }
 
     /** Breaks of rules first, then how much of the worst 5 s was missed. */
-    public static double badness(Result r) {
+    public static double badness(SimulationResult r) {
         long broken = 0;
         for (long b : r.broken) broken += b;
         return broken > 0 ? 1000 + Math.min(1000, broken) : 1 - r.worst(5) + (1 - r.inTime());
     }
 
-    public static Found worst(Town town, Policy policy, int days, long seed, ToDoubleFunction<Result> badness) {
+    public static Found worst(ScenarioParameters town, DirectorFactory policy, int days, long seed, ToDoubleFunction<SimulationResult> badness) {
         Found[] all = IntStream.range(0, days).parallel().mapToObj(i -> {
             long mine = seed + i;
             SplittableRandom r = new SplittableRandom(mine);
-            Script s = Script.drawn(r, 2 + r.nextInt(5), town);
-            return new Found(mine, s, badness.applyAsDouble(World.play(town, s, policy, mine)), 1);
+            FaultSchedule s = FaultSchedule.drawn(r, 2 + r.nextInt(5), town);
+            return new Found(mine, s, badness.applyAsDouble(Simulation.play(town, s, policy, mine)), 1);
         }).toArray(Found[]::new);
         Found worst = all[0];
         for (Found f : all) if (f.badness > worst.badness) worst = f;
@@ -35,28 +35,28 @@
     }
 
     /** Leaves out lines and makes the rest milder while the day stays {@code keeps} (0 to 1) as bad. */
-    public static Found shrink(Town town, Policy policy, Found from, ToDoubleFunction<Result> badness, double keeps) {
+    public static Found shrink(ScenarioParameters town, DirectorFactory policy, Found from, ToDoubleFunction<SimulationResult> badness, double keeps) {
         double least = from.badness >= 1000 ? 1000 : keeps * from.badness;
-        Script best = from.script;
+        FaultSchedule best = from.script;
         int played = from.played;
         for (boolean again = true; again;) {
             again = false;
             for (int i = 0; i < best.size() && best.size() > 1; i++) {
-                Script less = best.without(i);
+                FaultSchedule less = best.without(i);
                 played++;
-                if (badness.applyAsDouble(World.play(town, less, policy, from.seed)) < least) continue;
+                if (badness.applyAsDouble(Simulation.play(town, less, policy, from.seed)) < least) continue;
                 best = less;
                 again = true;
                 i--;
             }
         }
         for (int i = 0; i < 5; i++) {
-            Script milder = best.milder();
+            FaultSchedule milder = best.milder();
             played++;
-            if (badness.applyAsDouble(World.play(town, milder, policy, from.seed)) < least) break;
+            if (badness.applyAsDouble(Simulation.play(town, milder, policy, from.seed)) < least) break;
             best = milder;
         }
-        double now = badness.applyAsDouble(World.play(town, best, policy, from.seed));
+        double now = badness.applyAsDouble(Simulation.play(town, best, policy, from.seed));
         return new Found(from.seed, best, now, played + 1);
     }
 }
--- a/src/main/java/mothcross/experiment/Commands.java
+++ b/src/main/java/mothcross/experiment/Commands.java
@@ -54,11 +54,11 @@
         }
 
         /** Null where it has said what is wrong. */
-        Plan plan() throws IOException {
+        ExperimentPlan plan() throws IOException {
             try {
                 String json = OperatorsFile.evaluated(file);
                 hash = hash(json) + "-" + BUILD;
-                return Plan.of(JsonParser.parseString(json).getAsJsonObject());
+                return ExperimentPlan.of(JsonParser.parseString(json).getAsJsonObject());
             } catch (OperatorsFile.InvalidOperatorsFileException | IllegalArgumentException | IllegalStateException
                 | UnsupportedOperationException | ClassCastException e) {
                 System.err.println("mothcross: " + file + ": " + e.getMessage());
@@ -66,8 +66,8 @@
             }
         }
 
-        Rows rows() throws IOException {
-            return new Rows(dir().resolve("rows.csv"), hash);
+        ResultRows rows() throws IOException {
+            return new ResultRows(dir().resolve("rows.csv"), hash);
         }
     }
 
@@ -112,9 +112,9 @@
         private int jobs = Runtime.getRuntime().availableProcessors();
 
         @Override public Integer call() throws IOException, InterruptedException {
-            Plan plan = which.plan();
+            ExperimentPlan plan = which.plan();
             if (plan == null) return USAGE;
-            Rows rows = which.rows();
+            ResultRows rows = which.rows();
             int n = Sweep.play(plan, rows, Math.max(1, jobs), s -> System.err.println(s));
             new Report(plan, rows, which.hash, commit()).write(which.dir());
             System.out.println(n + " runs played, " + plan.cells.size() + " cells; see "
@@ -132,7 +132,7 @@
         @Parameters(index = "2", paramLabel = "OTHER") private String other;
 
         @Override public Integer call() throws IOException {
-            Plan plan = which.plan();
+            ExperimentPlan plan = which.plan();
             if (plan == null) return USAGE;
             new Report(plan, which.rows(), which.hash, commit()).compare(one, other).forEach(System.out::println);
             return 0;
@@ -145,7 +145,7 @@
         @CommandLine.Mixin private Which which;
 
         @Override public Integer call() throws IOException {
-            Plan plan = which.plan();
+            ExperimentPlan plan = which.plan();
             if (plan == null) return USAGE;
             Report r = new Report(plan, which.rows(), which.hash, commit());
             r.write(which.dir());
--- a/src/main/java/mothcross/experiment/Plan.java
+++ b/src/main/java/mothcross/experiment/ExperimentPlan.java
@@ -7,18 +7,18 @@
 import java.util.List;
 import java.util.Map;
 import mothcross.emulator.Baselines;
-import mothcross.emulator.Result;
-import mothcross.emulator.Script;
-import mothcross.emulator.Town;
+import mothcross.emulator.FaultSchedule;
+import mothcross.emulator.ScenarioParameters;
+import mothcross.emulator.SimulationResult;
 
 /**
  * What an experiment plays: factors with their levels, seeds, faults, figures, and when it may stop. Owns the cells,
  * each
  * named by its levels; must refuse what a run would refuse, before the first run.
  */
-public final class Plan {
+public final class ExperimentPlan {
     /** One setting of all factors: {@code name} is the same in every play of the same plan. */
-    public record Cell(String name, String policy, Town town, String faults) { }
+    public record Cell(String name, String policy, ScenarioParameters town, String faults) { }
 
     private static final List<String> FIELDS = List.of("town", "factors", "policies", "faults", "seeds", "metrics",
         "stop");
@@ -31,20 +31,20 @@
     public final double stopWidth;
     public final int stopLeast;
 
-    private Plan(int seeds, double stopWidth, int stopLeast) {
+    private ExperimentPlan(int seeds, double stopWidth, int stopLeast) {
         this.seeds = seeds;
         this.stopWidth = stopWidth;
         this.stopLeast = stopLeast;
     }
 
     /** {@code all}: the evaluated file. Throws with the field at fault. */
-    public static Plan of(JsonObject all) {
+    public static ExperimentPlan of(JsonObject all) {
         for (String k : all.keySet()) if (!FIELDS.contains(k)) throw bad(k, "is not known; known are " + FIELDS);
         JsonObject stop = all.has("stop") ? all.getAsJsonObject("stop") : new JsonObject();
         int seeds = whole(all, "seeds", 20, 1, MOST_SEEDS);
-        Plan p = new Plan(seeds, stop.has("half_width") ? stop.get("half_width").getAsDouble() : 0,
+        ExperimentPlan p = new ExperimentPlan(seeds, stop.has("half_width") ? stop.get("half_width").getAsDouble() : 0,
             whole(stop, "least_seeds", Math.min(8, seeds), 1, MOST_SEEDS));
-        Town town = new Town();
+        ScenarioParameters town = new ScenarioParameters();
         if (all.has("town")) {
             for (Map.Entry<String, JsonElement> e : all.getAsJsonObject("town").entrySet()) {
                 town = with(town, "town." + e.getKey(), e.getKey(), e.getValue().getAsDouble());
@@ -57,7 +57,7 @@
         if (faults.isEmpty()) faults.put("none", "");
         faults.forEach((name, text) -> {
             try {
-                Script.of(text);
+                FaultSchedule.of(text);
             } catch (IllegalArgumentException e) {
                 throw bad("faults." + name, e.getMessage());
             }
@@ -70,14 +70,14 @@
             + Baselines.ALL.keySet());
         if (all.has("metrics")) all.getAsJsonArray("metrics").forEach(e -> p.metrics.add(e.getAsString()));
         if (p.metrics.isEmpty()) p.metrics.add("in_time");
-        for (String m : p.metrics) if (!Result.names().contains(m)) throw bad("metrics", "has no '" + m
+        for (String m : p.metrics) if (!SimulationResult.names().contains(m)) throw bad("metrics", "has no '" + m
             + "'; there are "
-            + Result.names());
-        List<Map.Entry<String, Town>> towns = new ArrayList<>(List.of(Map.entry("", town)));
+            + SimulationResult.names());
+        List<Map.Entry<String, ScenarioParameters>> towns = new ArrayList<>(List.of(Map.entry("", town)));
         if (all.has("factors")) {
             for (Map.Entry<String, JsonElement> f : all.getAsJsonObject("factors").entrySet()) {
-                List<Map.Entry<String, Town>> more = new ArrayList<>();
-                for (Map.Entry<String, Town> t : towns) {
+                List<Map.Entry<String, ScenarioParameters>> more = new ArrayList<>();
+                for (Map.Entry<String, ScenarioParameters> t : towns) {
                     for (JsonElement level : f.getValue().getAsJsonArray()) {
                         String name = (t.getKey().isEmpty() ? "" : t.getKey() + " ") + f.getKey() + "="
                             + level.getAsString();
@@ -88,7 +88,7 @@
                 towns = more;
             }
         }
-        for (Map.Entry<String, Town> t : towns) {
+        for (Map.Entry<String, ScenarioParameters> t : towns) {
             for (Map.Entry<String, String> f : faults.entrySet()) {
                 for (String policy : policies) {
                     String name = (t.getKey().isEmpty() ? "" : t.getKey() + " ") + "faults=" + f.getKey() + " policy="
@@ -102,7 +102,7 @@
         return p;
     }
 
-    private static Town with(Town t, String at, String name, double value) {
+    private static ScenarioParameters with(ScenarioParameters t, String at, String name, double value) {
         try {
             return t.with(name, value);
         } catch (IllegalArgumentException e) {
--- a/src/main/java/mothcross/experiment/Report.java
+++ b/src/main/java/mothcross/experiment/Report.java
@@ -22,11 +22,11 @@
  * figure in them is computed from the rows, and bears the plan's hash and the commit.
  */
 public final class Report {
-    private final Plan plan;
-    private final Rows rows;
+    private final ExperimentPlan plan;
+    private final ResultRows rows;
     private final String plans, commit;
 
-    public Report(Plan plan, Rows rows, String planHash, String commit) {
+    public Report(ExperimentPlan plan, ResultRows rows, String planHash, String commit) {
         this.plan = plan;
         this.rows = rows;
         this.plans = planHash;
@@ -37,7 +37,7 @@
         return m.values().stream().mapToDouble(x -> x).toArray();
     }
 
-    private Sample sample(Plan.Cell c, String metric) {
+    private Sample sample(ExperimentPlan.Cell c, String metric) {
         return Sample.of(values(rows.figures(c.name(), metric)));
     }
 
@@ -49,7 +49,7 @@
     public String csv() {
         StringBuilder s = new StringBuilder("cell,seeds");
         for (String m : plan.metrics) s.append(String.format(",%s,%s_low,%s_high", m, m, m));
-        for (Plan.Cell c : plan.cells) {
+        for (ExperimentPlan.Cell c : plan.cells) {
             s.append('\n').append(c.name()).append(',').append(rows.count(c.name()));
             for (String m : plan.metrics) {
                 Sample x = sample(c, m);
@@ -64,7 +64,7 @@
         all.addProperty("plan", plans);
         all.addProperty("commit", commit);
         JsonObject cells = new JsonObject();
-        for (Plan.Cell c : plan.cells) {
+        for (ExperimentPlan.Cell c : plan.cells) {
             JsonObject o = new JsonObject();
             o.addProperty("seeds", rows.count(c.name()));
             for (String m : plan.metrics) {
@@ -88,7 +88,7 @@
         List<String> lines = new ArrayList<>();
         lines.add(String.format("| cell | figure | %s less %s | 95 %% interval | effect | seeds | |", one, other));
         lines.add("| --- | --- | --- | --- | --- | --- | --- |");
-        for (Plan.Cell c : plan.cells) {
+        for (ExperimentPlan.Cell c : plan.cells) {
             if (!c.policy().equals(one)) continue;
             String twin = c.name().replace("policy=" + one, "policy=" + other);
             for (String m : plan.metrics) {
@@ -136,7 +136,7 @@
 
     private CategoryChart chart(String metric) {
         Set<String> where = new LinkedHashSet<>(), policies = new LinkedHashSet<>();
-        for (Plan.Cell c : plan.cells) {
+        for (ExperimentPlan.Cell c : plan.cells) {
             where.add(c.name().replace(" policy=" + c.policy(), "").replace("policy=" + c.policy(), "all"));
             policies.add(c.policy());
         }
--- a/src/main/java/mothcross/experiment/Sweep.java
+++ b/src/main/java/mothcross/experiment/Sweep.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import mothcross.emulator.Baselines;
-import mothcross.emulator.Script;
-import mothcross.emulator.World;
+import mothcross.emulator.FaultSchedule;
+import mothcross.emulator.Simulation;
 
 /**
  * Plays a plan over all cores: every cell with every seed, what is in the rows already left out, seeds in turn so
@@ -25,7 +25,7 @@
     private Sweep() { }
 
     /** How many runs were played; {@code said} hears of progress now and then. */
-    public static int play(Plan plan, Rows rows, int jobs, Consumer<String> said) throws IOException,
+    public static int play(ExperimentPlan plan, ResultRows rows, int jobs, Consumer<String> said) throws IOException,
         InterruptedException {
         ExecutorService threads = Executors.newFixedThreadPool(jobs, r -> {
             Thread t = new Thread(r, "run");
@@ -41,13 +41,13 @@
             int step = Math.max(1, plan.stopLeast);
             for (int from = 1; from <= plan.seeds; from += step) {
                 List<Future<?>> round = new ArrayList<>();
-                for (Plan.Cell c : plan.cells) {
+                for (ExperimentPlan.Cell c : plan.cells) {
                     if (enough.contains(c.name())) continue;
                     for (int seed = from; seed < from + step && seed <= plan.seeds; seed++) {
                         if (rows.has(c.name(), seed)) continue;
                         int s = seed;
                         round.add(threads.submit(() -> {
-                            rows.add(c.name(), s, World.play(c.town(), Script.of(c.faults()),
+                            rows.add(c.name(), s, Simulation.play(c.town(), FaultSchedule.of(c.faults()),
                                 Baselines.ALL.get(c.policy()), s));
                             played.incrementAndGet();
                             return null;
@@ -55,7 +55,7 @@
                     }
                 }
                 for (Future<?> f : round) f.get();
-                for (Plan.Cell c : plan.cells) if (known(plan, rows, c)) enough.add(c.name());
+                for (ExperimentPlan.Cell c : plan.cells) if (known(plan, rows, c)) enough.add(c.name());
                 int seeds = Math.min(plan.seeds, from + step - 1);
                 double s = (System.nanoTime() - begun) / 1e9, left = s / seeds * (plan.seeds - seeds);
                 said.accept(String.format(java.util.Locale.ROOT,
@@ -72,7 +72,7 @@
         return played.get();
     }
 
-    private static boolean known(Plan plan, Rows rows, Plan.Cell c) {
+    private static boolean known(ExperimentPlan plan, ResultRows rows, ExperimentPlan.Cell c) {
         if (plan.stopWidth <= 0 || rows.count(c.name()) < plan.stopLeast) return false;
         double[] v = rows.figures(c.name(), plan.metrics.get(0)).values().stream().mapToDouble(x -> x).toArray();
         return Sample.of(v).halfWidth() <= plan.stopWidth;
--- a/src/main/java/mothcross/rig/Clients.java
+++ b/src/main/java/mothcross/rig/Clients.java
@@ -15,7 +15,7 @@
 final class Clients implements AutoCloseable {
     private static final int PATIENCE_MS = 20_000;
 
-    private final Real play;
+    private final ProcessFleet play;
     private final int index;
     private final double perS, until;
     private final SplittableRandom chance;
@@ -24,7 +24,7 @@
     private volatile Socket on;
     private int port;
 
-    Clients(Real play, int index, double perS, double lasts) {
+    Clients(ProcessFleet play, int index, double perS, double lasts) {
         this.play = play;
         this.index = index;
         this.perS = perS;
--- a/src/main/java/mothcross/rig/Figures.java
+++ b/src/main/java/mothcross/rig/Figures.java
@@ -94,7 +94,7 @@
         IntStream.rangeClosed(1, seeds(n)).parallel().forEach(seed -> {
             String s = "members " + n + " for " + lasts + "\n" + trouble(trouble, n, lasts, new SplittableRandom(seed))
                 + "20000 " + how + " " + n / 2 + "\n";
-            Virtual v = Virtual.formed(FaultScript.of(s), FailureDetectorSettings.DEFAULTS, seed);
+            SimulatedFleet v = SimulatedFleet.formed(FaultScript.of(s), FailureDetectorSettings.DEFAULTS, seed);
             String who = "n" + n / 2;
             synchronized (silent) {
                 for (double x : v.knownSilent.get(who).values()) silent.add(x - v.died.get(who));
@@ -117,8 +117,8 @@
                 IntStream.rangeClosed(1, seeds(n)).parallel().forEach(seed -> {
                     FaultScript s = FaultScript.of("members " + n + " for " + lasts + "\n"
                         + trouble(t[1], n, lasts, new SplittableRandom(seed)));
-                    ours.add(wrongly(Virtual.formed(s, FailureDetectorSettings.DEFAULTS, seed), s));
-                    plain.add(wrongly(Virtual.formed(s, PLAIN, seed), s));
+                    ours.add(wrongly(SimulatedFleet.formed(s, FailureDetectorSettings.DEFAULTS, seed), s));
+                    plain.add(wrongly(SimulatedFleet.formed(s, PLAIN, seed), s));
                     beats.add(heartbeats(n, t[1], lasts, seed));
                 });
                 System.out.printf(Locale.ROOT, "| %d | %s | %.2f | %.1f | %.1f | %.1f |%n", n, t[0], hours,
@@ -128,7 +128,7 @@
     }
 
     /** Of those put out, the ones that had a way: to some other member and back from it. */
-    private static long wrongly(Virtual v, FaultScript s) {
+    private static long wrongly(SimulatedFleet v, FaultScript s) {
         boolean[][] cut = cuts(s);
         return v.putOut().stream().mapToInt(n -> Integer.parseInt(n.substring(1))).filter(i -> {
             for (int j = 0; j < s.members; j++) if (j != i && !cut[i][j] && !cut[j][i]) return true;
@@ -191,10 +191,10 @@
     }
 
     private static double[] cost(int n, long warm, long lasts, String script) {
-        Virtual a = Virtual.formed(FaultScript.of("members " + n + " for " + warm), FailureDetectorSettings.DEFAULTS,
+        SimulatedFleet a = SimulatedFleet.formed(FaultScript.of("members " + n + " for " + warm), FailureDetectorSettings.DEFAULTS,
             1);
         long begin = System.nanoTime();
-        Virtual b = Virtual.formed(FaultScript.of("members " + n + " for " + (warm + lasts) + "\n" + script),
+        SimulatedFleet b = SimulatedFleet.formed(FaultScript.of("members " + n + " for " + (warm + lasts) + "\n" + script),
             FailureDetectorSettings.DEFAULTS, 1);
         double core = (System.nanoTime() - begin) / 1e6 / (warm + lasts) * 1000 / n;
         double s = lasts / 1000.0 * n;
@@ -217,7 +217,7 @@
             for (String[] what : all) {
                 double view = 0, fixed = 0, most = 0;
                 for (int seed = 1; seed <= 20; seed++) {
-                    Virtual v = Virtual.play(FaultScript.of("members " + n + " for 600000\n" + what[1]),
+                    SimulatedFleet v = SimulatedFleet.play(FaultScript.of("members " + n + " for 600000\n" + what[1]),
                         FailureDetectorSettings.DEFAULTS, seed, null, false);
                     view += v.meanParts()[0] / 20;
                     fixed += v.meanParts()[1] / 20;
@@ -238,7 +238,7 @@
                     int k = part.getValue();
                     String s = "members " + n + " for 400000\n5000 cut 0-" + (k - 1) + " to " + k + "-" + (n - 1)
                         + " for 100000\n5000 cut " + k + "-" + (n - 1) + " to 0-" + (k - 1) + " for 100000\n";
-                    Virtual v = Virtual.play(FaultScript.of(s), FailureDetectorSettings.DEFAULTS, seed, null);
+                    SimulatedFleet v = SimulatedFleet.play(FaultScript.of(s), FailureDetectorSettings.DEFAULTS, seed, null);
                     double last = 105_000;
                     for (History.Event e : v.history.events) {
                         if (e.kind() == History.Kind.VIEW && e.at() > last) last = e.at();
--- a/src/main/java/mothcross/rig/PolicyFigures.java
+++ b/src/main/java/mothcross/rig/PolicyFigures.java
@@ -40,8 +40,8 @@
             + " by 1 for 20000\n" + trouble;
     }
 
-    private static PolicyPlay play(String script, int seed) {
-        return PolicyPlay.play(FaultScript.of(script), LEASE, 3, seed, null);
+    private static PolicySimulation play(String script, int seed) {
+        return PolicySimulation.play(FaultScript.of(script), LEASE, 3, seed, null);
     }
 
     private static String row(List<Double> all) {
@@ -70,7 +70,7 @@
                 if (n == 3 && t[0].startsWith("a tenth")) continue;
                 List<double[]> rows = IntStream.range(0, seeds(n)).parallel().mapToObj(seed -> {
                     long kill = Math.round(AT) + new SplittableRandom(seed).nextInt(400);
-                    PolicyPlay p = play(script(n, String.format(t[1].replace("%d", "%1$d"), kill), AT + 25_000), seed);
+                    PolicySimulation p = play(script(n, String.format(t[1].replace("%d", "%1$d"), kill), AT + 25_000), seed);
                     if (!p.rules.broken.isEmpty()) throw new IllegalStateException(p.rules.broken.toString());
                     Map<String, Double> taken = p.taken().getOrDefault(1L, Map.of());
                     double first = Double.POSITIVE_INFINITY, last = 0;
@@ -107,7 +107,7 @@
             for (String[] w : all) {
                 long past = 0, looked = 0, beside = 0;
                 for (int seed = 0; seed < 20; seed++) {
-                    PolicyPlay p = play(script(n, w[1], AT + 25_000), seed);
+                    PolicySimulation p = play(script(n, w[1], AT + 25_000), seed);
                     past += p.rules.broken.stream().filter(b -> b.startsWith("promise 2")).count();
                     looked += p.rules.lookups;
                     beside += p.rules.overlaps;
@@ -139,13 +139,13 @@
                     String s = script(10, w[1], AT + 25_000).replace(" propose 5", " " + mode + " 5");
                     if (mode.equals("stop")) s = s.replaceFirst("\n", "\n5000 leases 0 by 1 for 5000\n");
                     if (w[0].endsWith("without a change")) s = s.replaceAll("\n20000 (propose|stop)[^\n]*", "");
-                    PolicyPlay p = play(s, seed);
+                    PolicySimulation p = play(s, seed);
                     started += p.rules.lookups;
                     refused += p.rules.refused;
                     outcomes = p.rules.outcomes.toString();
                 }
                 // The first look of each comes before it has its seat: what a start costs is not counted.
-                PolicyPlay calm = play("members 10 for 45000\n" + (mode.equals("stop")
+                PolicySimulation calm = play("members 10 for 45000\n" + (mode.equals("stop")
                     ? "5000 leases 0 by 1 for 5000\n" : "")
                     + "40000 abort 0", 0);
                 line.append(String.format(Locale.ROOT, " | %.3f | %s", 100.0 * Math.max(0,
@@ -159,13 +159,13 @@
     /** Messages, bytes and syncs of a change, over what the same time costs without. */
     private static void cost() {
         System.out.println("| directors | messages | bytes (as text) | syncs |\n|---|---|---|---|");
-        PolicyPlay.weighs = true;
+        PolicySimulation.weighs = true;
         for (int n : new int[] {3, 10, 100, 1000}) {
             double[] sum = new double[3];
             int seeds = n >= 1000 ? 1 : 5;
             for (int seed = 0; seed < seeds; seed++) {
-                PolicyPlay a = play(script(n, "", AT + 3000), seed);
-                PolicyPlay b = play("members " + n + " for " + Math.round(AT + 3000) + "\n22990 abort 0", seed);
+                PolicySimulation a = play(script(n, "", AT + 3000), seed);
+                PolicySimulation b = play("members " + n + " for " + Math.round(AT + 3000) + "\n22990 abort 0", seed);
                 sum[0] += a.sent - b.sent;
                 sum[1] += a.bytes - b.bytes;
                 sum[2] += a.syncs - b.syncs;
@@ -173,6 +173,6 @@
             System.out.println("| " + n + " | " + Arrays.stream(sum).mapToObj(x -> Long.toString(Math.round(x / seeds)))
                 .collect(Collectors.joining(" | ")) + " |");
         }
-        PolicyPlay.weighs = false;
+        PolicySimulation.weighs = false;
     }
 }
--- a/src/main/java/mothcross/rig/PolicyPlay.java
+++ b/src/main/java/mothcross/rig/PolicySimulation.java
@@ -25,7 +25,7 @@
  * may be cut, links as the script says. Owns the clock, the links and the disks; a play is decided by its script and
  * seed, to the byte. What is seen goes to {@link PolicyRules}, which judges it.
  */
-public final class PolicyPlay {
+public final class PolicySimulation {
     /** Stands between the play and a director: tests plant faults here. */
     public interface Spoils {
         /** What it hears of this; null: nothing. */
@@ -214,7 +214,7 @@
     private long orders;
     private int marks = 1, proposals;
 
-    private PolicyPlay(FaultScript script, double lease, int voters, long seed, Spoils spoils) {
+    private PolicySimulation(FaultScript script, double lease, int voters, long seed, Spoils spoils) {
         this.script = script;
         this.lease = lease;
         this.spoils = spoils == null ? new Spoils() { } : spoils;
@@ -222,8 +222,8 @@
         for (int i = 0; i < Math.min(voters, script.members); i++) this.voters.add("n" + i);
     }
 
-    public static PolicyPlay play(FaultScript script, double lease, int voters, long seed, Spoils spoils) {
-        PolicyPlay p = new PolicyPlay(script, lease, voters, seed, spoils);
+    public static PolicySimulation play(FaultScript script, double lease, int voters, long seed, Spoils spoils) {
+        PolicySimulation p = new PolicySimulation(script, lease, voters, seed, spoils);
         for (int i = 0; i < script.members; i++) {
             Node n = p.new Node(i);
             p.nodes.add(n);
--- a/src/main/java/mothcross/rig/Ports.java
+++ b/src/main/java/mothcross/rig/PortReservation.java
@@ -11,13 +11,13 @@
  * system hands out by itself, each held by a listener on its first port for as long as this process runs, so that
  * neither another rig nor anybody's port 0 takes one between the choice and the start. Must never give one out twice.
  */
-final class Ports {
+final class PortReservation {
     private static final int FROM = 12_000, TO = 30_000, BLOCK = 50;
     private static final InetAddress HERE = InetAddress.getLoopbackAddress();
     private static ServerSocket guard;
     private static int next;
 
-    private Ports() { }
+    private PortReservation() { }
 
     /** One that is free for datagrams and streams, and stays so for whoever asked. */
     static synchronized int take() throws IOException {
--- a/src/main/java/mothcross/rig/Real.java
+++ b/src/main/java/mothcross/rig/ProcessFleet.java
@@ -42,7 +42,7 @@
  * a link of ours, which loses, delays and cuts by the script; pauses are SIGSTOP and SIGCONT. Owns the processes it
  * started, by id, and ends them, also when a play fails; must never listen off loopback.
  */
-public final class Real implements AutoCloseable {
+public final class ProcessFleet implements AutoCloseable {
     private static final InetAddress HERE = InetAddress.getLoopbackAddress();
     private static final Pattern VIEW = Pattern.compile(".*view=(\\d+) digest=([0-9a-f]+) cause=(\\w+) apart=(\\w+) "
         + "life=(\\d+) size=(\\d+) members=\\[(.*)] fleet: view");
@@ -270,7 +270,7 @@
     private final AtomicInteger asking = new AtomicInteger();
     private double zero;
 
-    public Real(FaultScript script, long seed, Path logs) throws IOException {
+    public ProcessFleet(FaultScript script, long seed, Path logs) throws IOException {
         this.script = script;
         this.chance = new SplittableRandom(seed);
         this.logs = logs;
@@ -396,7 +396,7 @@
 
     public void play() throws IOException, InterruptedException {
         List<Integer> ports = new ArrayList<>();
-        for (int i = 0; i < script.members; i++) ports.add(Ports.take());
+        for (int i = 0; i < script.members; i++) ports.add(PortReservation.take());
         seeds.addAll(ports.subList(0, Math.min(3, ports.size())));
         for (int i = 0; i < script.members; i++) byIndex.put(i, new Proc(i, ports.get(i)));
         awaitOneView(STARTS_MS);
@@ -544,7 +544,7 @@
                             delete(policyDir(i));
                         }
                     } else {
-                        byIndex.put(i, new Proc(i, l.what() == FaultScript.What.MOVE ? Ports.take() : p.port));
+                        byIndex.put(i, new Proc(i, l.what() == FaultScript.What.MOVE ? PortReservation.take() : p.port));
                     }
                 }
                 case SKEW -> skews.put(i, (long) l.by());
@@ -568,7 +568,7 @@
                     if (begins) asks(i, l);
                 }
                 case TWIN -> {
-                    if (begins) byIndex.put(i, new Proc(i, Ports.take()));
+                    if (begins) byIndex.put(i, new Proc(i, PortReservation.take()));
                 }
                 case LEAVE -> {
                     p.asked = true;
--- a/src/main/java/mothcross/rig/Virtual.java
+++ b/src/main/java/mothcross/rig/SimulatedFleet.java
@@ -23,7 +23,7 @@
  * A fleet in virtual time: the members as they are in service, and between them links that lose, delay, double and cut
  * as a script says. Owns the clock and the links; a run is decided by its script and seed, to the byte.
  */
-public final class Virtual {
+public final class SimulatedFleet {
     /** Stands between the play and a member: tests plant faults here. */
     public interface Spoils {
         /** What of this message a member hears; null: nothing. */
@@ -179,7 +179,7 @@
     private int ports = 1000;
     private final boolean watching;
 
-    private Virtual(FaultScript script, FailureDetectorSettings pace, long seed, Spoils spoils, boolean watching) {
+    private SimulatedFleet(FaultScript script, FailureDetectorSettings pace, long seed, Spoils spoils, boolean watching) {
         this.script = script;
         this.pace = pace;
         this.chance = new SplittableRandom(seed);
@@ -199,18 +199,18 @@
     }
 
     /** Plays a script from its begin, where all start together and find each other, to its end. */
-    public static Virtual play(FaultScript script, FailureDetectorSettings pace, long seed, Spoils spoils) {
+    public static SimulatedFleet play(FaultScript script, FailureDetectorSettings pace, long seed, Spoils spoils) {
         return play(script, pace, seed, spoils, true);
     }
 
-    public static Virtual play(FaultScript script, FailureDetectorSettings pace, long seed, Spoils spoils,
+    public static SimulatedFleet play(FaultScript script, FailureDetectorSettings pace, long seed, Spoils spoils,
         boolean watching) {
-        return play(new Virtual(script, pace, seed, spoils, watching));
+        return play(new SimulatedFleet(script, pace, seed, spoils, watching));
     }
 
     /** The same with a fleet that knows itself from the first second: for figures of large ones. */
-    public static Virtual formed(FaultScript script, FailureDetectorSettings pace, long seed) {
-        Virtual v = new Virtual(script, pace, seed, null, false);
+    public static SimulatedFleet formed(FaultScript script, FailureDetectorSettings pace, long seed) {
+        SimulatedFleet v = new SimulatedFleet(script, pace, seed, null, false);
         v.in(300, () -> {
             List<MemberRecord> all = new ArrayList<>();
             for (Proc p : v.procs) {
@@ -224,7 +224,7 @@
         return play(v);
     }
 
-    private static Virtual play(Virtual v) {
+    private static SimulatedFleet play(SimulatedFleet v) {
         FaultScript script = v.script;
         for (int i = 0; i < script.members; i++) {
             int index = i;
--- a/src/main/java/mothcross/simhost/SimHost.java
+++ b/src/main/java/mothcross/simhost/SimHost.java
@@ -18,7 +18,7 @@
     private final BufferedReader in;
     private final PrintStream out, err;
     private final StringBuilder reply = new StringBuilder();
-    private final Map<Integer, Door> doors = new HashMap<>();
+    private final Map<Integer, SimulatorAdapter> doors = new HashMap<>();
     private final List<WireLine> lines = new ArrayList<>();
     private int target = -1;
     private double now;
@@ -57,7 +57,7 @@
                         }
                         case "CREATE" -> {
                             flushRound();
-                            doors.put(needTarget(l), new Door(target,
+                            doors.put(needTarget(l), new SimulatorAdapter(target,
                                 new DirectorSettings(l, l.longValue("RandomSeed")), reply));
                         }
                         case "HALT" -> {
@@ -90,7 +90,7 @@
 
     private void flushRound() {
         if (lines.isEmpty()) return;
-        Door door = doors.get(target);
+        SimulatorAdapter door = doors.get(target);
         if (door != null) door.round(now, lines);
         lines.clear();
     }
--- a/src/main/java/mothcross/simhost/Door.java
+++ b/src/main/java/mothcross/simhost/SimulatorAdapter.java
@@ -12,7 +12,7 @@
 import mothcross.adapter.LookupIndexAllocator;
 
 /** One instance's side of the wire: ids become small indices here, lines calls, and decisions lines. */
-final class Door implements EventBatch, DecisionWriter {
+final class SimulatorAdapter implements EventBatch, DecisionWriter {
     private final int instance;
     private final DirectorSettings opening;
     private final StringBuilder reply;
@@ -24,7 +24,7 @@
     private List<WireLine> lines = List.of();
     private boolean named;
 
-    Door(int instance, DirectorSettings opening, StringBuilder reply) {
+    SimulatorAdapter(int instance, DirectorSettings opening, StringBuilder reply) {
         this.instance = instance;
         this.opening = opening;
         this.reply = reply;
--- a/src/test/java/mothcross/ModelTest.java
+++ b/src/test/java/mothcross/ModelTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test public void rankingStaysWhenANodeLeaves() {
-        Stage stage = new Stage(List.of());
+        ScenarioHarness stage = new ScenarioHarness(List.of());
         stage.play(0, "list 2 a,1,0,0,800,0 b,1,0,0,800,0 c,1,0,0,800,0 p,0,1,0,9,0 o,0,2,0,1,0");
         for (int i = 0; i < 300; i++) stage.play(1, "ask " + i + " " + i);
         stage.play(2, "list 0 c,1,0,2,800,0");
--- a/src/test/java/mothcross/Stage.java
+++ b/src/test/java/mothcross/ScenarioHarness.java
@@ -3,7 +3,7 @@
 import java.util.*;
 
 /** One director on a stage: plays scenario lines into it and notes what it writes. */
-final class Stage implements DecisionWriter {
+final class ScenarioHarness implements DecisionWriter {
     final List<String> written = new ArrayList<>();
     int checks;
     private final Map<String, String> told = new HashMap<>(Map.of("effect", "IDEMPOTENT", "group", "ALL",
@@ -16,7 +16,7 @@
     private final String[] lastSource = new String[4096];
     private final Director director;
 
-    Stage(List<String> start) {
+    ScenarioHarness(List<String> start) {
         told.put("here", "1");
         for (String s : start) for (String p : s.split(" ")) told.put(p.split("=")[0], p.split("=")[1]);
         Workload w = new Workload(Workload.Effect.valueOf(told.get("effect")),
--- a/src/test/java/mothcross/ScenarioTest.java
+++ b/src/test/java/mothcross/ScenarioTest.java
@@ -29,7 +29,7 @@
 
     @Test(dataProvider = "scenarios")
     public void plays(String name, Path file) throws Exception {
-        Stage stage = null;
+        ScenarioHarness stage = null;
         List<String> start = new ArrayList<>();
         int number = 0;
         for (String raw : Files.readAllLines(file)) {
@@ -41,7 +41,7 @@
                 start.add(line.substring(6));
                 continue;
             }
-            if (stage == null) stage = new Stage(start);
+            if (stage == null) stage = new ScenarioHarness(start);
             if (line.startsWith("= ")) {
                 check(where, line.substring(2).strip(), stage);
             } else if (line.startsWith("repeat ")) {
@@ -59,7 +59,7 @@
         assertTrue(stage != null && stage.checks > 0, name + " checks nothing");
     }
 
-    private static void check(String where, String want, Stage stage) {
+    private static void check(String where, String want, ScenarioHarness stage) {
         stage.checks++;
         List<String> got = new ArrayList<>(stage.written);
         if (want.startsWith("any ")) {
--- a/src/test/java/mothcross/emulator/EmulatorTest.java
+++ b/src/test/java/mothcross/emulator/EmulatorTest.java
@@ -15,20 +15,20 @@
 /** The emulator: its parts against figures worked out by hand, the same run to the byte,
     checkers that find planted faults. */
 public class EmulatorTest {
-    private static final Town SMALL = new Town().with("seconds", 20).with("places", 2).with("caches", 3);
+    private static final ScenarioParameters SMALL = new ScenarioParameters().with("seconds", 20).with("places", 2).with("caches", 3);
 
-    private static Result play(String policy, Script s, Town t, long seed) {
-        return World.play(t, s, Baselines.ALL.get(policy), seed);
+    private static SimulationResult play(String policy, FaultSchedule s, ScenarioParameters t, long seed) {
+        return Simulation.play(t, s, Baselines.ALL.get(policy), seed);
     }
 
     /** Two flows' room: three jobs of 100, 100 and 200 ms at full pace get two thirds each,
         then the last goes alone. */
     @Test public void aPipeIsSharedExactly() {
-        Clockwork c = new Clockwork();
-        Pipe p = new Pipe(c, 2);
+        EventQueue c = new EventQueue();
+        BandwidthLink p = new BandwidthLink(c, 2);
         List<String> ends = new ArrayList<>();
         for (double own : new double[] {100, 100, 200}) p.add(own, () -> ends.add(own + "@" + Math.round(c.now)));
-        Pipe.Job[] dropped = new Pipe.Job[1];
+        BandwidthLink.Job[] dropped = new BandwidthLink.Job[1];
         c.at(150, () -> dropped[0] = p.add(1000, () -> ends.add("never")));
         c.at(200, () -> p.drop(dropped[0]));
         c.run(10_000);
@@ -39,7 +39,7 @@
 
     @Test public void timesPlayInOrder() {
         SplittableRandom r = new SplittableRandom(5);
-        Clockwork c = new Clockwork();
+        EventQueue c = new EventQueue();
         List<Double> played = new ArrayList<>();
         for (int i = 0; i < 5000; i++) {
             double t = r.nextInt(300);
@@ -55,17 +55,17 @@
 
     /** Lower ranks go first, then what was used longest ago; nothing goes for a copy of lower rank. */
     @Test public void aStoreKeepsByRankThenUse() {
-        Store s = new Store(300);
-        s.put(1, new Store.Copy(0, 100, 1, 1));
-        s.put(2, new Store.Copy(0, 100, 1, 2));
-        s.put(3, new Store.Copy(0, 100, 2, 2));
+        CacheStore s = new CacheStore(300);
+        s.put(1, new CacheStore.Copy(0, 100, 1, 1));
+        s.put(2, new CacheStore.Copy(0, 100, 1, 2));
+        s.put(3, new CacheStore.Copy(0, 100, 2, 2));
         s.get(2);
-        s.put(4, new Store.Copy(0, 100, 1, 2));
+        s.put(4, new CacheStore.Copy(0, 100, 1, 2));
         assertTrue(s.get(1) == null && s.get(2) != null, "the lower rank went");
         s.get(3);
-        s.put(5, new Store.Copy(0, 100, 1, 2));
+        s.put(5, new CacheStore.Copy(0, 100, 1, 2));
         assertTrue(s.get(4) == null && s.get(2) != null && s.get(3) != null, "the one used longest ago went");
-        s.put(6, new Store.Copy(0, 100, 1, 1));
+        s.put(6, new CacheStore.Copy(0, 100, 1, 1));
         assertTrue(s.get(6) == null && s.size() == 3, "nothing goes for a lower rank");
         s.purge(2, 5);
         assertTrue(s.get(3) == null && s.size() == 2);
@@ -73,9 +73,9 @@
 
     @Test public void theSameSeedIsTheSameRunToTheByte() {
         for (String policy : Baselines.ALL.keySet()) {
-            Script s = Script.drawn(new SplittableRandom(3), 4, SMALL);
+            FaultSchedule s = FaultSchedule.drawn(new SplittableRandom(3), 4, SMALL);
             String one = play(policy, s, SMALL, 3).line();
-            assertEquals(play(policy, Script.of(s.toString()), SMALL, 3).line(), one, policy);
+            assertEquals(play(policy, FaultSchedule.of(s.toString()), SMALL, 3).line(), one, policy);
             assertNotEquals(play(policy, s, SMALL, 4).line(), one, policy);
         }
     }
@@ -100,9 +100,9 @@
 
     /** The module keeps every rule, also with once-only lookups, and comes back by the end. */
     @Test(dataProvider = "faults") public void theModuleKeepsTheRules(String name, String script) {
-        Town t = SMALL.with("seconds", 24).with("once_only", 0.2);
+        ScenarioParameters t = SMALL.with("seconds", 24).with("once_only", 0.2);
         for (long seed = 1; seed <= 3; seed++) {
-            Result r = play("decide", Script.of(script), t, seed);
+            SimulationResult r = play("decide", FaultSchedule.of(script), t, seed);
             assertTrue(r.first.isEmpty(), name + " seed " + seed + ": " + r.first);
             assertTrue(r.wishes() > 1000 && r.inTime(20, 24) > 0.7, name + " seed " + seed + ": " + r.line());
         }
@@ -115,9 +115,9 @@
     @Test public void drawnDaysKeepTheRules() {
         int faults = 0;
         for (long seed = 1; seed <= 40; seed++) {
-            Script s = Script.drawn(new SplittableRandom(seed), 1 + (int) seed % 6, SMALL);
+            FaultSchedule s = FaultSchedule.drawn(new SplittableRandom(seed), 1 + (int) seed % 6, SMALL);
             faults += s.size();
-            Result r = play("decide", s, SMALL.with("fresh", seed % 3 == 0 ? 8000 : 0).with("stale", 10_000), seed);
+            SimulationResult r = play("decide", s, SMALL.with("fresh", seed % 3 == 0 ? 8000 : 0).with("stale", 10_000), seed);
             boolean unseen = s.toString().contains("vanish");
             for (int rule = 1; rule <= 5; rule++) {
                 if (rule != 4 || !unseen) assertEquals(r.broken[rule], 0, "seed " + seed + ": " + r.first + "\n" + s);
@@ -183,7 +183,7 @@
         }
     }
 
-    private static Policy spoilt(java.util.function.Supplier<Spoilt> by) {
+    private static DirectorFactory spoilt(java.util.function.Supplier<Spoilt> by) {
         return (seed, w, p, m, k, c, pc, purge) -> {
             Spoilt s = by.get();
             s.in = Baselines.ALL.get("decide").make(seed, w, p, m, k, c, pc, purge);
@@ -191,8 +191,8 @@
         };
     }
 
-    private static void finds(int rule, Policy p, String script, Town t) {
-        Result r = World.play(t, Script.of(script), p, 1);
+    private static void finds(int rule, DirectorFactory p, String script, ScenarioParameters t) {
+        SimulationResult r = Simulation.play(t, FaultSchedule.of(script), p, 1);
         assertTrue(r.broken[rule] > 0, "rule " + rule + " is not found broken: " + r.line());
     }
 
@@ -227,17 +227,17 @@
      */
     @Test public void anOldListAtAStartIsFound() {
         String day = "2500 kill directors 0.7 for 100\n2700 drain caches 0.5 for 4000";
-        Town t = SMALL.with("directors", 6).with("boot_ms", 2000).with("speak_ms", 400);
+        ScenarioParameters t = SMALL.with("directors", 6).with("boot_ms", 2000).with("speak_ms", 400);
         finds(3, Baselines.ALL.get("decide"), day, t.with("waits_for_news", 0));
         for (long seed = 1; seed <= 5; seed++) {
-            Result r = World.play(t, Script.of(day), Baselines.ALL.get("decide"), seed);
+            SimulationResult r = Simulation.play(t, FaultSchedule.of(day), Baselines.ALL.get("decide"), seed);
             assertTrue(r.first.isEmpty(), "seed " + seed + ": " + r.first);
         }
     }
 
     /** The same day with the module as it is breaks none of them. */
     @Test public void theColdDayIsKeptByTheModule() {
-        Result r = play("decide", Script.of("4000 crash place 0 for 3000"), SMALL.with("load",
+        SimulationResult r = play("decide", FaultSchedule.of("4000 crash place 0 for 3000"), SMALL.with("load",
             0.9).with("cold_breaks", 1.5), 1);
         assertTrue(r.first.isEmpty() && r.nearest > 0.1, r.line());
     }
@@ -248,14 +248,14 @@
             {"1 crash cats 1", "names nobody"}, {"1 slow cache 1 by", "is expected"}};
         for (String[] c : cases) {
             try {
-                Script.of(c[0]);
+                FaultSchedule.of(c[0]);
                 throw new AssertionError("taken: " + c[0]);
             } catch (IllegalArgumentException e) {
                 assertTrue(e.getMessage().contains(c[1]), e.getMessage());
             }
         }
         try {
-            new Town().with("cashes", 3);
+            new ScenarioParameters().with("cashes", 3);
             throw new AssertionError("taken");
         } catch (IllegalArgumentException e) {
             assertTrue(e.getMessage().startsWith("a town has no 'cashes'"), e.getMessage());
@@ -267,12 +267,12 @@
         java.nio.file.Path here =
             java.nio.file.Path.of(mothcross.CacheDirector.class.getProtectionDomain().getCodeSource()
             .getLocation().toURI());
-        Script s = Script.of("3000 crash caches 0.4 for 3000\n5000 purge by 20 for 1000\n"
+        FaultSchedule s = FaultSchedule.of("3000 crash caches 0.4 for 3000\n5000 purge by 20 for 1000\n"
             + "6000 kill director 0 for 2000");
-        Town t = SMALL.with("seconds", 10).with("once_only", 0.2);
-        assertEquals(World.play(t, s, new Against(here).policy(), 5).line(), play("decide", s, t, 5).line());
+        ScenarioParameters t = SMALL.with("seconds", 10).with("once_only", 0.2);
+        assertEquals(Simulation.play(t, s, new EarlierBuild(here).policy(), 5).line(), play("decide", s, t, 5).line());
         try {
-            new Against(java.nio.file.Files.createTempDirectory("mothcross"));
+            new EarlierBuild(java.nio.file.Files.createTempDirectory("mothcross"));
             throw new AssertionError("taken");
         } catch (java.io.IOException e) {
             assertTrue(e.getMessage().contains("holds no module"), e.getMessage());
@@ -281,23 +281,23 @@
 
     /** The hunt finds the day it is pointed at, and what it shrinks to is shorter and still bad. */
     @Test public void theHuntShrinksItsDay() {
-        Policy p = Baselines.ALL.get("rendezvous");
-        Town t = SMALL.with("seconds", 16);
-        Hunt.Found worst = Hunt.worst(t, p, 12, 100, Hunt::badness);
-        assertEquals(Hunt.worst(t, p, 12, 100, Hunt::badness).seed(), worst.seed(), "the same day, whoever plays");
-        Hunt.Found less = Hunt.shrink(t, p, worst, Hunt::badness, 0.8);
+        DirectorFactory p = Baselines.ALL.get("rendezvous");
+        ScenarioParameters t = SMALL.with("seconds", 16);
+        WorstCaseSearch.Found worst = WorstCaseSearch.worst(t, p, 12, 100, WorstCaseSearch::badness);
+        assertEquals(WorstCaseSearch.worst(t, p, 12, 100, WorstCaseSearch::badness).seed(), worst.seed(), "the same day, whoever plays");
+        WorstCaseSearch.Found less = WorstCaseSearch.shrink(t, p, worst, WorstCaseSearch::badness, 0.8);
         assertTrue(less.script().size() <= worst.script().size() && less.badness() >= 0.8 * Math.min(1000,
             worst.badness()));
-        assertEquals(Script.of(less.script().toString()).toString(), less.script().toString(),
+        assertEquals(FaultSchedule.of(less.script().toString()).toString(), less.script().toString(),
             "it can be kept as a file");
     }
 
     /** Two thousand directors at two hundred places, each with a module of its own, in one run. */
     @Test public void twoThousandDirectorsInOneRun() {
-        Town t = new Town().with("places", 200).with("directors", 10).with("caches", 3).with("parents",
+        ScenarioParameters t = new ScenarioParameters().with("places", 200).with("directors", 10).with("caches", 3).with("parents",
             20).with("seconds", 3)
             .with("load", 0.2).with("origin_flows", 4000).with("objects", 500);
-        Result r = play("decide", Script.of("1000 crash caches 0.1 for 500"), t, 1);
+        SimulationResult r = play("decide", FaultSchedule.of("1000 crash caches 0.1 for 500"), t, 1);
         assertTrue(r.first.isEmpty() && r.wishes() > 5000, r.line());
     }
 }
--- a/src/test/java/mothcross/experiment/ExperimentTest.java
+++ b/src/test/java/mothcross/experiment/ExperimentTest.java
@@ -19,8 +19,8 @@
         + "policies: ['decide', 'random'], faults: {none: '', crash: '1000 crash cache 0 for 500'}, seeds: 3, "
         + "metrics: ['in_time', 'hit_share']%s}";
 
-    private static Plan plan(String json) {
-        return Plan.of(JsonParser.parseString(json).getAsJsonObject());
+    private static ExperimentPlan plan(String json) {
+        return ExperimentPlan.of(JsonParser.parseString(json).getAsJsonObject());
     }
 
     @Test public void plansAreRefusedWithTheirField() {
@@ -43,18 +43,18 @@
     /** Killed in the middle of a line: what is whole stays, the rest is played, and the rows are those of one go. */
     @Test public void rowsOutliveAKill() throws Exception {
         Path dir = Files.createTempDirectory("mothcross"), one = dir.resolve("one.csv"), two = dir.resolve("two.csv");
-        Plan p = plan(String.format(SMALL, ""));
-        assertEquals(Sweep.play(p, new Rows(one, "h"), 4, s -> { }), 24);
+        ExperimentPlan p = plan(String.format(SMALL, ""));
+        assertEquals(Sweep.play(p, new ResultRows(one, "h"), 4, s -> { }), 24);
         String[] whole = sorted(one);
         String text = Files.readString(one);
         Files.writeString(two, text.substring(0, text.length() * 2 / 3));
-        Rows again = new Rows(two, "h");
+        ResultRows again = new ResultRows(two, "h");
         int played = Sweep.play(p, again, 2, s -> { });
         assertTrue(played > 0 && played < 24, "played " + played);
         assertEquals(sorted(two), whole, "the same rows, whoever played them");
-        assertEquals(Sweep.play(p, new Rows(two, "h"), 2, s -> { }), 0);
+        assertEquals(Sweep.play(p, new ResultRows(two, "h"), 2, s -> { }), 0);
         try {
-            new Rows(two, "other");
+            new ResultRows(two, "other");
             fail("rows of another plan are taken");
         } catch (IOException e) {
             assertTrue(e.getMessage().contains("another plan"), e.getMessage());
@@ -70,8 +70,8 @@
     /** With a width that all meet, only the least number of seeds is played. */
     @Test public void stopsWhenKnownWellEnough() throws Exception {
         Path file = Files.createTempDirectory("mothcross").resolve("rows.csv");
-        Plan p = plan(String.format(SMALL, ", stop: {half_width: 1, least_seeds: 1}"));
-        assertEquals(Sweep.play(p, new Rows(file, "h"), 4, s -> { }), 8);
+        ExperimentPlan p = plan(String.format(SMALL, ", stop: {half_width: 1, least_seeds: 1}"));
+        assertEquals(Sweep.play(p, new ResultRows(file, "h"), 4, s -> { }), 8);
     }
 
     /** Intervals of 200 samples of 30 hold the true mean about 95 times in a hundred; equal values have none. */
@@ -94,8 +94,8 @@
     @Test public void reportsAreMadeOfTheRows() throws Exception {
         System.setProperty("java.awt.headless", "true");
         Path dir = Files.createTempDirectory("mothcross");
-        Plan p = plan(String.format(SMALL, ""));
-        Rows rows = new Rows(dir.resolve("rows.csv"), "h");
+        ExperimentPlan p = plan(String.format(SMALL, ""));
+        ResultRows rows = new ResultRows(dir.resolve("rows.csv"), "h");
         Sweep.play(p, rows, 4, s -> { });
         Report r = new Report(p, rows, "h", "c0ffee");
         r.write(dir);
--- a/src/test/java/mothcross/net/EndingsTest.java
+++ b/src/test/java/mothcross/net/EndingsTest.java
@@ -13,7 +13,7 @@
 import java.util.*;
 import java.util.concurrent.atomic.AtomicBoolean;
 import mothcross.net.ServeTest.Outside;
-import mothcross.standin.Discovery;
+import mothcross.standin.FakeDiscovery;
 import org.testng.annotations.Test;
 
 /** The instants in which something ends and something is still owed, or is owed no more. */
@@ -176,7 +176,7 @@
     /** SIGHUP names an address where nobody listens yet: it is asked until somebody does, from the same number on. */
     @Test(timeOut = 30_000) public void aWatchMovesToWhereNobodyListensYet() throws Exception {
         DirectorServer life = null;
-        try (Discovery next = new Discovery()) {
+        try (FakeDiscovery next = new FakeDiscovery()) {
             life = life("node", Map.of());
             Outside old = parties.get("bulletin"), n1 = parties.get("n1"), a = client("a", life);
             assertEquals(old.read(), "2");
@@ -318,7 +318,7 @@
         Path file = Files.createTempFile("mothcross", ".json");
         List<Socket> idle = new ArrayList<>();
         AtomicBoolean purged = new AtomicBoolean();
-        Discovery back = new Discovery();
+        FakeDiscovery back = new FakeDiscovery();
         parties.put("n1", Outside.listening("node", "cache", 1));
         Files.writeString(file, Outside.told(Map.of("sockets", Integer.toString(most), "memory", "64", "bulletin",
             Integer.toString(back.port())), parties));
--- a/src/test/java/mothcross/net/Fleet.java
+++ b/src/test/java/mothcross/net/Fleet.java
@@ -15,45 +15,45 @@
 import mothcross.membership.SnapshotFormat;
 import mothcross.operators.MembershipSettings;
 import mothcross.route.RouteRules;
-import mothcross.standin.Box;
-import mothcross.standin.Discovery;
+import mothcross.standin.FakeDiscovery;
+import mothcross.standin.FakeNode;
 import org.pcollections.HashTreePMap;
 
 /** A small fleet on loopback for tests: stand-in boxes and discovery, and directors that start on kept lists. */
 final class Fleet implements AutoCloseable {
-    final Discovery discovery = new Discovery();
-    final List<Box> caches = new ArrayList<>();
-    final Box parent = new Box(900, Box.PARENT), origin = new Box(901, Box.ORIGIN);
+    final FakeDiscovery discovery = new FakeDiscovery();
+    final List<FakeNode> caches = new ArrayList<>();
+    final FakeNode parent = new FakeNode(900, FakeNode.PARENT), origin = new FakeNode(901, FakeNode.ORIGIN);
     final Path dir = Files.createTempDirectory("mothcross");
     final Map<String, String> start = new TreeMap<>(Map.of("straight", "false"));
     final List<DirectorServer> lives = new ArrayList<>();
-    private final List<Box> others = new ArrayList<>();
+    private final List<FakeNode> others = new ArrayList<>();
     static final double MINUTE = 60_000, DAY = 86_400_000;
     /** Recent is ten minutes, old a day; what waits in tests waits briefly. */
     static final AgeLimits AGES = new AgeLimits(10 * MINUTE, DAY, 30_000, 3, 200, 1000, 0.5, 30_000, 5000);
 
     Fleet(int caches) throws Exception {
-        for (int i = 0; i < caches; i++) this.caches.add(new Box(i + 1, Box.CACHE));
+        for (int i = 0; i < caches; i++) this.caches.add(new FakeNode(i + 1, FakeNode.CACHE));
     }
 
-    Box[] all() {
-        List<Box> all = new ArrayList<>(caches);
+    FakeNode[] all() {
+        List<FakeNode> all = new ArrayList<>(caches);
         all.add(parent);
         all.add(origin);
-        return all.toArray(Box[]::new);
+        return all.toArray(FakeNode[]::new);
     }
 
     /** One more box that is closed with the fleet. */
-    Box also(Box b) {
+    FakeNode also(FakeNode b) {
         others.add(b);
         return b;
     }
 
     /** What {@code name} kept, as told so long ago; boxes in {@code old} longer. */
-    Path keeps(String name, double ageMs, double oldMs, List<Box> old, Box... boxes) throws Exception {
+    Path keeps(String name, double ageMs, double oldMs, List<FakeNode> old, FakeNode... boxes) throws Exception {
         double now = System.currentTimeMillis();
         Map<String, ListedNode> told = new HashMap<>();
-        for (Box b : boxes) {
+        for (FakeNode b : boxes) {
             double at = now - (old.contains(b) ? oldMs : ageMs);
             told.put(b.id(), new ListedNode(b.id(), "127.0.0.1", b.port(), "here", List.of("cache", "parent", "origin")
                 .get(b.kind()), 0, Director.IN_SERVICE, b.units(), 0, at, 0, false));
@@ -133,7 +133,7 @@
         }
     }
 
-    static String standing(DirectorServer l, Box b) {
+    static String standing(DirectorServer l, FakeNode b) {
         l.desk().enter();
         try {
             return String.valueOf(l.remembered().membership().stateOf(b.id()));
@@ -145,7 +145,7 @@
     @Override public void close() throws java.io.IOException {
         for (DirectorServer l : lives) l.release();
         discovery.close();
-        for (Box b : all()) b.close();
-        for (Box b : others) b.close();
+        for (FakeNode b : all()) b.close();
+        for (FakeNode b : others) b.close();
     }
 }
--- a/src/test/java/mothcross/net/KilledTest.java
+++ b/src/test/java/mothcross/net/KilledTest.java
@@ -14,8 +14,8 @@
 import mothcross.membership.MembershipSnapshot;
 import mothcross.membership.SnapshotFormat;
 import mothcross.operators.MembershipSettings;
-import mothcross.standin.Box;
-import mothcross.standin.Discovery;
+import mothcross.standin.FakeDiscovery;
+import mothcross.standin.FakeNode;
 import org.testng.annotations.Test;
 
 /**
@@ -64,7 +64,7 @@
             List<Map<String, Integer>> after = new ArrayList<>(List.of(new TreeMap<>()));   // by event: the list
             f.discovery.whole(f.all());
             Map<String, Integer> list = new TreeMap<>();
-            for (Box b : f.all()) list.put(b.id(), Director.IN_SERVICE);
+            for (FakeNode b : f.all()) list.put(b.id(), Director.IN_SERVICE);
             after.add(new TreeMap<>(list));
             f.discovery.open();
             String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
@@ -76,11 +76,11 @@
                 for (String l; !(l = err.readLine()).contains(" serves on ");) assertTrue(l != null);
                 long until = System.nanoTime() + (long) ((STATED_MS + 100 + chance.nextInt(600)) * 1e6);
                 while (System.nanoTime() < until) {
-                    Box b = f.caches.get(chance.nextInt(5));
+                    FakeNode b = f.caches.get(chance.nextInt(5));
                     int standing = chance.nextInt(3);
-                    if (standing == Discovery.GONE && !list.containsKey(b.id())) continue;
+                    if (standing == FakeDiscovery.GONE && !list.containsKey(b.id())) continue;
                     f.discovery.changes(standing, b);
-                    if (standing == Discovery.GONE) list.remove(b.id());
+                    if (standing == FakeDiscovery.GONE) list.remove(b.id());
                     else list.put(b.id(), standing);
                     after.add(new TreeMap<>(list));
                     long next = System.nanoTime() + chance.nextInt(30) * 1_000_000L;
--- a/src/test/java/mothcross/net/MeasureMembership.java
+++ b/src/test/java/mothcross/net/MeasureMembership.java
@@ -12,9 +12,9 @@
 import mothcross.membership.Membership;
 import mothcross.membership.MembershipSnapshot;
 import mothcross.membership.SnapshotFormat;
-import mothcross.standin.Box;
-import mothcross.standin.Clients;
-import mothcross.standin.Discovery;
+import mothcross.standin.FakeClients;
+import mothcross.standin.FakeDiscovery;
+import mothcross.standin.FakeNode;
 import org.pcollections.HashTreePMap;
 
 /**
@@ -69,28 +69,28 @@
         try (Fleet f = new Fleet(8)) {
             f.start.put("directors", "2");
             boolean mixed = mix.startsWith("mixed");
-            List<Box> old = mixed ? f.caches.subList(0, 4) : List.of();
+            List<FakeNode> old = mixed ? f.caches.subList(0, 4) : List.of();
             double age = mix.startsWith("old") ? HOUR : 60_000;
             List<String> names = List.of("d1", "d2");
             if (list) for (String n : names) f.keeps(n, age, HOUR, old, f.all());
-            List<Box> there = new ArrayList<>(List.of(f.all()));
+            List<FakeNode> there = new ArrayList<>(List.of(f.all()));
             if (mixed) {
                 there.remove(f.caches.get(0).gone());
                 there.remove(f.caches.get(4).vanished());
             }
-            List<Box> cold = new ArrayList<>();
+            List<FakeNode> cold = new ArrayList<>();
             if (mix.endsWith("cold")) {
-                for (Box b : f.caches) {
+                for (FakeNode b : f.caches) {
                     double now = System.currentTimeMillis();
                     cold.add(f.also(b.replacedBy(b.number(), now, (long) now).lookupsOf(250)));
                     there.set(there.indexOf(b), cold.get(cold.size() - 1));
                 }
             }
             f.discovery.numbersFrom(11);
-            f.discovery.whole(there.toArray(Box[]::new));
+            f.discovery.whole(there.toArray(FakeNode[]::new));
             if (withheld == 0) f.discovery.open();
-            List<Clients> load = new ArrayList<>();
-            for (String n : names) load.add(new Clients(f.director(n, f.remembering(n, ages)).port(), 6, 10, 250,
+            List<FakeClients> load = new ArrayList<>();
+            for (String n : names) load.add(new FakeClients(f.director(n, f.remembering(n, ages)).port(), 6, 10, 250,
                 5000 * load.size()));
             long begun = System.nanoTime();
             boolean open = withheld == 0;
@@ -100,12 +100,12 @@
                 open = true;
             }
             double handled = 0, asked = 0;
-            for (Clients c : load) {
+            for (FakeClients c : load) {
                 handled += c.handled.get();
                 asked += c.handled.get() + c.refused.get() + c.failed.get();
                 c.close();
             }
-            return new double[] {handled / asked, cold.stream().filter(Box::fell).count()};
+            return new double[] {handled / asked, cold.stream().filter(FakeNode::fell).count()};
         }
     }
 
@@ -117,19 +117,19 @@
             DirectorServer d = f.director("d1");
             double[] last = new double[n];
             int sentAfter = 0;
-            try (Clients load = new Clients(d.port(), 8, 0, 10, 0)) {
+            try (FakeClients load = new FakeClients(d.port(), 8, 0, 10, 0)) {
                 load.awaitHandled(2000);
                 for (int i = 0; i < n; i++) {
-                    Box b = f.caches.get(i % 4);
-                    long event = f.discovery.changes(Discovery.DRAINING, b);
+                    FakeNode b = f.caches.get(i % 4);
+                    long event = f.discovery.changes(FakeDiscovery.DRAINING, b);
                     long told = f.discovery.writtenAt.get(event);
                     Fleet.until("event", () -> Fleet.event(d) == event);
                     Thread.sleep(30);
-                    List<Box.Arrival> all = b.arrivals();
+                    List<FakeNode.Arrival> all = b.arrivals();
                     double late = all.isEmpty() ? 0 : (all.get(all.size() - 1).nano() - told) / 1e6;
                     last[i] = Math.max(0, late);
                     if (late > 0) sentAfter++;
-                    f.discovery.changes(Discovery.READY, b);
+                    f.discovery.changes(FakeDiscovery.READY, b);
                 }
                 Arrays.sort(last);
                 System.out.printf(Locale.ROOT, "%d drains under %d lookups: p50 %.2f ms, p99 %.2f ms, most %.2f ms; "
--- a/src/test/java/mothcross/net/MeasureRoutes.java
+++ b/src/test/java/mothcross/net/MeasureRoutes.java
@@ -7,8 +7,8 @@
 import mothcross.expr.Program;
 import mothcross.expr.Type;
 import mothcross.route.RouteRules;
-import mothcross.standin.Box;
-import mothcross.standin.Clients;
+import mothcross.standin.FakeClients;
+import mothcross.standin.FakeNode;
 
 /**
  * The measurements of routes on loopback: {@code director} (lookups a second and the time to the first hop with no
@@ -57,7 +57,7 @@
                 try (Fleet f = new Fleet(4)) {
                     DirectorServer d = n == 0 ? f.routed("d1", (RouteRules) null) : f.routed("d1", table(n));
                     double rate;
-                    try (Clients load = new Clients(d.port(), 16, 0, 1, 0)) {
+                    try (FakeClients load = new FakeClients(d.port(), 16, 0, 1, 0)) {
                         load.awaitHandled(20_000);
                         int before = load.handled.get();
                         long begun = System.nanoTime();
@@ -65,7 +65,7 @@
                         rate = (load.handled.get() - before) / ((System.nanoTime() - begun) / 1e9);
                     }
                     double[] hop = new double[2000];
-                    try (Clients.One c = new Clients.One(d.port())) {
+                    try (FakeClients.One c = new FakeClients.One(d.port())) {
                         for (int i = 0; i < hop.length; i++) {
                             int seen = total(f);
                             long t = System.nanoTime();
@@ -86,7 +86,7 @@
 
     private static int total(Fleet f) {
         int n = 0;
-        for (Box b : f.caches) n += b.count();
+        for (FakeNode b : f.caches) n += b.count();
         return n;
     }
 
@@ -102,7 +102,7 @@
                 -1, 0, limited ? held : null)));
             try (Fleet f = new Fleet(2)) {
                 f.start.put("directors", "3");
-                for (Box b : f.caches) b.paced(110);
+                for (FakeNode b : f.caches) b.paced(110);
                 List<DirectorServer> three = List.of(f.routed("d1", rules), f.routed("d2", rules),
                     f.routed("d3", rules));
                 List<Office> others = new ArrayList<>();
@@ -145,7 +145,7 @@
         }
 
         private void run(String name, int port, double everyNs, int me) {
-            try (Clients.One c = new Clients.One(port)) {
+            try (FakeClients.One c = new FakeClients.One(port)) {
                 c.header = "X-Office: " + name + "\r\n";
                 double due = System.nanoTime() + everyNs * new SplittableRandom(me).nextDouble();
                 for (int i = 0; !over; i++, due += everyNs) {
--- a/src/test/java/mothcross/net/RememberedTest.java
+++ b/src/test/java/mothcross/net/RememberedTest.java
@@ -15,9 +15,9 @@
 import mothcross.membership.MembershipSnapshot;
 import mothcross.membership.SnapshotFormat;
 import mothcross.operators.MembershipSettings;
-import mothcross.standin.Box;
-import mothcross.standin.Clients;
-import mothcross.standin.Discovery;
+import mothcross.standin.FakeClients;
+import mothcross.standin.FakeDiscovery;
+import mothcross.standin.FakeNode;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -39,9 +39,9 @@
         try (Fleet f = new Fleet(1)) {
             f.keeps("d1", age, 0, List.of(), f.all());
             DirectorServer d = f.director("d1");
-            Box b = f.caches.get(0);
+            FakeNode b = f.caches.get(0);
             assertEquals(Fleet.standing(d, b), before);
-            try (Clients.One c = new Clients.One(d.port())) {
+            try (FakeClients.One c = new FakeClients.One(d.port())) {
                 assertEquals(c.status(1, 10, 3), handles ? 200 : 503);
                 assertEquals(b.count(), handles ? 1 : 0);
                 Fleet.until(after, () -> Fleet.standing(d, b).equals(after));
@@ -58,7 +58,7 @@
     @Test public void startsWithNothing() throws Exception {
         try (Fleet f = new Fleet(1)) {
             DirectorServer d = f.director("d1");
-            try (Clients.One c = new Clients.One(d.port())) {
+            try (FakeClients.One c = new FakeClients.One(d.port())) {
                 assertEquals(c.status(1, 10, 3), 503);
                 f.discovery.whole(f.all());
                 f.discovery.open();
@@ -83,7 +83,7 @@
             DirectorServer d = f.director("d1");
             f.discovery.numbersFrom(11);
             f.discovery.whole(f.all());
-            try (Clients load = new Clients(d.port(), 2, 5, 10, 100)) {
+            try (FakeClients load = new FakeClients(d.port(), 2, 5, 10, 100)) {
                 for (int i = 0; i < 8; i++) {
                     int drains = i % 2;
                     f.discovery.open();
@@ -103,13 +103,13 @@
         try (Fleet f = new Fleet(3)) {
             f.start.put("connect", "8");
             f.keeps("d1", 60_000, 0, List.of(), f.all());
-            Box mute = f.caches.get(0), away = f.caches.get(1), well = f.caches.get(2);
+            FakeNode mute = f.caches.get(0), away = f.caches.get(1), well = f.caches.get(2);
             mute.mute(true);
             away.vanished();
             DirectorServer d = f.director("d1");
-            List<Clients.One> open = new ArrayList<>();
+            List<FakeClients.One> open = new ArrayList<>();
             for (int i = 0; i < 24; i++) {
-                open.add(new Clients.One(d.port()));
+                open.add(new FakeClients.One(d.port()));
                 open.get(i).write(i, 10, 17);
             }
             Fleet.until("hops out and waiting", () -> mute.count() > 0 && well.count() > 0
@@ -117,7 +117,7 @@
             f.discovery.numbersFrom(11);
             f.discovery.whole(f.all());
             long at = System.currentTimeMillis();
-            f.discovery.changes(Discovery.DRAINING, mute, away);
+            f.discovery.changes(FakeDiscovery.DRAINING, mute, away);
             long event = f.discovery.purge(17, at);
             f.discovery.open();
             Fleet.until("event " + event, () -> Fleet.event(d) == event);
@@ -125,14 +125,14 @@
             // What waited for a connection that never came up was taken back and went elsewhere.
             Fleet.until("taken back", () -> counted(d, c -> c.ends[Director.NOT_SENT]) >= 1);
             mute.mute(false);
-            try (Clients.One c = new Clients.One(d.port())) {
+            try (FakeClients.One c = new FakeClients.One(d.port())) {
                 for (int i = 0; i < 40; i++) assertEquals(c.status(100 + i, 10, 17), 200);
             }
-            for (Box.Arrival a : mute.arrivals()) assertTrue(a.nano() < told, "sent after the drain: " + a.line());
-            List<Box.Arrival> after = well.arrivals().stream().filter(a -> a.nano() > told).toList();
+            for (FakeNode.Arrival a : mute.arrivals()) assertTrue(a.nano() < told, "sent after the drain: " + a.line());
+            List<FakeNode.Arrival> after = well.arrivals().stream().filter(a -> a.nano() > told).toList();
             assertTrue(after.size() >= 40);
-            for (Box.Arrival a : after) assertTrue(a.line().contains(",fresh="), "a purge bounds ages: " + a.line());
-            for (Clients.One c : open) c.close();
+            for (FakeNode.Arrival a : after) assertTrue(a.line().contains(",fresh="), "a purge bounds ages: " + a.line());
+            for (FakeClients.One c : open) c.close();
         }
     }
 
@@ -153,10 +153,10 @@
     @Test public void aListedBoxIsGoneAnotherReplaced() throws Exception {
         try (Fleet f = new Fleet(3)) {
             f.keeps("d1", HOUR, 0, List.of(), f.all());
-            Box gone = f.caches.get(0).gone(), was = f.caches.get(1);
-            Box other = f.also(was.replacedBy(77, System.currentTimeMillis(), System.currentTimeMillis()));
+            FakeNode gone = f.caches.get(0).gone(), was = f.caches.get(1);
+            FakeNode other = f.also(was.replacedBy(77, System.currentTimeMillis(), System.currentTimeMillis()));
             DirectorServer d = f.director("d1");
-            try (Clients load = new Clients(d.port(), 3, 1, 10, 0)) {
+            try (FakeClients load = new FakeClients(d.port(), 3, 1, 10, 0)) {
                 Fleet.until("refused", () -> Fleet.standing(d, gone).equals("REFUSED"));
                 Fleet.until("answers", () -> Fleet.standing(d, was).equals("PROVEN"));
                 Fleet.until("tried again", () -> Fleet.standing(d, gone).equals("OLD"));
@@ -190,16 +190,16 @@
         try (Fleet f = new Fleet(2)) {
             f.start.put("directors", "3");
             for (String name : List.of("d1", "d2", "d3")) f.keeps(name, HOUR, 0, List.of(), f.all());
-            Box cold = f.also(f.caches.get(0).replacedBy(1, System.currentTimeMillis(), 0));
-            List<Clients> load = new ArrayList<>();
+            FakeNode cold = f.also(f.caches.get(0).replacedBy(1, System.currentTimeMillis(), 0));
+            List<FakeClients> load = new ArrayList<>();
             for (String name : List.of("d1", "d2", "d3")) {
-                load.add(new Clients(f.director(name, f.remembering(name, ages)).port(), 4, 2, 1000,
+                load.add(new FakeClients(f.director(name, f.remembering(name, ages)).port(), 4, 2, 1000,
                     1000 * load.size()));
             }
-            for (Clients c : load) c.awaitHandled(20);
+            for (FakeClients c : load) c.awaitHandled(20);
             long until = System.nanoTime() + 3_000_000_000L;        // two spans of the rule
             while (System.nanoTime() < until && !cold.fell()) Thread.onSpinWait();
-            for (Clients c : load) c.close();
+            for (FakeClients c : load) c.close();
             return cold.most();
         }
     }
@@ -213,7 +213,7 @@
             Fleet.until("kept", () -> kept(f, "d1") != null);
             DirectorServer second = f.director("d1");
             Fleet.until("told", () -> Fleet.event(second) == 1 && Fleet.event(first) == 1);
-            long event = f.discovery.changes(Discovery.DRAINING, f.caches.get(0));
+            long event = f.discovery.changes(FakeDiscovery.DRAINING, f.caches.get(0));
             Fleet.until("both", () -> Fleet.event(second) == event && kept(f, "d1").lastEvent() == event);
             assertEquals(second.remembered().writesDone, 0);
             assertTrue(first.remembered().writesDone > 0);
@@ -245,7 +245,7 @@
             for (DirectorServer d : List.of(folder, nowhere)) {
                 Fleet.until("told", () -> Fleet.event(d) == 1);
                 Fleet.until("says so", () -> d.remembered().writesFailed > 0);
-                try (Clients.One c = new Clients.One(d.port())) {
+                try (FakeClients.One c = new FakeClients.One(d.port())) {
                     assertEquals(c.status(1, 10, 3), 200);
                 }
             }
@@ -294,7 +294,7 @@
             DirectorServer d = f.director("d1");
             Fleet.until("told", () -> Fleet.event(d) == 1);
             long now = System.currentTimeMillis();
-            f.discovery.changes(Discovery.DRAINING, f.caches.get(0));
+            f.discovery.changes(FakeDiscovery.DRAINING, f.caches.get(0));
             long event = f.discovery.purge(17, now);
             long told = System.nanoTime();
             Fleet.until("on disk", () -> kept(f, "d1") != null && kept(f, "d1").lastEvent() == event);
@@ -304,11 +304,11 @@
             d.release();
             DirectorServer again = f.director("d1");
             assertEquals(Fleet.standing(again, f.caches.get(0)), "DRAINING");
-            try (Clients.One c = new Clients.One(again.port())) {
+            try (FakeClients.One c = new FakeClients.One(again.port())) {
                 for (int i = 0; i < 20; i++) assertEquals(c.status(i, 10, 17), 200);
             }
             assertEquals(f.caches.get(0).count(), 0);
-            for (Box.Arrival a : f.caches.get(1).arrivals()) assertTrue(a.line().contains(",fresh="), a.line());
+            for (FakeNode.Arrival a : f.caches.get(1).arrivals()) assertTrue(a.line().contains(",fresh="), a.line());
             assertTrue(took < 1000, "on disk after " + took);
         }
     }
@@ -317,29 +317,29 @@
     @Test public void anUnsureBoxGetsOneHopAtATime() throws Exception {
         try (Fleet f = new Fleet(1)) {
             f.keeps("d1", HOUR, 0, List.of(), f.all());
-            Box b = f.caches.get(0);
+            FakeNode b = f.caches.get(0);
             b.mute(true);
             DirectorServer d = f.director("d1");
-            List<Clients.One> open = new ArrayList<>();
+            List<FakeClients.One> open = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                open.add(new Clients.One(d.port()));
+                open.add(new FakeClients.One(d.port()));
                 open.get(i).write(i, 10, 3);
             }
             for (int i = 1; i < 10; i++) assertEquals(open.get(i).status(), 503, "turned away at once");
             Fleet.until("the one", () -> b.count() > 0);
             assertEquals(b.count(), 1);
-            for (Clients.One c : open) c.close();
+            for (FakeClients.One c : open) c.close();
         }
     }
 
     /** With recent ones there, an old one is not asked at all. */
     @Test public void oldOnesStandBehindRecentOnes() throws Exception {
         try (Fleet f = new Fleet(2)) {
-            Box old = f.caches.get(0);
+            FakeNode old = f.caches.get(0);
             f.keeps("d1", 60_000, HOUR, List.of(old), f.all());
             DirectorServer d = f.director("d1");
             assertEquals(Fleet.standing(d, old), "OLD");
-            try (Clients.One c = new Clients.One(d.port())) {
+            try (FakeClients.One c = new FakeClients.One(d.port())) {
                 for (int i = 0; i < 40; i++) assertEquals(c.status(i, 10, 3), 200);
             }
             assertEquals(old.count(), 0);
@@ -396,17 +396,17 @@
             f.discovery.whole(f.all());
             f.discovery.open();
             DirectorServer d = f.director("d1");
-            f.discovery.changes(Discovery.DRAINING, f.caches.get(0));
-            f.discovery.changes(Discovery.READY, f.caches.get(2));
+            f.discovery.changes(FakeDiscovery.DRAINING, f.caches.get(0));
+            f.discovery.changes(FakeDiscovery.READY, f.caches.get(2));
             Fleet.until("event 3", () -> Fleet.event(d) == 3);
             f.discovery.fallBackTo(1);
             f.discovery.cut();
             Fleet.until("is behind", () -> behind(d));
-            f.discovery.changes(Discovery.READY, f.caches.get(0));          // event 2, which was another one here
-            f.discovery.changes(Discovery.DRAINING, f.caches.get(1));       // event 3
+            f.discovery.changes(FakeDiscovery.READY, f.caches.get(0));          // event 2, which was another one here
+            f.discovery.changes(FakeDiscovery.DRAINING, f.caches.get(1));       // event 3
             Fleet.until("drained", () -> Fleet.standing(d, f.caches.get(1)).equals("DRAINING"));
             assertEquals(Fleet.standing(d, f.caches.get(0)), "DRAINING");
-            long event = f.discovery.changes(Discovery.READY, f.caches.get(0));
+            long event = f.discovery.changes(FakeDiscovery.READY, f.caches.get(0));
             Fleet.until("event 4", () -> Fleet.event(d) == event);
             assertEquals(Fleet.standing(d, f.caches.get(0)), "TOLD");
         }
@@ -431,7 +431,7 @@
             f.discovery.whole();
             Fleet.until("event 2", () -> Fleet.event(d) == 2);
             assertTrue(d.remembered().line().contains(", empty 1"), d.remembered().line());
-            try (Clients.One c = new Clients.One(d.port())) {
+            try (FakeClients.One c = new FakeClients.One(d.port())) {
                 for (int i = 0; i < 10; i++) assertEquals(c.status(i, 10, 3), 200);
             }
         }
--- a/src/test/java/mothcross/net/RoutesTest.java
+++ b/src/test/java/mothcross/net/RoutesTest.java
@@ -6,8 +6,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.*;
 import mothcross.route.RouteRules;
-import mothcross.standin.Box;
-import mothcross.standin.Clients;
+import mothcross.standin.FakeClients;
+import mothcross.standin.FakeNode;
 import org.testng.annotations.Test;
 
 /** Routes in a real director on sockets: what clients get, where lookups go, and tables exchanged under load. */
@@ -44,10 +44,10 @@
             for (int i = 0; i < 12; i++) assertTrue(ask(d.port(), "/api/v2/books/aa" + i,
                 "").startsWith("HTTP/1.1 200 "));
             Set<String> asked = new HashSet<>();
-            for (Box b : f.caches) for (Box.Arrival a : b.arrivals()) asked.add(b.id() + " "
+            for (FakeNode b : f.caches) for (FakeNode.Arrival a : b.arrivals()) asked.add(b.id() + " "
                 + a.line().replaceAll(".*via=|,tier.*", ""));
             assertEquals(asked.size(), 1, "twelve objects of one key, one cache and one parent: " + asked);
-            for (Box b : f.caches) for (Box.Arrival a : b.arrivals()) assertTrue(a.line().contains("asset=aa"),
+            for (FakeNode b : f.caches) for (FakeNode.Arrival a : b.arrivals()) assertTrue(a.line().contains("asset=aa"),
                 "sent unchanged");
             for (int i = 0; i < 2; i++) assertTrue(ask(d.port(), "/api/v2/books/01",
                 "X-Office: muc\r\n").startsWith("HTTP/1.1 200 "));
@@ -68,7 +68,7 @@
         try (Fleet f = new Fleet(2)) {
             DirectorServer d = f.routed("d1", rules(rule("none", "true", "'x'", 0, 0, null)));
             assertTrue(ask(d.port(), "/api/v2/books/01", "").startsWith("HTTP/1.1 200 "));
-            Box first = f.caches.get(0).count() > 0 ? f.caches.get(0) : f.caches.get(1);
+            FakeNode first = f.caches.get(0).count() > 0 ? f.caches.get(0) : f.caches.get(1);
             first.gone();
             String answer = ask(d.port(), "/api/v2/books/01", "");
             assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
@@ -91,7 +91,7 @@
                 "contains(target, 'x')", null, -1, 0, null));
             DirectorServer d = f.routed("d1", a);
             StartupConfig told = f.told("d1");
-            try (Clients load = new Clients(d.port(), 6, 0, 10, 0)) {
+            try (FakeClients load = new FakeClients(d.port(), 6, 0, 10, 0)) {
                 load.awaitHandled(0);
                 Fleet.until("asked", () -> load.asked.get() > 100);
                 for (int i = 0; i < 100; i++) {
--- a/src/test/java/mothcross/net/ServeTest.java
+++ b/src/test/java/mothcross/net/ServeTest.java
@@ -29,12 +29,10 @@
 
 /**
  * Plays the scenario files of the director on sockets: a real one on loopback, its clients, nodes and bulletin by
- * stand-ins. A line names one of them and what it does: {@code >} writes, {@code drip} writes byte by byte, {@code
- * <} reads one answer, command or number and matches it whole, {@code close}, {@code reset}, {@code gone} (the
+ * stand-ins. A line names one of them and what it does: {@code >} writes, {@code drip} writes byte by byte, {@code * <} reads one answer, command or number and matches it whole, {@code close}, {@code reset}, {@code gone} (the
  * director must have ended the connection), {@code ends} (it must have ended without a reset), {@code eof} (its
  * side has ended, ours goes on). {@code |} stands for CR LF, {@code @F} for a number that is filled in. First
- * {@code start KEY=VALUE}, {@code node NAME KIND}, {@code refused NAME KIND} (nothing listens there) and {@code
- * mute NAME KIND} (connections never come up), {@code narrow NAME KIND} (until it is told to {@code fill} its
+ * {@code start KEY=VALUE}, {@code node NAME KIND}, {@code refused NAME KIND} (nothing listens there) and {@code * mute NAME KIND} (connections never come up), {@code narrow NAME KIND} (until it is told to {@code fill} its
  * queue); later {@code end} (as SIGTERM), {@code ended}, {@code probe}, {@code counter NAME N} ({@code nodes} and
  * {@code timers}: how many are held). No step waits for a time: each reads until what it names has come, or fails
  * after some seconds.
--- a/src/test/java/mothcross/rig/FleetTest.java
+++ b/src/test/java/mothcross/rig/FleetTest.java
@@ -77,7 +77,7 @@
 
     @Test(dataProvider = "cases") public void hardCase(String name, String script) {
         for (long seed = 1; seed <= 5; seed++) {
-            Virtual v = Virtual.play(FaultScript.of(script), FailureDetectorSettings.DEFAULTS, seed, null);
+            SimulatedFleet v = SimulatedFleet.play(FaultScript.of(script), FailureDetectorSettings.DEFAULTS, seed, null);
             List<String> broken = v.check(mayBeOut(name)).broken;
             assertTrue(v.mostParts <= 1 + 1e-9, name + ", seed " + seed + ": parts came to " + v.mostParts + " at "
                 + v.mostPartsAt);
@@ -91,7 +91,7 @@
         List<String> bad = new java.util.concurrent.CopyOnWriteArrayList<>();
         java.util.stream.IntStream.range(from, from + all).parallel().forEach(seed -> {
             FaultScript s = FaultScript.drawn(new SplittableRandom(seed));
-            Virtual v = Virtual.play(s, FailureDetectorSettings.DEFAULTS, seed, null);
+            SimulatedFleet v = SimulatedFleet.play(s, FailureDetectorSettings.DEFAULTS, seed, null);
             List<String> broken = v.check().broken;
             // The stated slack: one director's part, where news of a return is late.
             if (v.mostParts > 1 + 1.0 / s.members) {
@@ -113,7 +113,7 @@
         for (Path f : files) {
             long seed = Long.parseLong(f.getFileName().toString().replaceAll("\\D", ""));
             FaultScript s = FaultScript.of(Files.readString(f));
-            List<String> broken = Virtual.play(s, FailureDetectorSettings.DEFAULTS, seed, null).check().broken;
+            List<String> broken = SimulatedFleet.play(s, FailureDetectorSettings.DEFAULTS, seed, null).check().broken;
             assertTrue(broken.isEmpty(), f.getFileName() + ":\n" + String.join("\n", broken));
         }
     }
@@ -125,15 +125,15 @@
             m.pingReceived(), m.viewNumber(), digest, items, state);
     }
 
-    private static Virtual.Spoils items(Predicate<GossipItem> keeps) {
+    private static SimulatedFleet.Spoils items(Predicate<GossipItem> keeps) {
         return (who, m) -> with(m, m.viewDigest(), m.items().stream().filter(keeps).toList(), m.viewMembers());
     }
 
-    private static Virtual.Spoils each(UnaryOperator<GossipItem> with) {
+    private static SimulatedFleet.Spoils each(UnaryOperator<GossipItem> with) {
         return (who, m) -> with(m, m.viewDigest(), m.items().stream().map(with).toList(), m.viewMembers());
     }
 
-    private static Virtual.Spoils without(Message.Kind... kinds) {
+    private static SimulatedFleet.Spoils without(Message.Kind... kinds) {
         return (who, m) -> List.of(kinds).contains(m.kind()) ? null : m;
     }
 
@@ -162,9 +162,9 @@
                 || a.linkStatus() != GossipItem.LinkStatus.FINE)},
             {"accusations are not heard", usual, items(i -> !(i instanceof GossipItem.Accusation))},
             {"votes are made up", usual, each(FleetTest::agreed)},
-            {"views are never compared", usual, (Virtual.Spoils) (who, m) -> m.kind() == Message.Kind.VIEW_REQUEST
+            {"views are never compared", usual, (SimulatedFleet.Spoils) (who, m) -> m.kind() == Message.Kind.VIEW_REQUEST
                 ? null : m},
-            {"who was put out is forgotten", usual, (Virtual.Spoils) (who, m) -> m.viewMembers() == null ? m : with(m,
+            {"who was put out is forgotten", usual, (SimulatedFleet.Spoils) (who, m) -> m.viewMembers() == null ? m : with(m,
                 m.viewDigest(), m.items(), m.viewMembers().stream().filter(f ->
                     f.status() == MemberRecord.Status.IN).toList())},
             {"newcomers are not passed on", usual, items(i -> !(i instanceof GossipItem.Candidate))},
@@ -172,14 +172,14 @@
     }
 
     @Test(dataProvider = "planted") public void plantedFaultIsFound(String fault, FailureDetectorSettings pace,
-        Virtual.Spoils spoils) {
+        SimulatedFleet.Spoils spoils) {
         for (Object[] c : cases()) {
-            Virtual v = Virtual.play(FaultScript.of((String) c[1]), pace, 1, spoils);
+            SimulatedFleet v = SimulatedFleet.play(FaultScript.of((String) c[1]), pace, 1, spoils);
             if (!v.check(mayBeOut((String) c[0])).broken.isEmpty()) return;
         }
         for (long seed = 1; seed <= 200; seed++) {
             FaultScript s = FaultScript.drawn(new SplittableRandom(seed));
-            if (!Virtual.play(s, pace, seed, spoils).check().broken.isEmpty()) return;
+            if (!SimulatedFleet.play(s, pace, seed, spoils).check().broken.isEmpty()) return;
         }
         throw new AssertionError("not found: " + fault);
     }
--- a/src/test/java/mothcross/rig/PolicyTest.java
+++ b/src/test/java/mothcross/rig/PolicyTest.java
@@ -62,13 +62,13 @@
             {"one leaves", FIVE + "8000 leave 4\n8100 propose 0 by 1 for 9000", "{COMMITTED=1}"}};
     }
 
-    private static PolicyPlay play(String script, long seed, PolicyPlay.Spoils spoils) {
-        return PolicyPlay.play(FaultScript.of(script), 3000, 3, seed, spoils);
+    private static PolicySimulation play(String script, long seed, PolicySimulation.Spoils spoils) {
+        return PolicySimulation.play(FaultScript.of(script), 3000, 3, seed, spoils);
     }
 
     @Test(dataProvider = "cases") public void hardCase(String name, String script, String outcomes) {
         for (long seed = 1; seed <= 6; seed++) {
-            PolicyPlay p = play(script, seed, null);
+            PolicySimulation p = play(script, seed, null);
             assertTrue(p.rules.broken.isEmpty(), name + ", seed " + seed + ":\n" + String.join("\n", p.rules.broken));
             if (outcomes != null) assertEquals(p.rules.outcomes.toString(), outcomes, name + ", seed " + seed);
             assertTrue(p.mostTexts <= 3, name + ": " + p.mostTexts + " texts were held at once");
@@ -85,7 +85,7 @@
     @Test(dataProvider = "everyStep") public void atEveryStep(String what) {
         List<String> bad = new java.util.concurrent.CopyOnWriteArrayList<>();
         IntStream.range(0, 90).parallel().forEach(i -> {
-            PolicyPlay p = play(FIVE + "8000 propose 3 by 1 for 9000\n" + (8000 + 2 * i) + " " + what, i, null);
+            PolicySimulation p = play(FIVE + "8000 propose 3 by 1 for 9000\n" + (8000 + 2 * i) + " " + what, i, null);
             if (!p.rules.broken.isEmpty()) bad.add("after " + 2 * i + " ms: " + p.rules.broken);
         });
         assertTrue(bad.isEmpty(), what + ":\n" + String.join("\n", bad));
@@ -95,7 +95,7 @@
     @Test public void nothingIsLostWithoutAChange() {
         for (String what : List.of("kill 0-2", "cut 4 to all for 40000\n8000 cut all to 4 for 40000",
             "pause 0-2 for 30000")) {
-            PolicyPlay p = PolicyPlay.play(FaultScript.of(FIVE + "8000 " + what), 3000, 3, 1, null);
+            PolicySimulation p = PolicySimulation.play(FaultScript.of(FIVE + "8000 " + what), 3000, 3, 1, null);
             assertTrue(p.rules.refused <= 5 * 60, what + ": " + p.rules.refused + " lookups were refused");
             assertTrue(p.rules.broken.stream().noneMatch(b -> b.startsWith("promise 4")), p.rules.broken.toString());
         }
@@ -107,7 +107,7 @@
         List<String> bad = new java.util.concurrent.CopyOnWriteArrayList<>();
         IntStream.range(from, from + all).parallel().forEach(seed -> {
             FaultScript s = FaultScript.drawnPolicy(new SplittableRandom(seed));
-            PolicyPlay p = PolicyPlay.play(s, 3000, seed % 2 == 0 ? 3 : 5, seed, null);
+            PolicySimulation p = PolicySimulation.play(s, 3000, seed % 2 == 0 ? 3 : 5, seed, null);
             if (!p.rules.broken.isEmpty()) bad.add("seed " + seed + ":\n" + p.rules.broken + "\n" + s);
         });
         assertTrue(bad.isEmpty(), bad.size() + " of " + all + ":\n" + String.join("\n", bad));
@@ -145,23 +145,23 @@
         for (Path f : files) {
             long seed = Long.parseLong(f.getFileName().toString().replaceAll("\\D", ""));
             FaultScript s = FaultScript.of(Files.readString(f));
-            List<String> broken = PolicyPlay.play(s, 3000, seed % 2 == 0 ? 3 : 5, seed, null).rules.broken;
+            List<String> broken = PolicySimulation.play(s, 3000, seed % 2 == 0 ? 3 : 5, seed, null).rules.broken;
             assertTrue(broken.isEmpty(), f.getFileName() + ":\n" + String.join("\n", broken));
         }
     }
 
     // ---- planted faults: each has to be found within the hard cases and a few drawn histories ----
 
-    private interface Hears extends PolicyPlay.Spoils {
+    private interface Hears extends PolicySimulation.Spoils {
         @Override PolicyMessage hears(String who, String from, PolicyMessage s);
     }
 
-    private static PolicyPlay.Spoils hears(Hears h) {
+    private static PolicySimulation.Spoils hears(Hears h) {
         return h;
     }
 
-    private static PolicyPlay.Spoils keeps(java.util.function.BinaryOperator<Voter.State> k) {
-        return new PolicyPlay.Spoils() {
+    private static PolicySimulation.Spoils keeps(java.util.function.BinaryOperator<Voter.State> k) {
+        return new PolicySimulation.Spoils() {
             @Override public Voter.State keeps(Voter.State before, Voter.State written) {
                 return k.apply(before, written);
             }
@@ -173,7 +173,7 @@
             {"what is accepted is not on disk", keeps((b, w) -> b)},
             {"promises are forgotten", keeps((b, w) -> new Voter.State(w.storeId(), ProposalNumber.NONE,
                 w.acceptedNumber(), w.accepted()))},
-            {"leases never end", new PolicyPlay.Spoils() {
+            {"leases never end", new PolicySimulation.Spoils() {
                 @Override public boolean mayStart(PolicyParticipant p, double now) {
                     return p.holder().stopReason(Double.NEGATIVE_INFINITY) == PolicyReplica.StopReason.NO;
                 }
@@ -192,20 +192,20 @@
             {"who drives asks nobody", hears((who, from, s) -> s instanceof PolicyMessage.ProgressRequest
                 || s instanceof PolicyMessage.ProgressReport ? null : s)},
             {"texts are not passed on", hears((who, from, s) -> s instanceof PolicyMessage.TextChunk ? null : s)},
-            {"one who has not heard decides by another plan", new PolicyPlay.Spoils() {
+            {"one who has not heard decides by another plan", new PolicySimulation.Spoils() {
                 @Override public boolean mayStart(PolicyParticipant p, double now) {
                     return p.holder().plan() >= 0;
                 }
             }}};
     }
 
-    @Test(dataProvider = "planted") public void plantedFaultIsFound(String fault, PolicyPlay.Spoils spoils) {
+    @Test(dataProvider = "planted") public void plantedFaultIsFound(String fault, PolicySimulation.Spoils spoils) {
         for (Object[] c : cases()) {
-            PolicyPlay p = play((String) c[1], 1, spoils);
+            PolicySimulation p = play((String) c[1], 1, spoils);
             if (!p.rules.broken.isEmpty()) return;
             if (c[2] != null && !p.rules.outcomes.toString().equals(c[2])) return;
         }
-        boolean found = IntStream.range(1, 3000).parallel().anyMatch(seed -> !PolicyPlay.play(
+        boolean found = IntStream.range(1, 3000).parallel().anyMatch(seed -> !PolicySimulation.play(
             FaultScript.drawnPolicy(new SplittableRandom(seed)), 3000, 3, seed, spoils).rules.broken.isEmpty());
         assertTrue(found, "not found: " + fault);
     }
--- a/src/test/java/mothcross/rig/RealFleetTest.java
+++ b/src/test/java/mothcross/rig/RealFleetTest.java
@@ -30,7 +30,7 @@
 
     /** What an operator asks of a running director, with its exit states. */
     @Test(timeOut = 300_000) public void operatorsAsk() throws Exception {
-        try (Real r = new Real(FaultScript.of("members 3 for 1000\n500 kill 2"), 1, null)) {
+        try (ProcessFleet r = new ProcessFleet(FaultScript.of("members 3 for 1000\n500 kill 2"), 1, null)) {
             r.play();
             String file = r.operatorsOf(0).toString();
             String said = command(0, "status", "--operators", file);
@@ -50,7 +50,7 @@
      * What ends unasked is named with its last words: it is no member that is merely late (a CI run took it for one).
      */
     @Test(timeOut = 300_000) public void aProcessThatEndsByItselfIsNamed() throws Exception {
-        try (Real r = new Real(FaultScript.of("members 3 for 100\n0 loss all by 0"), 1, null)) {
+        try (ProcessFleet r = new ProcessFleet(FaultScript.of("members 3 for 100\n0 loss all by 0"), 1, null)) {
             r.play();
             assertEquals(r.check().broken, List.of());
             r.processOf(2).destroyForcibly();
@@ -68,7 +68,7 @@
     @Test public void portsAreGivenOnceAndHeld() throws Exception {
         Set<Integer> all = new HashSet<>();
         for (int i = 0; i < 120; i++) {
-            int port = Ports.take(), first = port - port % 50;
+            int port = PortReservation.take(), first = port - port % 50;
             assertTrue(all.add(port) && port < 32_768 && port > first, port + " of " + all);
             assertThrows(IOException.class, () -> new ServerSocket(first, 1, InetAddress.getLoopbackAddress()));
         }
@@ -84,7 +84,7 @@
     }
 
     @Test(dataProvider = "scripts", timeOut = 300_000) public void holdsAmongProcesses(String script) throws Exception {
-        try (Real r = new Real(FaultScript.of(script), 1, null)) {
+        try (ProcessFleet r = new ProcessFleet(FaultScript.of(script), 1, null)) {
             r.play();
             FleetRules rules = r.check();
             assertTrue(rules.broken.isEmpty(), script + "\n" + String.join("\n", rules.broken));
--- a/src/test/java/mothcross/rig/RealPolicyTest.java
+++ b/src/test/java/mothcross/rig/RealPolicyTest.java
@@ -41,7 +41,7 @@
     @Test(timeOut = 300_000) public void otherVotersDecide() throws Exception {
         String script = "members 5 for 1500\n100 lookups all by 40 for 60000\n300 propose 0 by 1 for 60000\n400 await\n"
             + "500 voters 0 to 2-4\n600 await\n700 kill 0-1\n800 propose 3 by 2 for 60000\n900 await";
-        try (Real r = new Real(FaultScript.of(script), 1, null)) {
+        try (ProcessFleet r = new ProcessFleet(FaultScript.of(script), 1, null)) {
             r.play();
             String all = script + "\n" + r.policy.broken + "\n" + r.said + "\n" + r.policy.outcomes;
             assertTrue(r.policy.broken.isEmpty(), all);
@@ -62,7 +62,7 @@
                 .append(1 + n++ % 4).append(" for 60000\n").append(t + 400).append(" await\n");
             t += 500;
         }
-        try (Real r = new Real(FaultScript.of(s.toString()), 1, null)) {
+        try (ProcessFleet r = new ProcessFleet(FaultScript.of(s.toString()), 1, null)) {
             r.play();
             assertTrue(r.policy.broken.isEmpty(), s + "\n" + r.policy.broken + "\n" + r.said);
             long answered = r.said.stream().filter(x -> x.endsWith("done") || x.contains("revision")).count();
@@ -71,7 +71,7 @@
     }
 
     @Test(dataProvider = "scripts", timeOut = 300_000) public void holdsAmongProcesses(String script) throws Exception {
-        try (Real r = new Real(FaultScript.of(script), 1, null)) {
+        try (ProcessFleet r = new ProcessFleet(FaultScript.of(script), 1, null)) {
             r.play();
             String all = script + "\n" + r.policy.broken + "\n" + r.said + "\n" + r.policy.outcomes;
             assertTrue(r.policy.broken.isEmpty(), all);
@@ -87,7 +87,7 @@
         String script = "members 4 for 14000 limit 100\n0 lookups all by 60 for 14000\n3000 kill 3\n"
             + "5000 restart 2 for 1500\n"
             + "9000 pause 1 for 3000";
-        try (Real r = new Real(FaultScript.of(script), 1, null)) {
+        try (ProcessFleet r = new ProcessFleet(FaultScript.of(script), 1, null)) {
             r.play();
             assertNull(r.limits.broken(), script);
             assertTrue(r.limits.passed > 200 && r.limits.heldBack > 200, r.limits.passed + " passed, "
@@ -108,7 +108,7 @@
 
     /** What an operator does and is told, with its exit states; a voter's new disk; a lost quorum. */
     @Test(timeOut = 300_000) public void operatorsWork() throws Exception {
-        try (Real r = new Real(FaultScript.of("members 4 for 100\n0 abort 0"), 1, null)) {
+        try (ProcessFleet r = new ProcessFleet(FaultScript.of("members 4 for 100\n0 abort 0"), 1, null)) {
             r.play();
             String at = r.operatorsOf(0).toString();
             Path text = Files.createTempFile("mothcross", ".jsonnet");
--- a/src/test/java/mothcross/standin/Clients.java
+++ b/src/test/java/mothcross/standin/FakeClients.java
@@ -12,7 +12,7 @@
  * Stand-ins for a director's clients: each asks again as soon as it has its answer, or after a pause, and counts
  * how it was answered. Must never ask twice on one connection before the answer.
  */
-public final class Clients implements AutoCloseable {
+public final class FakeClients implements AutoCloseable {
     private static final AtomicLong IDS = new AtomicLong(0x1000);
     public final AtomicInteger asked = new AtomicInteger(), handled = new AtomicInteger(),
         refused = new AtomicInteger(),
@@ -21,7 +21,7 @@
     private final Thread[] all;
 
     /** So many clients, each pausing so long; objects are numbered on from {@code objects} upwards, so all differ. */
-    public Clients(int port, int number, int pauseMs, int kb, int objects) {
+    public FakeClients(int port, int number, int pauseMs, int kb, int objects) {
         AtomicInteger next = new AtomicInteger(objects);
         all = new Thread[number];
         for (int i = 0; i < number; i++) {
--- a/src/test/java/mothcross/standin/Discovery.java
+++ b/src/test/java/mothcross/standin/FakeDiscovery.java
@@ -13,12 +13,12 @@
  * tell. It can be withheld (nothing listens), cut, silent, start anew with older numbers, and tell in bursts. Owns its
  * socket and threads; must never tell an event twice by itself, nor tell what the script did not.
  */
-public final class Discovery implements AutoCloseable {
+public final class FakeDiscovery implements AutoCloseable {
     /** Standing as the frames have it. */
     public static final int READY = 0, DRAINING = 1, GONE = 2;
     private static final int PULSE_MS = 50;
 
-    private final Held held;
+    private final ReservedPort held;
     private final int port;
     private ServerSocket server;
     private final List<Socket> feeds = new ArrayList<>();
@@ -29,8 +29,8 @@
     /** When each event had been written to every director that was there, by System.nanoTime. */
     public final Map<Long, Long> writtenAt = new TreeMap<>();
 
-    public Discovery() throws IOException {
-        held = new Held(0);
+    public FakeDiscovery() throws IOException {
+        held = new ReservedPort(0);
         port = held.port;
     }
 
@@ -77,19 +77,19 @@
         last = number - 1;
     }
 
-    public synchronized long whole(Box... boxes) throws IOException {
+    public synchronized long whole(FakeNode... boxes) throws IOException {
         list.clear();
         return records(1, READY, boxes);
     }
 
     /** So many boxes take on this standing; the list of later whole ones follows. */
-    public synchronized long changes(int standing, Box... boxes) throws IOException {
+    public synchronized long changes(int standing, FakeNode... boxes) throws IOException {
         return records(2, standing, boxes);
     }
 
-    private long records(int kind, int standing, Box... boxes) throws IOException {
+    private long records(int kind, int standing, FakeNode... boxes) throws IOException {
         ByteBuffer all = ByteBuffer.allocate(27 * boxes.length);
-        for (Box b : boxes) {
+        for (FakeNode b : boxes) {
             ByteBuffer r = record(b, standing);
             all.put(r.duplicate());
             if (standing == GONE) list.remove(b.id());
@@ -98,7 +98,7 @@
         return tell(kind, all.array());
     }
 
-    private static ByteBuffer record(Box b, int standing) {
+    private static ByteBuffer record(FakeNode b, int standing) {
         ByteBuffer r = ByteBuffer.allocate(27);
         r.putInt(b.number()).put(new byte[] {127, 0, 0, 1}).putShort((short) b.port()).put((byte) standing);
         r.put((byte) 0).put((byte) b.kind()).putShort((short) 0).putInt((int) (b.units() * 1000));
--- a/src/test/java/mothcross/standin/Box.java
+++ b/src/test/java/mothcross/standin/FakeNode.java
@@ -16,7 +16,7 @@
  * when, and can be gone (refused), vanished (never comes up), mute, back cold, and fall over when pushed. Owns its
  * socket and threads.
  */
-public final class Box implements AutoCloseable {
+public final class FakeNode implements AutoCloseable {
     public static final int CACHE = 0, PARENT = 1, ORIGIN = 2;
     /** What the settings of the test's directors say of cold starts: share at first, ms to warm, factor, ms. */
     private static final double FLOOR = 0.15, WARM_MS = 14_000, BREAKS_AT = 3, SPAN_MS = 1500;
@@ -27,7 +27,7 @@
     private final int number, kind;
     private final double units, startedAt;
     private final long toldStart;
-    private final Held held;                                // its address stays its own while it is gone
+    private final ReservedPort held;                                // its address stays its own while it is gone
     private final int port;
     private ServerSocket server;
     private final List<Socket> crowd = new ArrayList<>();   // fills the queue of one that has vanished
@@ -40,24 +40,24 @@
 
     /** A box that runs since {@code startedAt} (Unix ms,
         0: for long); {@code toldStart}: what discovery says of that. */
-    public Box(int number, int kind, double units, double startedAt, long toldStart, int atPort) throws IOException {
+    public FakeNode(int number, int kind, double units, double startedAt, long toldStart, int atPort) throws IOException {
         this.number = number;
         this.kind = kind;
         this.units = units;
         this.startedAt = startedAt;
         this.toldStart = toldStart;
-        held = new Held(atPort);
+        held = new ReservedPort(atPort);
         port = held.port;
         serve(held.listen(50));
     }
 
-    public Box(int number, int kind) throws IOException {
+    public FakeNode(int number, int kind) throws IOException {
         this(number, kind, 4, 0, 0, 0);
     }
 
     private void serve(ServerSocket s) {
         server = s;
-        Discovery.start(() -> {
+        FakeDiscovery.start(() -> {
             while (!s.isClosed()) {
                 try {
                     Socket c = s.accept();
@@ -65,7 +65,7 @@
                     synchronized (this) {
                         open.add(c);
                     }
-                    Discovery.start(() -> talk(c));
+                    FakeDiscovery.start(() -> talk(c));
                 } catch (IOException e) {
                     return;
                 }
@@ -100,7 +100,7 @@
     // ---- the script ----
 
     /** Its process has ended: connections are reset, new ones refused. */
-    public synchronized Box gone() throws IOException {
+    public synchronized FakeNode gone() throws IOException {
         server.close();
         for (Socket s : open) {
             try {
@@ -115,7 +115,7 @@
     }
 
     /** Its machine is cut off: connections never come up. */
-    public synchronized Box vanished() throws IOException {
+    public synchronized FakeNode vanished() throws IOException {
         gone();
         server = held.listen(1);
         for (int i = 0; i < 2; i++) crowd.add(new Socket(server.getInetAddress(), port));
@@ -123,9 +123,9 @@
     }
 
     /** Another box takes over the address of this one, which has gone. */
-    public Box replacedBy(int otherNumber, double started, long told) throws IOException {
+    public FakeNode replacedBy(int otherNumber, double started, long told) throws IOException {
         gone();
-        return new Box(otherNumber, kind, units, started, told, port);
+        return new FakeNode(otherNumber, kind, units, started, told, port);
     }
 
     public synchronized void mute(boolean on) {
@@ -138,7 +138,7 @@
     }
 
     /** How much each of the test's lookups is, for what a cold box bears; 1,000 KB unless told. */
-    public synchronized Box lookupsOf(double kb) {
+    public synchronized FakeNode lookupsOf(double kb) {
         lookupKb = kb;
         return this;
     }
--- a/src/test/java/mothcross/standin/Held.java
+++ b/src/test/java/mothcross/standin/ReservedPort.java
@@ -9,13 +9,13 @@
 import java.nio.channels.SocketChannel;
 
 /** A loopback port that stays ours while nothing listens there, so that no other socket gets it meanwhile. */
-final class Held implements AutoCloseable {
+final class ReservedPort implements AutoCloseable {
     private static final long PATIENCE_NS = 5_000_000_000L;
     private final SocketChannel holder = SocketChannel.open();
     final int port;
 
     /** 0: any port. */
-    Held(int at) throws IOException {
+    ReservedPort(int at) throws IOException {
         holder.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         again(() -> holder.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), at)));
         port = ((InetSocketAddress) holder.getLocalAddress()).getPort();
