--- a/src/main/java/mothcross/net/DirectorServer.java
+++ b/src/main/java/mothcross/net/DirectorServer.java
@@ -72,7 +72,7 @@
     }
 
     private void limits() {
-        desk.limits(start.sockets, start.memoryMb);
+        desk.setLimits(start.sockets, start.memoryMb);
         acceptor.most = start.sockets * 11 / 16 + 1;
     }
 
@@ -110,8 +110,8 @@
             keeper, remembering.fleet(), start.name, System.currentTimeMillis());
         watch = new DiscoveryWatch(desk, remembered == null ? new DiscoveryListener.Direct(desk) : remembered,
             start.discovery);
-        connector.setHandler(new Connection.Callbacks(desk, false));
-        acceptor.setHandler(new Connection.Callbacks(desk, true));
+        connector.setHandler(new Connection.SessionHandler(desk, false));
+        acceptor.setHandler(new Connection.SessionHandler(desk, true));
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(512);
         acceptor.setCloseOnDeactivation(false);         // another address, or the end, leaves open what is open
@@ -128,9 +128,9 @@
     public void start() throws IOException, StartupConfig.InvalidConfigException {
         RouteTable table = table(routes, start, null);
         if (table != null) {
-            desk.rules = new ActiveRoutes(start.name);
-            desk.rules.share(share);
-            desk.rules.take(null, table, null);
+            desk.activeRoutes = new ActiveRoutes(start.name);
+            desk.activeRoutes.share(share);
+            desk.activeRoutes.take(null, table, null);
         }
         desk.enter();
         try {
@@ -145,10 +145,10 @@
         Thread timers = new Thread(desk.timers, "timers");
         timers.setDaemon(true);
         timers.start();
-        desk.locked(watch::follow);
+        desk.runLocked(watch::follow);
         awaitNews();
         acceptor.bind(start.listen);
-        desk.locked(() -> {
+        desk.runLocked(() -> {
             counters();
             desk.ready = ending.state() == ShutdownSequence.State.SERVING;  // it may have been told to end meanwhile
         });
@@ -184,33 +184,33 @@
 
     /** This director's part of each limit, in parts of the fixed one; from any thread. */
     public void scaleLimits(double times) {
-        desk.locked(() -> {
+        desk.runLocked(() -> {
             share = times;
-            if (desk.rules != null) desk.rules.share(times);
+            if (desk.activeRoutes != null) desk.activeRoutes.share(times);
         });
     }
 
     /** Before it begins: somebody else says whether it is up to date, and brings its tables. */
     public void usePolicy(ServingPermit current, boolean tellsPlan) {
-        desk.locked(() -> {
-            desk.current = current;
-            desk.tellsPlan = tellsPlan;
-            desk.rules = new ActiveRoutes(start.name);
-            desk.rules.share(share);
+        desk.runLocked(() -> {
+            desk.servingPermit = current;
+            desk.exposePlan = tellsPlan;
+            desk.activeRoutes = new ActiveRoutes(start.name);
+            desk.activeRoutes.share(share);
         });
     }
 
     /** Rules made ready for what this director is told; null with their faults. */
     public RouteTable compilePolicy(RouteRules rules, List<String> faults) {
         RouteTable[] before = new RouteTable[1];
-        desk.locked(() -> before[0] = desk.rules == null ? null : desk.rules.table());
+        desk.runLocked(() -> before[0] = desk.activeRoutes == null ? null : desk.activeRoutes.table());
         return RouteTable.compile(rules, start.directorSettings.workloads, start.directorSettings.workloadTable,
             start.directorSettings.directorsInZone, start.maxHops, before[0], faults);
     }
 
     /** From the next lookup on; those under way keep what they began with. */
     public void activatePolicy(Plan plan, RouteTable main, RouteTable trial) {
-        desk.locked(() -> desk.rules.take(plan, main, trial));
+        desk.runLocked(() -> desk.activeRoutes.take(plan, main, trial));
     }
 
     /** SIGHUP: takes over what another file tells, under load; nothing that is open is touched. */
@@ -226,8 +226,8 @@
     public void reload(StartupConfig anew, MembershipSettings features, RouteRules rules)
         throws StartupConfig.InvalidConfigException {
         // All is compiled first; a lookup under way keeps what it came under, the next one meets the new table whole.
-        boolean own = desk.current == null;                 // else its tables come from the fleet
-        RouteTable table = own ? table(rules, start, desk.rules == null ? null : desk.rules.table()) : null;
+        boolean own = desk.servingPermit == null;                 // else its tables come from the fleet
+        RouteTable table = own ? table(rules, start, desk.activeRoutes == null ? null : desk.activeRoutes.table()) : null;
         List<InetSocketAddress> old = List.of(start.listen);
         boolean moves = !anew.listen.equals(start.listen);
         if (moves) {
@@ -238,15 +238,15 @@
                 return;
             }
         }
-        desk.locked(() -> {
+        desk.runLocked(() -> {
             boolean waits = remembering == null != (features == null) || features != null
                 && !(features.file().equals(remembering.file()) && features.fleet().equals(remembering.fleet()));
             routes = rules;
-            if (own && table == null) desk.rules = null;
+            if (own && table == null) desk.activeRoutes = null;
             if (table != null) {
-                if (desk.rules == null) desk.rules = new ActiveRoutes(start.name);
-                desk.rules.share(share);
-                desk.rules.take(null, table, null);
+                if (desk.activeRoutes == null) desk.activeRoutes = new ActiveRoutes(start.name);
+                desk.activeRoutes.share(share);
+                desk.activeRoutes.take(null, table, null);
             }
             boolean others = waits || !anew.settings.equals(start.settings);
             if (!waits && features != null && !features.equals(remembering)) {
@@ -256,7 +256,7 @@
             start = anew;
             limits();
             watch.move(anew.discovery);
-            desk.count.reloads++;
+            desk.counters.reloads++;
             LOG.info("reload: the file is read anew{}", others ? "; its settings wait for the next start" : "");
         });
         if (moves) acceptor.unbind(old);
@@ -290,9 +290,9 @@
 
     private void log() {
         Runtime r = Runtime.getRuntime();
-        LOG.info("{}{}; open {}, clients {}, nodes {}, timers {}, heap {} MB", desk.count.line(),
-            (remembered == null ? "" : remembered.line()) + (desk.rules == null ? "" : desk.rules.line()),
-            desk.openLookups(), desk.clients(), desk.nodes.size(), desk.timers.size(),
+        LOG.info("{}{}; open {}, clients {}, nodes {}, timers {}, heap {} MB", desk.counters.line(),
+            (remembered == null ? "" : remembered.line()) + (desk.activeRoutes == null ? "" : desk.activeRoutes.line()),
+            desk.openLookupCount(), desk.clientCount(), desk.nodes.size(), desk.timers.size(),
             (r.totalMemory() - r.freeMemory()) >> 20);
     }
 
@@ -309,7 +309,7 @@
             ending.begins(desk.clock(), longest);
             desk.timers.set(new Timers.Timer() {
                 @Override void fire() {
-                    desk.endAll();
+                    desk.stopSending();
                 }
             }, ending.answeredBy());
         } finally {
@@ -320,30 +320,30 @@
             ShutdownSequence.State s;
             desk.enter();
             try {
-                s = ending.step(desk.clock(), acceptor.cameAt, desk.clients());
+                s = ending.step(desk.clock(), acceptor.cameAt, desk.clientCount());
             } finally {
                 desk.leave();
             }
             if (s == ShutdownSequence.State.CLOSING && listens) {
                 listens = false;
                 acceptor.unbind();
-                desk.locked(desk::endResting);
+                desk.runLocked(desk::closeIdleClients);
             }
             if (s == ShutdownSequence.State.OUT) break;
         }
-        desk.locked(() -> {
+        desk.runLocked(() -> {
             watch.stop();
             log();
         });
         if (remembered != null) remembered.end(LAST_WRITE_MS);
-        desk.locked(desk.timers::stop);
+        desk.runLocked(desk.timers::stop);
         over.countDown();
     }
 
     /** Lets go of the sockets; for those who start several lives in one process. */
     public void release() {
         if (remembered != null) remembered.kill();
-        desk.locked(() -> {
+        desk.runLocked(() -> {
             watch.stop();
             desk.timers.stop();
         });
--- a/src/main/java/mothcross/net/DiscoveryListener.java
+++ b/src/main/java/mothcross/net/DiscoveryListener.java
@@ -49,17 +49,17 @@
 
         @Override public boolean begins(Director to, long number, int news) {
             last = number;
-            desk.listBegins(to, news);
+            desk.listStarted(to, news);
             return true;
         }
 
         @Override public void listed(Director to, String id, InetSocketAddress address, int place, int kind,
                                      int cell, int standing, double units, double startedAt) {
-            desk.listed(to, id, address, place, kind, cell, standing, units, startedAt);
+            desk.nodeListed(to, id, address, place, kind, cell, standing, units, startedAt);
         }
 
         @Override public void ends(Director to) {
-            desk.listEnds(to);
+            desk.listFinished(to);
         }
 
         @Override public void purged(Director to, long number, long object, int group, double at) {
--- a/src/main/java/mothcross/net/DiscoveryWatch.java
+++ b/src/main/java/mothcross/net/DiscoveryWatch.java
@@ -102,10 +102,10 @@
         List<Member> members = members(items);
         List<Purge> purges = purges(items);
         long last = known.get("no").getAsLong();
-        desk.round(to -> {
+        desk.processBatch(to -> {
             news.begins(to, last, Director.LIST_RESTORED);
             for (Member m : members) {
-                news.listed(to, m.id, m.at, desk.opening.zones.indexOf(m.place), desk.opening.kinds.indexOf(m.kind),
+                news.listed(to, m.id, m.at, desk.settings.zones.indexOf(m.place), desk.settings.kinds.indexOf(m.kind),
                     m.cell, m.standing, m.units, m.started);
             }
             news.ends(to);
@@ -138,7 +138,7 @@
      * that brought none, or as long as one may take to come up or a frame to follow. False where it has not spoken.
      */
     boolean awaitSpoken() throws InterruptedException {
-        long most = (long) Math.min(FRAME_EVERY_MS, desk.opening.connectMs);
+        long most = (long) Math.min(FRAME_EVERY_MS, desk.settings.connectMs);
         boolean in = spoken.await(most, TimeUnit.MILLISECONDS);
         return in && failedToSpeak < TRIES_TO_SPEAK;
     }
@@ -163,12 +163,12 @@
 
     void stop() {
         stopped = true;
-        if (feed != null) feed.drop();
+        if (feed != null) feed.abort();
     }
 
     private void again(String why) {
         if (stopped) return;
-        if (desk.count.mayWarn()) {
+        if (desk.counters.mayWarn()) {
             LOG.info("discovery: {}; connecting again from event {} in {} ms", why, news.last(), (long) waitMs);
         }
         feed = null;
@@ -192,11 +192,11 @@
         }
 
         void connect() {
-            wholeAt = desk.clock();
-            connecting = desk.connector.connect(address, (session, future) -> bind(session));
+            wholeAt = dispatcher.clock();
+            connecting = dispatcher.connector.connect(address, (session, future) -> bindSession(session));
             connecting.addListener(f -> {
                 if (connecting.getException() == null && !connecting.isCanceled()) return;
-                desk.locked(() -> end("can't be reached"));
+                dispatcher.runLocked(() -> end("can't be reached"));
             });
             watch();
         }
@@ -206,10 +206,10 @@
          * a frame that trickles would keep a watch that tells nothing.
          */
         private void watch() {
-            desk.timers.set(new Timers.Timer() {
+            dispatcher.timers.set(new Timers.Timer() {
                 @Override void fire() {
                     if (feed != Feed.this) return;
-                    if (desk.clock() < wholeAt + patience()) {
+                    if (dispatcher.clock() < wholeAt + patience()) {
                         watch();
                         return;
                     }
@@ -220,27 +220,27 @@
         }
 
         private double patience() {
-            return up ? SILENCE_MS : desk.opening.connectMs;
+            return up ? SILENCE_MS : dispatcher.settings.connectMs;
         }
 
         void leave() {
             connecting.cancel();
-            drop();
+            abort();
         }
 
         private void end(String why) {
             if (feed != this) return;
-            drop();
+            abort();
             again(why);
         }
 
         @Override void opened() {
             if (feed != this) {
-                drop();
+                abort();
                 return;
             }
             up = true;
-            wholeAt = desk.clock();
+            wholeAt = dispatcher.clock();
             session.write(IoBuffer.allocate(8).putLong(news.last()).flip());
         }
 
@@ -250,18 +250,18 @@
 
         @Override void received() {
             if (feed != this) return;
-            while (left() >= 4) {
+            while (remaining() >= 4) {
                 long length = big(from, 4);
                 if (length < 9 || length > LONGEST_FRAME) {
                     malformed("length " + length);
                     return;
                 }
-                if (left() < 4 + length) return;
+                if (remaining() < 4 + length) return;
                 int at = from + 4, end = at + (int) length;
                 if (!frame(big(at, 8), bytes[at + 8], at + 9, end)) return;
                 failedToSpeak = 0;
                 spoken.countDown();
-                wholeAt = desk.clock();
+                wholeAt = dispatcher.clock();
                 from = end;
             }
         }
@@ -272,7 +272,7 @@
                 waitMs = FIRST_WAIT_MS;
                 if (size != 0) return malformed("an empty frame that is not empty");
                 boolean[] anew = new boolean[1];
-                desk.round(to -> anew[0] = news.nothingNew(to, number));
+                dispatcher.processBatch(to -> anew[0] = news.nothingNew(to, number));
                 if (anew[0]) end("older than what is known");
                 // Nothing new after an event that never came: it was lost on the way, and is asked for again.
                 else if (number > news.last()) return malformed("nothing new after event " + number + ", known "
@@ -296,7 +296,7 @@
                     if (state < 0 || state > Director.REMOVED) return malformed("state " + state);
                 }
             }
-            desk.round(to -> {
+            dispatcher.processBatch(to -> {
                 if (kind == 3) news.purged(to, number, big(at, 8) & Long.MAX_VALUE, -1, big(at + 8, 8));
                 else if (kind == 4) news.purged(to, number, -1, (int) big(at, 2), big(at + 2, 8));
                 else list(to, number, kind, at, end);
@@ -328,8 +328,8 @@
         }
 
         private boolean malformed(String what) {
-            desk.count.badFrame++;
-            if (desk.count.mayWarn()) LOG.warn("discovery sent what is no frame ({})", what);
+            dispatcher.counters.badFrame++;
+            if (dispatcher.counters.mayWarn()) LOG.warn("discovery sent what is no frame ({})", what);
             end("can't be used");
             return false;
         }
--- a/src/main/java/mothcross/net/PersistentMembership.java
+++ b/src/main/java/mothcross/net/PersistentMembership.java
@@ -62,7 +62,7 @@
     PersistentMembership(Dispatcher desk, AgeLimits ages, WriteScheduler plan, SnapshotStore keeper, String fleet,
                          String director, double wall) {
         this.desk = desk;
-        this.opening = desk.opening;
+        this.opening = desk.settings;
         this.skewMs = ages.clockSkewMs();
         this.plan = plan;
         this.keeper = keeper;
@@ -111,8 +111,8 @@
         } else {
             LOG.atInfo().log("list: none; all lookups wait for discovery");
         }
-        desk.witness(this);
-        desk.round(to -> {
+        desk.setHopObserver(this);
+        desk.processBatch(to -> {
             to.listStarted(Director.LIST_RESTORED);
             to.listFinished();
             flush(to);
@@ -124,7 +124,7 @@
     private void tick() {
         desk.timers.set(new Timers.Timer() {
             @Override void fire() {
-                desk.round(to -> {
+                desk.processBatch(to -> {
                     membership.tick(now());
                     flush(to);
                 });
@@ -137,7 +137,7 @@
     void takes(AgeLimits anew, WriteScheduler times) {
         plan = times;
         plan.changed(false, now());
-        desk.round(to -> {
+        desk.processBatch(to -> {
             membership.ages(anew, now());
             flush(to);
         });
@@ -232,7 +232,7 @@
 
     @Override public void saw(Hop h) {
         String source = h.source == h.node ? null : h.source.id;
-        membership.hopEnded(h.node.id, source, h.outcome, h.note, h.node.heardAt < h.sentAt, now());
+        membership.hopEnded(h.node.id, source, h.outcome, h.note, h.node.lastReceivedAt < h.sentAt, now());
     }
 
     @Override public void roundEnds(Director to) {
@@ -272,16 +272,16 @@
         if (!pending.isEmpty()) {
             List<Change> all = new ArrayList<>(pending.values());
             pending.clear();
-            desk.listBegins(to, Director.LIST_DELTA);
+            desk.listStarted(to, Director.LIST_DELTA);
             for (Change c : all) {
                 ListedNode t = c.entry;
                 int place = opening.zones.indexOf(t.zone()), kind = opening.kinds.indexOf(t.kind());
                 // A box of a place or kind that the settings no longer have can't be used.
                 int use = place < 0 || kind < 0 ? Director.REMOVED : c.is.directorStatus;
-                desk.listed(to, t.id(), new InetSocketAddress(t.host(), t.port()), place, kind, t.cell(), use,
+                desk.nodeListed(to, t.id(), new InetSocketAddress(t.host(), t.port()), place, kind, t.cell(), use,
                     t.units(), c.coldSince);
             }
-            desk.listEnds(to);
+            desk.listFinished(to);
         }
         double now = now();
         boolean urgent = membership.takeUrgent();
@@ -336,7 +336,7 @@
                 why = e.getClass().getSimpleName() + ": " + e.getMessage();
             }
             String failed = why;
-            desk.locked(() -> written(failed));
+            desk.runLocked(() -> written(failed));
         }
     }
 
@@ -357,7 +357,7 @@
 
     /** Writes what is still to be written, then lets go of the file; waits for it no longer than so many ms. */
     void end(long patienceMs) throws InterruptedException {
-        desk.locked(() -> {
+        desk.runLocked(() -> {
             double now = now();
             if (membership.takeDirty()) plan.changed(true, now);
             boolean left = writes && plan.due() != Double.POSITIVE_INFINITY;
--- a/src/main/java/mothcross/net/Routing.java
+++ b/src/main/java/mothcross/net/Routing.java
@@ -53,7 +53,7 @@
     /** The first of a name counts, as sent. */
     void field(byte[] in, int name, int nameEnd, int v, int e) {
         for (int i = 0; i < headers.length; i++) {
-            if (from[i] >= 0 || !Bytes.isWord(in, name, nameEnd, headers[i])) continue;
+            if (from[i] >= 0 || !Bytes.matchesIgnoreCase(in, name, nameEnd, headers[i])) continue;
             from[i] = v;
             to[i] = e;
         }
--- a/src/test/java/mothcross/net/DrainPathsTest.java
+++ b/src/test/java/mothcross/net/DrainPathsTest.java
@@ -116,13 +116,13 @@
                 c.write(String.format(ASK, i, i + 1, 16_000, "z".repeat(16_000)), false);
             }
             Fleet.until("all asked, and some wait for a full socket", () -> waits(life) > 0
-                && life.desk().openLookups() == asks);
+                && life.desk().openLookupCount() == asks);
             assertEquals(bulletin.read(), "2");
             bulletin.write(drains(3, n1, 1, 0), false);
             Fleet.until("what waits goes back", () -> waits(life) == 0);
             long back = notSent(life);
             assertTrue(back > 0 && back < asks, "went back: " + back);
-            Fleet.until("the module has decided anew: the link is full", () -> life.desk().count.bounced == back);
+            Fleet.until("the module has decided anew: the link is full", () -> life.desk().counters.rejected == back);
             for (long i = back; i < asks; i++) assertTrue(n1.read().startsWith("want "), "begun before the news");
             life.release();
             assertTrue(n1.gone(), "nothing begun after it");
@@ -152,14 +152,14 @@
                 clients.add(c);
                 c.write(String.format(ASK, i, i + 1, 16_000, "z".repeat(16_000)), false);
                 int asked = i + 1;
-                Fleet.until("asked", () -> life.desk().openLookups() == asked || waits(life) > 0);
+                Fleet.until("asked", () -> life.desk().openLookupCount() == asked || waits(life) > 0);
             }
             int waiting = waits(life), asked = clients.size();
             Fleet.until("the silent node's connection is ended",
                 () -> ends(life, mothcross.Director.CONNECTION_LOST) > 0);
             assertEquals(ends(life, mothcross.Director.CONNECTION_LOST), asked - waiting, "begun, and may have run");
-            Fleet.until("all have their answer", () -> life.desk().openLookups() <= waiting);
-            assertEquals(life.desk().count.givenUp, asked - waiting);
+            Fleet.until("all have their answer", () -> life.desk().openLookupCount() <= waiting);
+            assertEquals(life.desk().counters.failed, asked - waiting);
         } finally {
             life.release();
             for (Outside o : clients) o.release();
@@ -174,7 +174,7 @@
     private static long ends(DirectorServer life, int how) {
         life.desk().enter();
         try {
-            return life.desk().count.ends[how];
+            return life.desk().counters.outcomes[how];
         } finally {
             life.desk().leave();
         }
@@ -183,7 +183,7 @@
     private static int waits(DirectorServer life) {
         life.desk().enter();
         try {
-            return life.desk().connections.stream().mapToInt(NodeConnection::waits).sum();
+            return life.desk().nodeConnections.stream().mapToInt(NodeConnection::waitingHops).sum();
         } finally {
             life.desk().leave();
         }
--- a/src/test/java/mothcross/net/EndingsTest.java
+++ b/src/test/java/mothcross/net/EndingsTest.java
@@ -111,15 +111,15 @@
                 Fleet.until("it waits", () -> waits(d));
                 asked.write(String.format(ASK, 11, 11, 2900), false);
                 rests.write(String.format(ASK, 11, 12, 2900), false);
-                d.endResting();
-                d.endAll();
+                d.closeIdleClients();
+                d.stopSending();
             } finally {
                 d.leave();
             }
             assertTrue(asked.read().startsWith("HTTP/1.1 503 "));
             for (Outside c : List.of(asked, rests)) assertTrue(c.ends(), "reset");
             // Closed over them, they are never read, and the connection is reset.
-            Fleet.until("what crossed has been read", () -> counters(life).crossed >= 2);
+            Fleet.until("what crossed has been read", () -> counters(life).receivedAfterClose >= 2);
             assertEquals(counters(life).lookups, 1, "what crossed is not taken");
         } finally {
             release(life);
@@ -135,7 +135,7 @@
     private static Counters counters(DirectorServer life) {
         life.desk().enter();
         try {
-            return life.desk().count;
+            return life.desk().counters;
         } finally {
             life.desk().leave();
         }
@@ -239,7 +239,7 @@
     private static int clients(DirectorServer life) {
         life.desk().enter();
         try {
-            return life.desk().clients();
+            return life.desk().clientCount();
         } finally {
             life.desk().leave();
         }
@@ -255,12 +255,12 @@
                     + "|Content-Length: 200000||" + most, false);
             }
             Dispatcher d = life.desk();
-            Fleet.until("all is read", () -> d.ahead > 0 && clients(life) < 30);
+            Fleet.until("all is read", () -> d.readAheadBytes > 0 && clients(life) < 30);
             for (int i = 0; i < 30; i++) {
                 Outside c = parties.get("c" + i);
                 c.write(most.substring(0, 10_000), false);  // who is still read is looked at again
             }
-            Fleet.until("what is held is bounded", () -> d.ahead <= (16 << 20) / 8 + 160_000);
+            Fleet.until("what is held is bounded", () -> d.readAheadBytes <= (16 << 20) / 8 + 160_000);
             List<Outside> all = new ArrayList<>();
             for (int i = 0; i < 30; i++) all.add(parties.get("c" + i));
             Fleet.until("one has its refusal", () -> all.stream().anyMatch(Outside::answered));
--- a/src/test/java/mothcross/net/RememberedTest.java
+++ b/src/test/java/mothcross/net/RememberedTest.java
@@ -123,7 +123,7 @@
             Fleet.until("event " + event, () -> Fleet.event(d) == event);
             long told = System.nanoTime();
             // What waited for a connection that never came up was taken back and went elsewhere.
-            Fleet.until("taken back", () -> counted(d, c -> c.ends[Director.NOT_SENT]) >= 1);
+            Fleet.until("taken back", () -> counted(d, c -> c.outcomes[Director.NOT_SENT]) >= 1);
             mute.mute(false);
             try (FakeClients.One c = new FakeClients.One(d.port())) {
                 for (int i = 0; i < 40; i++) assertEquals(c.status(100 + i, 10, 17), 200);
@@ -143,7 +143,7 @@
     private static int counted(DirectorServer d, Counted what) {
         d.desk().enter();
         try {
-            return (int) what.of(d.desk().count);
+            return (int) what.of(d.desk().counters);
         } finally {
             d.desk().leave();
         }
--- a/src/test/java/mothcross/net/RoutesTest.java
+++ b/src/test/java/mothcross/net/RoutesTest.java
@@ -110,11 +110,11 @@
                 // Objects are numbered from 0 in eight digits, so all begin with 0000 until 65,536 were asked.
                 assertEquals(load.refused.get(), 0, "neither table turns anything away for load");
                 assertTrue(load.handled.get() > 100 && load.failed.get() > 100, load.handled + " " + load.failed);
-                String line = d.desk().rules.line();
+                String line = d.desk().activeRoutes.line();
                 assertTrue(line.contains("even ") && !line.contains("odd "), line);
             }
             for (String c : List.of("faults", "broken", "unanswered")) {
-                assertEquals(Counters.class.getDeclaredField(c).getLong(d.desk().count), 0, c);
+                assertEquals(Counters.class.getDeclaredField(c).getLong(d.desk().counters), 0, c);
             }
         }
     }
