--- a/src/main/java/mothcross/net/AnswerTimes.java
+++ b/src/main/java/mothcross/net/AnswerTimes.java
@@ -1,33 +1,39 @@
 package mothcross.net;
 
 /**
- * How long answers take, by workload, and from when on one that has not come is unusual: smoothed time and deviation as
- * TCP has them for its retransmission timer (RFC 6298), whose gains and start these are. Owns the estimates; must never
- * be told of what did not come, nor read a clock.
+ * Estimates, by workload, how long nodes take to answer, and from when on a missing answer is unusual. The smoothed
+ * time and deviation, their gains and their initial values are those of TCP's retransmission timer (RFC 6298). Only
+ * answers that arrived are recorded.
  */
 final class AnswerTimes {
-    private static final double FIRST_MS = 1000, TIME_GAIN = 0.125, DEVIATION_GAIN = 0.25, DEVIATIONS = 4;
-    private static final int MOST_DOUBLINGS = 6;
-    private final double[] time, deviation;
+    private static final double INITIAL_MS = 1000;
+    private static final double TIME_GAIN = 0.125;
+    private static final double DEVIATION_GAIN = 0.25;
+    private static final double DEVIATIONS = 4;
+    private static final int MAX_DOUBLINGS = 6;
+
+    private final double[] smoothedMs;
+    private final double[] deviationMs;
 
     AnswerTimes(int workloads) {
-        time = new double[workloads];
-        deviation = new double[workloads];
+        smoothedMs = new double[workloads];
+        deviationMs = new double[workloads];
     }
 
     void record(int workload, double ms) {
-        if (time[workload] == 0) {
-            time[workload] = ms;
-            deviation[workload] = ms / 2;
+        if (smoothedMs[workload] == 0) {
+            smoothedMs[workload] = ms;
+            deviationMs[workload] = ms / 2;
             return;
         }
-        deviation[workload] += DEVIATION_GAIN * (Math.abs(ms - time[workload]) - deviation[workload]);
-        time[workload] += TIME_GAIN * (ms - time[workload]);
+        deviationMs[workload] += DEVIATION_GAIN * (Math.abs(ms - smoothedMs[workload]) - deviationMs[workload]);
+        smoothedMs[workload] += TIME_GAIN * (ms - smoothedMs[workload]);
     }
 
-    /** From when on silence is unusual, doubled with each time that it turned out to be none. */
-    double unusualAfterMs(int workload, int wrongly) {
-        double usual = time[workload] == 0 ? FIRST_MS : time[workload] + DEVIATIONS * deviation[workload];
-        return usual * (1 << Math.min(wrongly, MOST_DOUBLINGS));
+    /** After how many ms silence is unusual, doubled for each liveness probe that the node has answered. */
+    double unusualAfterMs(int workload, int falseSuspicions) {
+        double usualMs = smoothedMs[workload] == 0 ? INITIAL_MS
+            : smoothedMs[workload] + DEVIATIONS * deviationMs[workload];
+        return usualMs * (1 << Math.min(falseSuspicions, MAX_DOUBLINGS));
     }
 }
--- a/src/main/java/mothcross/net/ClientConnection.java
+++ b/src/main/java/mothcross/net/ClientConnection.java
@@ -10,149 +10,214 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * HTTP/1.1 with one client, a lookup at a time. Owns the head being read, the lookup that is open and the
- * bytes still to be written. Must never write after a lookup's answer but for the next lookup, start a
- * second lookup before the first is answered, or send on a field that it could not use.
+ * HTTP/1.1 with one client, one lookup at a time. Pipelined requests wait until the lookup before them is answered;
+ * nothing is written between two answers. Header fields that could not stand in a line of the node protocol are
+ * never passed on.
  *
- * <p>How it ends, whichever side begins:
+ * <p>How a connection ends, whichever side begins:
  * <pre>
- * state       what holds                                             left
- * OPEN        requests are read and answered, in their order         a last answer: FLUSHING; idle too long, or the
- *                                                                    process ends and nothing is open: LINGERING
- * FLUSHING    the last answer is on its way, nothing more is taken   all of it is with the system: LINGERING
- * LINGERING   our side is shut; what still comes is read and thrown  LINGER_MS: CLOSED
- *             away, since a close over unread bytes would reset the
- *             connection and take the answer with it
+ * state       meaning                                                next
+ * OPEN        requests are read and answered in order                last answer written: FLUSHING; idle timeout, or
+ *                                                                    the process stops and nothing is open: LINGERING
+ * FLUSHING    the last answer is being written, no request is taken  all of it passed to the system: LINGERING
+ * LINGERING   our direction is shut; what still arrives is read and  LINGER_MS: CLOSED
+ *             discarded, since closing with unread bytes would reset
+ *             the connection and lose the answer
  * CLOSED      the client has closed or reset (from any state), or
- *             was put out to make room; an open request is over
+ *             was evicted; an open lookup is over
  * </pre>
  */
 final class ClientConnection extends Connection {
     private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
-    // What a read may bring along, and a write (the protocol page's largest object).
-    private static final int LONGEST_HEAD = 8192, LARGEST_BODY = 16_384, LARGEST_WRITE = 240_000,
-        MOST_PASSED_OVER = 256 << 10, MOST_AHEAD = 128 << 10;
-    // A first message is to be whole so long after connecting, a later one after its first byte; clients are
-    // owed a word within 3 s. Usual ones keep an idle connection for 4 s, counted from when they have read the
-    // answer, and ask at once on a new one: what is idle much longer is left over, what says nothing at first silent.
-    private static final double WHOLE_MS = 2000, IDLE_MS = 7000, LINGER_MS = 500,
-        UNREAD_MS = 100, SILENT_MS = 300;
-    private static final int NOTHING = 0, REST = 1, NEXT = 2;     // what it awaits of its client
-    /** What a connection is worth keeping where descriptors run short, see {@link Dispatcher#admit}. */
-    static final int REFUSED = 0, SILENT = 1, IDLE = 2, YOUNG = 3, NEW = 4, IN_USE = 5;
-    private static final String PATH = "/api/v2/", PART = "piece-", HEALTHY = "/-/healthy";
-    private static final int LAST_GROUP = 255;
-    // Nobody waits for ten times the time in which a workload is abandoned, nor could so many bytes come in it.
-    private static final double BEYOND = 10;
 
-    private Lookup lookup;
-    private long plan = -1;                             // that the latest lookup is decided by
+    private static final int MAX_HEAD_BYTES = 8192;
+    /** For the bodies of reads (GET). */
+    private static final int MAX_READ_BODY_BYTES = 16_384;
+    /** For the bodies of writes (PUT): the largest object of the protocol. */
+    private static final int MAX_WRITE_BODY_BYTES = 240_000;
+    /** How much is read and discarded after the last answer before reading is suspended. */
+    private static final int MAX_DISCARDED_BYTES = 256 << 10;
+    /** How much a client may send ahead of its turn. */
+    private static final int MAX_READ_AHEAD_BYTES = 128 << 10;
+    private static final int MAX_NODE_FIELD_BYTES = 128;
+
+    /**
+     * By when the first request has to be whole, from connecting, and a later one, from its first byte. Clients must
+     * get an answer within 3 s.
+     */
+    private static final double REQUEST_TIMEOUT_MS = 2000;
+    /**
+     * Clients usually close a connection that has been idle for 4 s, counted from when they have read the answer,
+     * and send their request on a new one. One that is idle for much longer has been left behind.
+     */
+    private static final double IDLE_TIMEOUT_MS = 7000;
+    /** Clients usually send a request as soon as they are connected; one that has not by then may be evicted. */
+    private static final double FIRST_REQUEST_GRACE_MS = 300;
+    private static final double LINGER_MS = 500;
+    /** How long a request may have been received by the system and not been read yet. */
+    private static final double UNREAD_GRACE_MS = 100;
+    /**
+     * Times a workload's timeout. No client waits for that long, nor could an object of the size that takes as long
+     * be sent in time.
+     */
+    private static final double MAX_TIMEOUT_FACTOR = 10;
+
+    private static final String PATH = "/api/v2/";
+    private static final String PART_PREFIX = "piece-";
+    private static final String HEALTH_PATH = "/-/healthy";
+    private static final int MAX_GROUP = 255;
+    private static final int REQUEST_ID_DIGITS = 16;
+    private static final int REQUEST_FIELDS_CHARS = 96;
+    private static final int RESPONSE_HEAD_CHARS = 160;
+
+    /** Bits of {@link #seenFields}: fields that make the request invalid if they occur twice. */
+    private static final int SEEN_ID = 1;
+    private static final int SEEN_WAIT = 2;
+    private static final int SEEN_GROUP = 4;
+    private static final int SEEN_SIZE = 8;
+    private static final int SEEN_TOKEN = 16;
+
+    /** Which clients are evicted first if descriptors run short, see {@link Dispatcher#admit}. */
+    enum EvictionPriority { CLOSING, NO_REQUEST, IDLE, AWAITING_FIRST_REQUEST, NEWEST, IN_USE }
+
     private enum State { OPEN, FLUSHING, LINGERING, CLOSED }
 
+    /** What is expected from the client next. */
+    private enum Awaited { NOTHING, REST_OF_REQUEST, NEXT_REQUEST }
+
+    private Lookup lookup;
+    /** The plan that decides the latest lookup, or -1. */
+    private long plan = -1;
     private State state = State.OPEN;
-    private boolean close, proven, suspected, cut;
-    private WriteFuture written;                        // the latest answer's
-    private int scanned, passedOver, awaits, held;
+    private boolean closeAfterAnswer;
+    private boolean hasSentValidRequest;
+    private boolean idleSuspected;
+    /** Whether bytes sent ahead were dropped, so that nothing after them can be read. */
+    private boolean readAheadTruncated;
+    /** Of the latest answer. */
+    private WriteFuture lastWrite;
+    /** How many bytes of an incomplete head have been searched for its end. */
+    private int scannedBytes;
+    private int discardedBytes;
+    private Awaited awaited = Awaited.NOTHING;
+    /** This connection's part of {@link Dispatcher#readAheadBytes}, without the body of an open lookup. */
+    private int countedBytes;
     private double idleSince;
-    // The head just read, as places in the bytes; -1 where absent.
-    private int target, targetEnd, known, knownEnd, id, idEnd, token, tokenEnd;
-    private double wait, sizeKb;
-    private long bodyLength, group;
-    private boolean repeat, usable, writes;
-    private int seen;
+
+    // The head read last, by positions in the bytes; -1 if absent.
+    private int targetStart;
+    private int targetEnd;
+    private int etagStart;
+    private int etagEnd;
+    private int idStart;
+    private int idEnd;
+    private int tokenStart;
+    private int tokenEnd;
+    private double waitMs;
+    private double sizeKb;
+    private long bodyLength;
+    private long group;
+    private boolean repeat;
+    private boolean fieldsValid;
+    private boolean put;
+    private int seenFields;
     private byte[] address;
 
-    /** The one time that the connection waits for while no lookup is open on it. */
-    private final Timers.Timer patience = new Timers.Timer() {
+    /** The only timeout of the connection, for when no lookup is open: request, idle or linger timeout. */
+    private final Timers.Timer timeout = new Timers.Timer() {
         @Override void fire() {
             if (lookup != null || state == State.FLUSHING) return;
             if (state != State.OPEN) {
                 close();
-            } else if (remaining() == 0 && !suspected) {
+            } else if (remaining() == 0 && !idleSuspected) {
                 closeIfStillIdle();
             } else if (remaining() == 0) {
                 dispatcher.counters.idle++;
-                shut();
+                shutDown();
             } else {
                 dispatcher.counters.slowHead++;
-                refuseHead("408 Request Timeout");
+                refuseRequest("408 Request Timeout");
             }
         }
     };
 
-    ClientConnection(Dispatcher desk) {
-        super(desk);
+    ClientConnection(Dispatcher dispatcher) {
+        super(dispatcher);
     }
 
     @Override void opened() {
         idleSince = dispatcher.clock();
-        awaits = REST;
-        dispatcher.timers.set(patience, idleSince + WHOLE_MS);
+        awaited = Awaited.REST_OF_REQUEST;
+        dispatcher.timers.set(timeout, idleSince + REQUEST_TIMEOUT_MS);
         dispatcher.admit(this);
     }
 
     @Override void closed() {
         state = State.CLOSED;
-        dispatcher.timers.cancel(patience);
+        dispatcher.timers.cancel(timeout);
         dispatcher.clientClosed(this);
-        holds(0);
+        countReadAhead(0);
         if (lookup != null) {
-            Lookup l = lookup;
+            Lookup abandoned = lookup;
             lookup = null;
-            dispatcher.clientDisconnected(l);
+            dispatcher.clientDisconnected(abandoned);
         }
     }
 
-    int evictionPriority() {
-        if (lookup != null || session.getScheduledWriteBytes() > 0) return IN_USE;
-        if (state != State.OPEN) return REFUSED;
-        if (!proven) return idleMs() > SILENT_MS ? SILENT : YOUNG;
-        return remaining() == 0 && !suspected ? IDLE : IN_USE;
+    EvictionPriority evictionPriority() {
+        if (lookup != null || session.getScheduledWriteBytes() > 0) return EvictionPriority.IN_USE;
+        if (state != State.OPEN) return EvictionPriority.CLOSING;
+        if (!hasSentValidRequest) {
+            return idleMs() > FIRST_REQUEST_GRACE_MS
+                ? EvictionPriority.NO_REQUEST : EvictionPriority.AWAITING_FIRST_REQUEST;
+        }
+        return remaining() == 0 && !idleSuspected ? EvictionPriority.IDLE : EvictionPriority.IN_USE;
     }
 
     double idleMs() {
         return dispatcher.clock() - idleSince;
     }
 
-    /** It goes now; what crosses that is not taken. */
+    /** Closes at once; a request that arrives meanwhile is lost. */
     void close() {
         state = State.CLOSED;
         abort();
     }
 
-    /** Nothing more is taken; what was written, if anything, reaches the client before the end does. */
-    private void shut() {
+    /** Takes no further requests; the client gets what was written, if anything, before the end of the connection. */
+    private void shutDown() {
         if (state != State.OPEN) return;
         state = State.FLUSHING;
         from = to;
-        if (written == null) linger();
-        else written.addListener(f -> dispatcher.runLocked(this::linger));
+        if (lastWrite == null) linger();
+        else lastWrite.addListener(future -> dispatcher.runLocked(this::linger));
     }
 
     private void linger() {
         if (state != State.FLUSHING) return;
         state = State.LINGERING;
         Processor.shutdownOutput(session);
-        dispatcher.timers.set(patience, dispatcher.clock() + LINGER_MS);
+        dispatcher.timers.set(timeout, dispatcher.clock() + LINGER_MS);
     }
 
-    /** The process ends: where nothing is open or on its way in, the client is told to go; else after its answer. */
+    /** Called when the process stops; a client with a lookup or a request under way is closed after its answer. */
     void closeIfAtRest() {
-        if (lookup == null && remaining() == 0) shut();
+        if (lookup == null && remaining() == 0) shutDown();
     }
 
-    /** What is held here of what the client has sent ahead; all clients together hold so much of the memory at most. */
-    private void holds(int bytes) {
-        dispatcher.readAheadBytes += bytes - held;
-        held = bytes;
+    /** Updates the number of unprocessed bytes held here; the dispatcher limits their sum over all clients. */
+    private void countReadAhead(int bytes) {
+        dispatcher.readAheadBytes += bytes - countedBytes;
+        countedBytes = bytes;
     }
 
-    /** What it asked may be here and not read yet, where the process had no core for a while: that is awaited. */
+    /** A request may have been received and not been read yet, if the process had no CPU for a while: waits for it. */
     void closeIfStillIdle() {
-        suspected = true;
-        dispatcher.timers.set(patience, dispatcher.clock() + UNREAD_MS);
+        idleSuspected = true;
+        dispatcher.timers.set(timeout, dispatcher.clock() + UNREAD_GRACE_MS);
     }
 
+    /** Reads the next pipelined request after an answer. */
     void resume() {
         if (state == State.OPEN) received();
     }
@@ -160,268 +225,327 @@
     @Override void received() {
         if (state != State.OPEN) dispatcher.counters.receivedAfterClose++;
         if (state == State.OPEN && lookup == null && remaining() > 0 && Processor.endOfInput(session)) {
-            dispatcher.counters.cancelledUnread++;                   // it asked and went before that was read: nobody waits
+            // The client has disconnected before its request was read: nobody waits for an answer.
+            dispatcher.counters.cancelledUnread++;
             state = State.CLOSED;
         }
-        suspected = false;
-        if (cut) to = from + held;                          // what comes after what was cut can't be read
-        readHeads();
-        if (state != State.OPEN) {                          // its last answer is on its way
-            passedOver += remaining();
+        idleSuspected = false;
+        if (readAheadTruncated) to = from + countedBytes;   // nothing after the dropped bytes can be read
+        readRequests();
+        if (state != State.OPEN) {                          // the last answer is being written
+            discardedBytes += remaining();
             from = to;
-            if (passedOver > MOST_PASSED_OVER) session.suspendRead();
+            if (discardedBytes > MAX_DISCARDED_BYTES) session.suspendRead();
         } else if (lookup != null) {
-            awaits = NOTHING;
-            dispatcher.timers.cancel(patience);
-            // Reading goes on: a client that has gone shows itself only behind all that it has sent.
-            int most = dispatcher.readAheadLimitExceeded() ? LONGEST_HEAD + LARGEST_BODY : MOST_AHEAD;
-            if (remaining() > most) {
-                if (!cut) dispatcher.counters.readAheadTruncated++;
-                cut = true;
-                to = from + most;
-            }
-        } else if (cut) {
-            shut();                                         // all that was whole has its answer
+            awaited = Awaited.NOTHING;
+            dispatcher.timers.cancel(timeout);
+            truncateReadAhead();
+        } else if (readAheadTruncated) {
+            shutDown();                                     // every whole request has been answered
         } else if (remaining() > 0) {
-            if (awaits != REST) dispatcher.timers.set(patience, dispatcher.clock() + WHOLE_MS);
-            awaits = REST;
-        } else if (awaits == NOTHING) {
-            awaits = NEXT;
+            if (awaited != Awaited.REST_OF_REQUEST) {
+                dispatcher.timers.set(timeout, dispatcher.clock() + REQUEST_TIMEOUT_MS);
+            }
+            awaited = Awaited.REST_OF_REQUEST;
+        } else if (awaited == Awaited.NOTHING) {
+            awaited = Awaited.NEXT_REQUEST;
             idleSince = dispatcher.clock();
-            dispatcher.timers.set(patience, idleSince + IDLE_MS);
+            dispatcher.timers.set(timeout, idleSince + IDLE_TIMEOUT_MS);
         }
-        holds(remaining());
+        countReadAhead(remaining());
+    }
+
+    /**
+     * Drops what the client has sent too far ahead of its turn. Reading is not suspended: that a client has
+     * disconnected is seen only after everything it has sent.
+     */
+    private void truncateReadAhead() {
+        int maxBytes = dispatcher.readAheadLimitExceeded()
+            ? MAX_HEAD_BYTES + MAX_READ_BODY_BYTES : MAX_READ_AHEAD_BYTES;
+        if (remaining() <= maxBytes) return;
+        if (!readAheadTruncated) dispatcher.counters.readAheadTruncated++;
+        readAheadTruncated = true;
+        to = from + maxBytes;
     }
 
-    private void readHeads() {
+    private void readRequests() {
         while (lookup == null && state == State.OPEN && remaining() > 0) {
-            // Empty lines before a head are let pass, as the standard asks of servers.
-            while (scanned == 0 && remaining() > 1 && bytes[from] == '\r' && bytes[from + 1] == '\n') from += 2;
-            int end = headEnd();
-            if (end < 0) {
-                if (remaining() > LONGEST_HEAD) {
-                    dispatcher.counters.longHead++;
-                    refuseHead("431 Request Header Fields Too Large");
-                }
+            // Empty lines before a request are skipped, as RFC 9112 asks of servers.
+            while (scannedBytes == 0 && remaining() > 1 && bytes[from] == '\r' && bytes[from + 1] == '\n') from += 2;
+            int headEnd = findHeadEnd();
+            if (headEnd < 0) {
+                if (remaining() > MAX_HEAD_BYTES) refuseLongHead();
                 return;
             }
-            if (end - from > LONGEST_HEAD) {
-                dispatcher.counters.longHead++;
-                refuseHead("431 Request Header Fields Too Large");
+            if (headEnd - from > MAX_HEAD_BYTES) {
+                refuseLongHead();
                 return;
             }
-            if (LOG.isTraceEnabled()) LOG.trace("head {}", Bytes.decode(bytes, from, end));
-            String fault = head(end);
-            if (fault != null) {
+            if (LOG.isTraceEnabled()) LOG.trace("request head {}", Bytes.decode(bytes, from, headEnd));
+            String errorStatus = parseHead(headEnd);
+            if (errorStatus != null) {
                 dispatcher.counters.badHead++;
-                refuseHead(fault);
+                refuseRequest(errorStatus);
                 return;
             }
-            if (to - end < bodyLength) {                // the rest of the body is still to come
-                // Guards against many large bodies at once, which would fill the memory half read.
-                if (dispatcher.readAheadLimitExceeded() && remaining() > LONGEST_HEAD + LARGEST_BODY) refuseHead("503 Service Unavailable");
+            if (to - headEnd < bodyLength) {            // the rest of the body is still to come
+                // Guards against many large bodies at once, which would fill the memory while incomplete.
+                boolean large = dispatcher.readAheadLimitExceeded()
+                    && remaining() > MAX_HEAD_BYTES + MAX_READ_BODY_BYTES;
+                if (large) refuseRequest("503 Service Unavailable");
                 return;
             }
-            scanned = 0;
-            from = end + (int) bodyLength;              // before it is asked: its answer may end the connection
-            awaits = NOTHING;
-            ask(end);
+            scannedBytes = 0;
+            from = headEnd + (int) bodyLength;          // consumed first: the answer may close the connection
+            awaited = Awaited.NOTHING;
+            processRequest(headEnd);
         }
     }
 
-    /** Just past the empty line, or -1; what was looked through is not looked through again. */
-    private int headEnd() {
-        for (int i = Math.max(from + 3, from + scanned); i < to; i++) {
+    private void refuseLongHead() {
+        dispatcher.counters.longHead++;
+        refuseRequest("431 Request Header Fields Too Large");
+    }
+
+    /** Returns the position after the empty line, or -1. Bytes searched before are not searched again. */
+    private int findHeadEnd() {
+        for (int i = Math.max(from + 3, from + scannedBytes); i < to; i++) {
             if (bytes[i] == '\n' && bytes[i - 1] == '\r' && bytes[i - 2] == '\n') return i + 1;
         }
-        scanned = remaining();
+        scannedBytes = remaining();
         return -1;
     }
 
-    /** Reads the head where it stands; the status to refuse it with, or null. */
-    private String head(int end) {
-        target = known = id = token = -1;
+    /** Parses the head in place; returns the status to refuse the request with, or null. */
+    private String parseHead(int headEnd) {
+        resetHead();
+        if (dispatcher.activeRoutes != null) dispatcher.activeRoutes.headBegins();
+        int lineFeed = Bytes.indexOf(bytes, from, headEnd, '\n');
+        String errorStatus = parseRequestLine(lineFeed);
+        if (errorStatus != null) return errorStatus;
+        for (int line = lineFeed + 1; line < headEnd - 2; line = lineFeed + 1) {
+            lineFeed = Bytes.indexOf(bytes, line, headEnd, '\n');
+            errorStatus = parseHeaderLine(line, lineFeed);
+            if (errorStatus != null) return errorStatus;
+        }
+        bodyLength = Math.max(0, bodyLength);
+        return null;
+    }
+
+    private void resetHead() {
+        targetStart = etagStart = idStart = tokenStart = -1;
         sizeKb = 0;
-        wait = Double.NaN;
+        waitMs = Double.NaN;
         group = -1;
         bodyLength = -1;
         repeat = false;
-        usable = true;
-        seen = 0;
-        if (dispatcher.activeRoutes != null) dispatcher.activeRoutes.headBegins();
-        int eol = Bytes.indexOf(bytes, from, end, '\n');
-        if (eol == from || bytes[eol - 1] != '\r') return "400 Bad Request";
-        int a = Bytes.indexOf(bytes, from, eol, ' '), b = a < 0 ? -1 : Bytes.indexOf(bytes, a + 1, eol, ' ');
-        if (a <= from || b <= a + 1) return "400 Bad Request";
-        boolean old = Bytes.matches(bytes, b + 1, eol - 1, "HTTP/1.0");
-        if (!old && !Bytes.matches(bytes, b + 1, eol - 1, "HTTP/1.1")) return "400 Bad Request";
-        writes = Bytes.matches(bytes, from, a, "PUT");
-        if (!writes && !Bytes.matches(bytes, from, a, "GET")) return "405 Method Not Allowed";
-        target = a + 1;
-        targetEnd = b;
-        close = old;
-        for (int at = eol + 1; at < end - 2; at = eol + 1) {
-            eol = Bytes.indexOf(bytes, at, end, '\n');
-            int colon = Bytes.indexOf(bytes, at, eol, ':');
-            if (bytes[eol - 1] != '\r' || colon <= at || !isToken(at, colon)) return "400 Bad Request";
-            int v = colon + 1, e = eol - 1;
-            while (v < e && (bytes[v] == ' ' || bytes[v] == '\t')) v++;
-            while (e > v && (bytes[e - 1] == ' ' || bytes[e - 1] == '\t')) e--;
-            for (int i = v; i < e; i++) {
-                if (bytes[i] >= 0 && bytes[i] < ' ' && bytes[i] != '\t') return "400 Bad Request";
-            }
-            if (Bytes.matchesIgnoreCase(bytes, at, colon, "content-length")) {
-                long n = Bytes.parseInteger(bytes, v, e);
-                if (n < 0 || bodyLength >= 0 && bodyLength != n) return "400 Bad Request";
-                if (n > (writes ? LARGEST_WRITE : LARGEST_BODY)) return "413 Content Too Large";
-                bodyLength = n;
-            } else if (Bytes.matchesIgnoreCase(bytes, at, colon, "transfer-encoding")) {
-                return "501 Not Implemented";
-            } else {
-                field(at, colon, v, e);
-            }
+        fieldsValid = true;
+        seenFields = 0;
+    }
+
+    private String parseRequestLine(int lineFeed) {
+        if (lineFeed == from || bytes[lineFeed - 1] != '\r') return "400 Bad Request";
+        int methodEnd = Bytes.indexOf(bytes, from, lineFeed, ' ');
+        int pathEnd = methodEnd < 0 ? -1 : Bytes.indexOf(bytes, methodEnd + 1, lineFeed, ' ');
+        if (methodEnd <= from || pathEnd <= methodEnd + 1) return "400 Bad Request";
+        boolean http10 = Bytes.matches(bytes, pathEnd + 1, lineFeed - 1, "HTTP/1.0");
+        if (!http10 && !Bytes.matches(bytes, pathEnd + 1, lineFeed - 1, "HTTP/1.1")) return "400 Bad Request";
+        put = Bytes.matches(bytes, from, methodEnd, "PUT");
+        if (!put && !Bytes.matches(bytes, from, methodEnd, "GET")) return "405 Method Not Allowed";
+        targetStart = methodEnd + 1;
+        targetEnd = pathEnd;
+        closeAfterAnswer = http10;
+        return null;
+    }
+
+    private String parseHeaderLine(int start, int lineFeed) {
+        int colon = Bytes.indexOf(bytes, start, lineFeed, ':');
+        if (bytes[lineFeed - 1] != '\r' || colon <= start || !isToken(start, colon)) return "400 Bad Request";
+        int value = colon + 1;
+        int valueEnd = lineFeed - 1;
+        while (value < valueEnd && isBlank(bytes[value])) value++;
+        while (valueEnd > value && isBlank(bytes[valueEnd - 1])) valueEnd--;
+        for (int i = value; i < valueEnd; i++) {
+            if (bytes[i] >= 0 && bytes[i] < ' ' && bytes[i] != '\t') return "400 Bad Request";
+        }
+        if (Bytes.matchesIgnoreCase(bytes, start, colon, "content-length")) {
+            long length = Bytes.parseInteger(bytes, value, valueEnd);
+            if (length < 0 || bodyLength >= 0 && bodyLength != length) return "400 Bad Request";
+            if (length > (put ? MAX_WRITE_BODY_BYTES : MAX_READ_BODY_BYTES)) return "413 Content Too Large";
+            bodyLength = length;
+        } else if (Bytes.matchesIgnoreCase(bytes, start, colon, "transfer-encoding")) {
+            return "501 Not Implemented";
+        } else {
+            parseField(start, colon, value, valueEnd);
         }
-        bodyLength = Math.max(0, bodyLength);
         return null;
     }
 
-    private boolean isToken(int a, int b) {
-        for (int i = a; i < b; i++) {
+    private static boolean isBlank(byte character) {
+        return character == ' ' || character == '\t';
+    }
+
+    /** Whether all bytes may stand in a token of HTTP. */
+    private boolean isToken(int start, int end) {
+        for (int i = start; i < end; i++) {
             int c = bytes[i];
-            boolean letter = c >= '0' && c <= '9' || (c | 32) >= 'a' && (c | 32) <= 'z';
-            if (!letter && "!#$%&'*+-.^_`|~".indexOf(c) < 0) return false;
+            boolean alphanumeric = c >= '0' && c <= '9' || (c | 32) >= 'a' && (c | 32) <= 'z';
+            if (!alphanumeric && "!#$%&'*+-.^_`|~".indexOf(c) < 0) return false;
         }
         return true;
     }
 
-    private void field(int name, int nameEnd, int v, int e) {
-        if (dispatcher.activeRoutes != null) dispatcher.activeRoutes.field(bytes, name, nameEnd, v, e);
+    private void parseField(int name, int nameEnd, int value, int valueEnd) {
+        if (dispatcher.activeRoutes != null) dispatcher.activeRoutes.field(bytes, name, nameEnd, value, valueEnd);
         if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "connection")) {
-            close = Bytes.matchesIgnoreCase(bytes, v, e, "close") || close && !Bytes.matchesIgnoreCase(bytes, v, e, "keep-alive");
+            closeAfterAnswer = Bytes.matchesIgnoreCase(bytes, value, valueEnd, "close")
+                || closeAfterAnswer && !Bytes.matchesIgnoreCase(bytes, value, valueEnd, "keep-alive");
         } else if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "req-id")) {
-            once(1, e - v == 16 && Bytes.isHex(bytes, v, e));
-            id = v;
-            idEnd = e;
+            checkField(SEEN_ID, valueEnd - value == REQUEST_ID_DIGITS && Bytes.isHex(bytes, value, valueEnd));
+            idStart = value;
+            idEnd = valueEnd;
         } else if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "req-wait-ms")) {
-            wait = Bytes.parseDecimal(bytes, v, e);
-            once(2, wait >= 0);
+            waitMs = Bytes.parseDecimal(bytes, value, valueEnd);
+            checkField(SEEN_WAIT, waitMs >= 0);
         } else if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "req-retry")) {
-            repeat = Bytes.matches(bytes, v, e, "1");
+            repeat = Bytes.matches(bytes, value, valueEnd, "1");
         } else if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "x-lot")) {
-            group = Bytes.parseInteger(bytes, v, e);
-            once(4, group >= 0 && group <= LAST_GROUP);
+            group = Bytes.parseInteger(bytes, value, valueEnd);
+            checkField(SEEN_GROUP, group >= 0 && group <= MAX_GROUP);
         } else if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "req-kb")) {
-            sizeKb = Bytes.parseDecimal(bytes, v, e);
-            once(8, sizeKb >= 0);
+            sizeKb = Bytes.parseDecimal(bytes, value, valueEnd);
+            checkField(SEEN_SIZE, sizeKb >= 0);
         } else if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "req-token")) {
-            once(16, fitsALine(v, e));
-            token = v;
-            tokenEnd = e;
+            checkField(SEEN_TOKEN, fitsNodeLine(value, valueEnd));
+            tokenStart = value;
+            tokenEnd = valueEnd;
         } else if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "if-none-match")) {
-            // One strong tag that can stand in a line of the node's protocol; any other is as if absent.
-            if (e - v < 3 || bytes[v] != '"' || bytes[e - 1] != '"' || !fitsALine(v + 1, e - 1)) return;
-            known = v + 1;
-            knownEnd = e - 1;
+            // Only a single strong tag that can stand in a line of the node protocol; any other value is ignored.
+            boolean quoted = valueEnd - value >= 3 && bytes[value] == '"' && bytes[valueEnd - 1] == '"';
+            if (!quoted || !fitsNodeLine(value + 1, valueEnd - 1)) return;
+            etagStart = value + 1;
+            etagEnd = valueEnd - 1;
         }
     }
 
-    /** Can stand as a value in a line of the node's protocol. */
-    private boolean fitsALine(int v, int e) {
-        for (int i = v; i < e; i++) if (bytes[i] <= ' ' || bytes[i] == '"' || bytes[i] == ',') return false;
-        return e > v && e - v <= 128;
+    /** Whether the bytes can stand as a value in a line of the node protocol. */
+    private boolean fitsNodeLine(int start, int end) {
+        for (int i = start; i < end; i++) {
+            if (bytes[i] <= ' ' || bytes[i] == '"' || bytes[i] == ',') return false;
+        }
+        return end > start && end - start <= MAX_NODE_FIELD_BYTES;
     }
 
-    /** A field that the lookup stands on: sound, and told only once. */
-    private void once(int field, boolean sound) {
-        usable &= sound && (seen & field) == 0;
-        seen |= field;
+    /** Makes the request invalid if a field that decides the lookup is malformed or occurs twice. */
+    private void checkField(int seenBit, boolean valid) {
+        fieldsValid &= valid && (seenFields & seenBit) == 0;
+        seenFields |= seenBit;
     }
 
-    private void ask(int bodyAt) {
+    private void processRequest(int bodyStart) {
         double now = dispatcher.clock();
-        if (!writes && Bytes.matches(bytes, target, targetEnd, HEALTHY)) {
-            proven = true;
-            if (dispatcher.ready && dispatcher.mayStart()) write(whole("200 OK", "", "ready\n"));
-            else write(whole("503 Service Unavailable", "", "not ready\n"));
+        if (!put && Bytes.matches(bytes, targetStart, targetEnd, HEALTH_PATH)) {
+            answerHealthCheck();
             return;
         }
-        int a = target + PATH.length();
-        boolean ours = a <= targetEnd && Bytes.matches(bytes, target, a, PATH);
-        int b = ours ? Bytes.indexOf(bytes, a, targetEnd, '/') : -1;
-        if (b < 0) {
+        int nameStart = targetStart + PATH.length();
+        boolean knownPath = nameStart <= targetEnd && Bytes.matches(bytes, targetStart, nameStart, PATH);
+        int nameEnd = knownPath ? Bytes.indexOf(bytes, nameStart, targetEnd, '/') : -1;
+        if (nameEnd < 0) {
             dispatcher.counters.badPath++;
-            write(whole("404 Not Found", "", ""));
+            write(response("404 Not Found", "", ""));
             return;
         }
-        int c = Bytes.indexOf(bytes, b + 1, targetEnd, '/'), objectEnd = c < 0 ? targetEnd : c;
-        String name = Bytes.decode(bytes, a, b);
-        Integer workload = dispatcher.settings.workloads.get(name);
-        long part = 0;
-        boolean parted = c >= 0;
-        if (parted) {
-            int n = c + 1 + PART.length();
-            part = n < targetEnd && Bytes.matches(bytes, c + 1, n, PART) ? Bytes.parseInteger(bytes, n, targetEnd) : -1;
-        }
-        Workload w = workload == null ? null : dispatcher.settings.workloadTable[workload];
-        // Writes are PUT, reads are GET: a node is not told which, and would answer either by its class.
-        if (w == null || writes != w.uncacheable() || !usable || id < 0 || part < 0 || part > Integer.MAX_VALUE
-            || !Bytes.isHex(bytes, b + 1, objectEnd) || wait > BEYOND * w.timeoutMs()
-            || sizeKb > BEYOND * w.timeoutMs() * dispatcher.settings.flowKbPerMs) {
+        int objectStart = nameEnd + 1;
+        int slash = Bytes.indexOf(bytes, objectStart, targetEnd, '/');
+        int objectEnd = slash < 0 ? targetEnd : slash;
+        String name = Bytes.decode(bytes, nameStart, nameEnd);
+        Integer workloadIndex = dispatcher.settings.workloads.get(name);
+        boolean hasPart = slash >= 0;
+        long part = hasPart ? parsePart(slash + 1) : 0;
+        Workload workload = workloadIndex == null ? null : dispatcher.settings.workloadTable[workloadIndex];
+        // Writes are PUT, reads are GET. Nodes are not told the method, and would answer either by its workload.
+        if (workload == null || put != workload.uncacheable() || !fieldsValid || idStart < 0 || part < 0
+            || part > Integer.MAX_VALUE || !Bytes.isHex(bytes, objectStart, objectEnd)
+            || waitMs > MAX_TIMEOUT_FACTOR * workload.timeoutMs()
+            || sizeKb > MAX_TIMEOUT_FACTOR * workload.timeoutMs() * dispatcher.settings.flowKbPerMs) {
             dispatcher.counters.badField++;
-            write(whole("400 Bad Request", "", ""));
+            write(response("400 Bad Request", "", ""));
             return;
         }
-        StringBuilder asked = new StringBuilder(96).append("sort=").append(name).append(",asset=")
-            .append(Bytes.decode(bytes, b + 1, objectEnd));
-        if (parted) asked.append(",slice=").append(part);
-        String copy = known < 0 ? null : Bytes.decode(bytes, known, knownEnd);
-        if (copy != null) asked.append(",known=").append(copy);
-        // What marks a tagged request goes on with every attempt: by it the origin drops repeats.
-        if (token >= 0) asked.append(",op=").append(Bytes.decode(bytes, token, tokenEnd));
+        String clientEtag = etagStart < 0 ? null : Bytes.decode(bytes, etagStart, etagEnd);
+        String requestFields = requestFields(name, objectStart, objectEnd, hasPart, part, clientEtag);
         plan = -1;
         if (!dispatcher.mayStart()) {
-            proven = true;
+            hasSentValidRequest = true;
             dispatcher.counters.notCurrent++;
-            write(whole("503 Service Unavailable", advice(dispatcher.servingPermit.comeBackAfter()), ""));
+            String retryAfter = retryAfterField(dispatcher.servingPermit.comeBackAfter());
+            write(response("503 Service Unavailable", retryAfter, ""));
             return;
         }
-        byte[] body = Arrays.copyOfRange(bytes, bodyAt, bodyAt + (int) bodyLength);
-        Lookup l = new Lookup(this, Arrays.copyOfRange(bytes, id, idEnd), Bytes.encode(asked.toString()), body, copy,
-            Bytes.parseHex(bytes, b + 1, objectEnd) & Long.MAX_VALUE, (int) group,
-            now + (Double.isNaN(wait) ? w.timeoutMs() : wait), dispatcher.maxHops());
-        int as = workload;
-        RouteConstraints by = null;
-        Routing rules = dispatcher.activeRoutes == null ? null : dispatcher.activeRoutes.of(l.object);
+        byte[] body = Arrays.copyOfRange(bytes, bodyStart, bodyStart + (int) bodyLength);
+        Lookup newLookup = new Lookup(this, Arrays.copyOfRange(bytes, idStart, idEnd), Bytes.encode(requestFields),
+            body, clientEtag, Bytes.parseHex(bytes, objectStart, objectEnd) & Long.MAX_VALUE, (int) group,
+            now + (Double.isNaN(waitMs) ? workload.timeoutMs() : waitMs), dispatcher.maxHops());
+        int decidedAs = workloadIndex;
+        RouteConstraints constraints = null;
+        Routing routing = dispatcher.activeRoutes == null ? null : dispatcher.activeRoutes.of(newLookup.object);
         if (dispatcher.activeRoutes != null) plan = dispatcher.activeRoutes.plan();
-        if (rules != null) {
-            rules.target(bytes, target, targetEnd, a, b, b + 1, objectEnd);
-            rules.told(this, parted, part, group, sizeKb, wait, repeat);
-            RouteTable.Outcome o = rules.route(workload, dispatcher.maxHops(), now);
-            if (o.status != 0) {
-                proven = true;
-                write(whole(status(o.status), advice(Math.min(o.retryAfterMs, dispatcher.settings.maxRetryAfterMs)), ""));
+        if (routing != null) {
+            routing.target(bytes, targetStart, targetEnd, nameStart, nameEnd, objectStart, objectEnd);
+            routing.told(this, hasPart, part, group, sizeKb, waitMs, repeat);
+            RouteTable.Outcome outcome = routing.route(workloadIndex, dispatcher.maxHops(), now);
+            if (outcome.status != 0) {
+                hasSentValidRequest = true;
+                double retryAfterMs = Math.min(outcome.retryAfterMs, dispatcher.settings.maxRetryAfterMs);
+                write(response(statusLine(outcome.status), retryAfterField(retryAfterMs), ""));
                 return;
             }
-            as = o.workload;
-            by = Routing.narrowing(o, dispatcher.maxHops());
+            decidedAs = outcome.workload;
+            constraints = Routing.narrowing(outcome, dispatcher.maxHops());
         }
-        lookup = l;
-        if (dispatcher.startLookup(l, as, (int) part, sizeKb, repeat, by)) {
-            proven = true;
+        lookup = newLookup;
+        if (dispatcher.startLookup(newLookup, decidedAs, (int) part, sizeKb, repeat, constraints)) {
+            hasSentValidRequest = true;
             return;
         }
         lookup = null;
         dispatcher.counters.badField++;
-        write(whole("400 Bad Request", "", ""));
+        write(response("400 Bad Request", "", ""));
+    }
+
+    private void answerHealthCheck() {
+        hasSentValidRequest = true;
+        if (dispatcher.ready && dispatcher.mayStart()) write(response("200 OK", "", "ready\n"));
+        else write(response("503 Service Unavailable", "", "not ready\n"));
+    }
+
+    /** The number of the object's part, the last segment of the path, or -1 if it is malformed. */
+    private long parsePart(int start) {
+        int number = start + PART_PREFIX.length();
+        boolean prefixed = number < targetEnd && Bytes.matches(bytes, start, number, PART_PREFIX);
+        return prefixed ? Bytes.parseInteger(bytes, number, targetEnd) : -1;
+    }
+
+    /** The fields of a node request that are the same for every hop. */
+    private String requestFields(String workload, int objectStart, int objectEnd, boolean hasPart, long part,
+                                 String clientEtag) {
+        StringBuilder fields = new StringBuilder(REQUEST_FIELDS_CHARS).append("sort=").append(workload)
+            .append(",asset=").append(Bytes.decode(bytes, objectStart, objectEnd));
+        if (hasPart) fields.append(",slice=").append(part);
+        if (clientEtag != null) fields.append(",known=").append(clientEtag);
+        // The client's token is passed on with every hop: the origin drops duplicate requests by it.
+        if (tokenStart >= 0) fields.append(",op=").append(Bytes.decode(bytes, tokenStart, tokenEnd));
+        return fields.toString();
     }
 
-    /** Of the other side, 4 or 16 bytes; made once a connection. */
+    /** The client's IP address, 4 or 16 bytes; computed once per connection. */
     byte[] address() {
         if (address == null) address = Routing.address(session.getRemoteAddress());
         return address;
     }
 
-    private static String status(int code) {
+    private static String statusLine(int code) {
         return switch (code) {
             case 400 -> "400 Bad Request";
             case 403 -> "403 Forbidden";
@@ -432,71 +556,73 @@
         };
     }
 
-    // ---- answers, each of them final ----
+    // ---- final answers ----
 
-    void sendSuccess(Hop h) {
-        close |= dispatcher.underDescriptorPressure() || dispatcher.draining;
-        IoBuffer b = h.answer;
-        int end = b.position(), length = end - NodeConnection.RESPONSE_HEAD_ROOM_BYTES;
-        StringBuilder s = new StringBuilder(160);
-        if (h.notModified) s.append("HTTP/1.1 304 Not Modified\r\n");
+    void sendSuccess(Hop hop) {
+        closeAfterAnswer |= dispatcher.underDescriptorPressure() || dispatcher.draining;
+        IoBuffer answer = hop.answer;
+        int end = answer.position();
+        int length = end - NodeConnection.RESPONSE_HEAD_ROOM_BYTES;
+        StringBuilder fields = new StringBuilder(RESPONSE_HEAD_CHARS);
+        if (hop.notModified) fields.append("HTTP/1.1 304 Not Modified\r\n");
         else {
-            s.append("HTTP/1.1 200 OK\r\nContent-Type: application/octet-stream\r\nContent-Length: ")
+            fields.append("HTTP/1.1 200 OK\r\nContent-Type: application/octet-stream\r\nContent-Length: ")
                 .append(length).append("\r\n");
         }
-        if (h.etag != null) s.append("ETag: \"").append(h.etag).append("\"\r\n");
-        if (close) s.append("Connection: close\r\n");
-        s.append(byPlan());
-        byte[] head = Bytes.encode(s.append("\r\n").toString());
-        // The head goes right before the bytes, so that both leave in one write.
-        int at = NodeConnection.RESPONSE_HEAD_ROOM_BYTES - head.length;
-        b.position(at);
-        b.put(head);
-        b.position(at);
-        b.limit(h.notModified ? NodeConnection.RESPONSE_HEAD_ROOM_BYTES : end);
-        answered(b);
+        if (hop.etag != null) fields.append("ETag: \"").append(hop.etag).append("\"\r\n");
+        if (closeAfterAnswer) fields.append("Connection: close\r\n");
+        fields.append(planField());
+        byte[] head = Bytes.encode(fields.append("\r\n").toString());
+        // The head is placed right before the body, so that both go out in one write.
+        int start = NodeConnection.RESPONSE_HEAD_ROOM_BYTES - head.length;
+        answer.position(start);
+        answer.put(head);
+        answer.position(start);
+        answer.limit(hop.notModified ? NodeConnection.RESPONSE_HEAD_ROOM_BYTES : end);
+        finishLookup(answer);
     }
 
-    void sendRejection(double comeBackAfter) {
-        answered(whole("503 Service Unavailable", advice(comeBackAfter), ""));
+    void sendRejection(double retryAfterMs) {
+        finishLookup(response("503 Service Unavailable", retryAfterField(retryAfterMs), ""));
     }
 
-    /** Of tests only: by which plan the lookup that is being answered was decided. */
-    private String byPlan() {
+    /** For tests only: the plan that decided the lookup being answered. */
+    private String planField() {
         return dispatcher.exposePlan && plan >= 0 ? "Policy-Plan: " + plan + "\r\n" : "";
     }
 
-    private static String advice(double comeBackAfter) {
-        return comeBackAfter >= 1 ? "Srv-Wait-Ms: " + (long) comeBackAfter + "\r\n" : "";
+    private static String retryAfterField(double retryAfterMs) {
+        return retryAfterMs >= 1 ? "Srv-Wait-Ms: " + (long) retryAfterMs + "\r\n" : "";
     }
 
     void sendFailure() {
-        answered(whole("502 Bad Gateway", "", ""));
+        finishLookup(response("502 Bad Gateway", "", ""));
     }
 
-    private void answered(IoBuffer answer) {
+    private void finishLookup(IoBuffer answer) {
         lookup = null;
         write(answer);
         dispatcher.resumeLater(this);
     }
 
-    private IoBuffer whole(String status, String fields, String body) {
-        close |= dispatcher.underDescriptorPressure() || dispatcher.draining;
-        String end = close ? "\r\nConnection: close\r\n\r\n" : "\r\n\r\n";
-        return IoBuffer.wrap(Bytes.encode("HTTP/1.1 " + status + "\r\n" + fields + byPlan() + "Content-Length: "
+    private IoBuffer response(String status, String fields, String body) {
+        closeAfterAnswer |= dispatcher.underDescriptorPressure() || dispatcher.draining;
+        String end = closeAfterAnswer ? "\r\nConnection: close\r\n\r\n" : "\r\n\r\n";
+        return IoBuffer.wrap(Bytes.encode("HTTP/1.1 " + status + "\r\n" + fields + planField() + "Content-Length: "
             + body.length() + end + body));
     }
 
-    private void write(IoBuffer b) {
+    private void write(IoBuffer answer) {
         if (state != State.OPEN) return;
-        written = session.write(b);
+        lastWrite = session.write(answer);
         dispatcher.enforceWriteBacklogLimit(this);
-        if (close) shut();
+        if (closeAfterAnswer) shutDown();
     }
 
-    private void refuseHead(String status) {
-        LOG.debug("head refused: {}", status);
-        close = true;
-        write(whole(status, status.startsWith("405") ? "Allow: GET, PUT\r\n" : "", ""));
+    /** Refuses a request that could not be read, and closes the connection after the answer. */
+    private void refuseRequest(String status) {
+        LOG.debug("request refused: {}", status);
+        closeAfterAnswer = true;
+        write(response(status, status.startsWith("405") ? "Allow: GET, PUT\r\n" : "", ""));
     }
 }
--- a/src/main/java/mothcross/net/Connection.java
+++ b/src/main/java/mothcross/net/Connection.java
@@ -10,69 +10,71 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One TCP connection as an object with callbacks, whichever side opened it, and the bytes that came in on
- * it and are not used up yet. Owns the way from the socket library into the desk's lock: every callback
- * runs under it, and whatever ended meanwhile is settled before it is let go. Must never decide anything,
- * never start a thread or a timer, and never let a fault of one connection reach another.
+ * A TCP connection, accepted or made, and the bytes received on it that have not been consumed. Every callback from
+ * MINA runs under the dispatcher's lock, and completed hops are processed before the lock is released. An exception
+ * on one connection closes that connection only.
  */
 abstract class Connection {
     private static final Logger LOG = LoggerFactory.getLogger(Connection.class);
-    private static final String SELF = "connection";
-    private static final byte[] NONE = new byte[0];
+    private static final String SESSION_ATTRIBUTE = "connection";
+    private static final byte[] NO_BYTES = new byte[0];
 
     final Dispatcher dispatcher;
     IoSession session;
-    /** What came in and is not used up: {@code bytes} from {@code from} to {@code to}. */
-    byte[] bytes = NONE;
-    int from, to;
+    /** Received bytes not yet consumed: {@code bytes} from {@code from} to {@code to}. */
+    byte[] bytes = NO_BYTES;
+    int from;
+    int to;
 
-    Connection(Dispatcher desk) {
-        this.dispatcher = desk;
+    Connection(Dispatcher dispatcher) {
+        this.dispatcher = dispatcher;
     }
 
-    /** The connection is up. */
+    /** Called when the connection is up. */
     abstract void opened();
 
-    /** Uses up what it can of {@link #bytes}; the rest stays for the next call. */
+    /** Consumes what it can of {@link #bytes}; the rest is kept for the next call. */
     abstract void received();
 
-    /** The connection has ended, from whichever side. */
+    /** Called when the connection has been closed by either side. */
     abstract void closed();
 
-    final void bindSession(IoSession to) {
-        session = to;
-        to.setAttribute(SELF, this);
+    final void bindSession(IoSession newSession) {
+        session = newSession;
+        newSession.setAttribute(SESSION_ATTRIBUTE, this);
     }
 
+    /** The number of bytes not yet consumed. */
     final int remaining() {
         return to - from;
     }
 
+    /** Discards what was received and closes the session without flushing it. */
     final void abort() {
         from = to = 0;
-        bytes = NONE;
+        bytes = NO_BYTES;
         if (session != null) session.closeNow();
     }
 
-    /** The read buffer is used where it stands; only what is left of it is copied, so that it can go. */
-    private void take(IoBuffer in) {
-        int n = in.remaining();
-        if (from == to && in.hasArray()) {
-            bytes = in.array();
-            from = in.arrayOffset() + in.position();
-            to = from + n;
+    /** Parses the read buffer in place; only unconsumed bytes are copied, so that the buffer can be collected. */
+    private void append(IoBuffer input) {
+        int length = input.remaining();
+        if (from == to && input.hasArray()) {
+            bytes = input.array();
+            from = input.arrayOffset() + input.position();
+            to = from + length;
         } else {
-            byte[] joined = new byte[remaining() + n];
+            byte[] joined = new byte[remaining() + length];
             System.arraycopy(bytes, from, joined, 0, remaining());
-            in.get(joined, remaining(), n);
+            input.get(joined, remaining(), length);
             bytes = joined;
             from = 0;
             to = joined.length;
         }
-        in.position(in.limit());
+        input.position(input.limit());
         received();
         if (from == to) {
-            bytes = NONE;
+            bytes = NO_BYTES;
             from = to = 0;
         } else if (bytes.length > 2 * remaining()) {
             bytes = Arrays.copyOfRange(bytes, from, to);
@@ -81,38 +83,38 @@
         }
     }
 
-    /** The socket library's side of all connections; accepted ones become clients. */
+    /** Forwards MINA's callbacks to connections; accepted sessions become client connections. */
     static final class SessionHandler extends IoHandlerAdapter {
-        private final Dispatcher desk;
-        private final boolean accepts;
+        private final Dispatcher dispatcher;
+        private final boolean acceptsClients;
 
-        SessionHandler(Dispatcher desk, boolean accepts) {
-            this.desk = desk;
-            this.accepts = accepts;
+        SessionHandler(Dispatcher dispatcher, boolean acceptsClients) {
+            this.dispatcher = dispatcher;
+            this.acceptsClients = acceptsClients;
         }
 
         @Override public void sessionCreated(IoSession session) {
-            if (accepts) new ClientConnection(desk).bindSession(session);
+            if (acceptsClients) new ClientConnection(dispatcher).bindSession(session);
         }
 
         @Override public void sessionOpened(IoSession session) {
-            with(session, c -> {
-                c.session = session;
-                c.opened();
+            runLocked(session, connection -> {
+                connection.session = session;
+                connection.opened();
             });
         }
 
         @Override public void messageReceived(IoSession session, Object message) {
-            with(session, c -> c.take((IoBuffer) message));
+            runLocked(session, connection -> connection.append((IoBuffer) message));
         }
 
         @Override public void sessionClosed(IoSession session) {
-            with(session, Connection::closed);
+            runLocked(session, Connection::closed);
         }
 
-        private void with(IoSession session, Consumer<Connection> what) {
-            Connection c = (Connection) session.getAttribute(SELF);
-            if (c != null) desk.runLocked(() -> what.accept(c));
+        private void runLocked(IoSession session, Consumer<Connection> action) {
+            Connection connection = (Connection) session.getAttribute(SESSION_ATTRIBUTE);
+            if (connection != null) dispatcher.runLocked(() -> action.accept(connection));
         }
 
         @Override public void inputClosed(IoSession session) {
@@ -120,10 +122,10 @@
         }
 
         @Override public void exceptionCaught(IoSession session, Throwable cause) {
-            if (cause instanceof IOException) LOG.debug("connection broke off: {}", cause.toString());
+            if (cause instanceof IOException) LOG.debug("connection failed: {}", cause.toString());
             else {
-                desk.counters.faults++;
-                LOG.error("fault on a connection, which is closed", cause);
+                dispatcher.counters.faults++;
+                LOG.error("internal error on a connection; closing it", cause);
             }
             session.closeNow();
         }
--- a/src/main/java/mothcross/net/Dispatcher.java
+++ b/src/main/java/mothcross/net/Dispatcher.java
@@ -23,15 +23,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Where all sides meet. Owns the module and the one lock it runs under, the indices of lookups and nodes,
- * the timers, and the count of what is open; turns what comes in into calls on the module, and what the
- * module writes into hops and answers. Must never decide where a lookup goes, send what the module did not
- * write, answer a lookup twice, or call the module while it is at work.
+ * Connects client connections, node connections, discovery and timers to the decision module. Incoming events
+ * become calls on the {@link Director}; what the director writes becomes hops and answers.
+ *
+ * <p>Everything here runs under {@link #lock}, and the director is never called while it is processing a batch:
+ * a hop that completes meanwhile is queued, and delivered before the lock is released. The dispatcher makes no
+ * routing decisions, sends only what the director wrote, and answers each lookup once.
  */
 final class Dispatcher implements DecisionWriter {
     private static final Logger LOG = LoggerFactory.getLogger(Dispatcher.class);
-    private static final double BACKSTOP_MS = 20;
-    private static final int MOST_CONNECTIONS = 8;
+    /** How long after a lookup's deadline it is failed here, if the director has not answered it. */
+    private static final double FALLBACK_DELAY_MS = 20;
+    private static final int MAX_CONNECTIONS_PER_NODE = 8;
+    private static final int INITIAL_LOOKUPS = 64;
 
     final ReentrantLock lock = new ReentrantLock();
     final Counters counters = new Counters();
@@ -39,444 +43,473 @@
     final DirectorSettings settings;
     final IoConnector connector;
     private final Director director;
-    private final LookupIndexAllocator slots = new LookupIndexAllocator();
+    private final LookupIndexAllocator lookupIndices = new LookupIndexAllocator();
     private final int maxHops;
-    private Lookup[] lookups = new Lookup[64];
-    // By the client's id, while open; an id that is open already is not taken again.
-    private final Map<Long, Lookup> open = new HashMap<>();
+    private Lookup[] lookups = new Lookup[INITIAL_LOOKUPS];
+    /** Open lookups by the client's request id; a second lookup with the id of an open one is refused. */
+    private final Map<Long, Lookup> openLookups = new HashMap<>();
     final Nodes nodes = new Nodes();
     final AnswerTimes answerTimes;
-    ActiveRoutes activeRoutes;                                 // null where the operators have no routes
-    ServingPermit servingPermit;                              // null where nobody else decides what is in force
-    boolean exposePlan;                                  // of tests only
-    private HopObserver hopObserver;                        // null where nobody wants to know
-    // Every connection to a node that is up or on its way; each takes itself out when it ends.
+    /** Null if the operators have configured no routes. */
+    ActiveRoutes activeRoutes;
+    /** Null if the policy in force comes from this director's own settings alone. */
+    ServingPermit servingPermit;
+    /** Whether answers name the plan that decided them; for tests only. */
+    boolean exposePlan;
+    /** Null if nothing observes hops. */
+    private HopObserver hopObserver;
+    /** Every connection to a node that is up or being made; a connection removes itself when it closes. */
     final Set<NodeConnection> nodeConnections = new LinkedHashSet<>();
-    // Filled while the module is at work, empty whenever the lock is free.
-    private final ArrayDeque<Hop> ended = new ArrayDeque<>();
-    private final ArrayDeque<ClientConnection> goOn = new ArrayDeque<>();
-    // Clients in the order in which they came; bounded by the descriptors the director is given.
+    /** Completed hops that the director has not been told of; empty whenever the lock is free. */
+    private final ArrayDeque<Hop> completedHops = new ArrayDeque<>();
+    /** Clients whose next pipelined request can be read; empty whenever the lock is free. */
+    private final ArrayDeque<ClientConnection> resumableClients = new ArrayDeque<>();
+    /** In the order of arrival; bounded by the descriptors that the director is given. */
     private final LinkedHashSet<ClientConnection> clients = new LinkedHashSet<>();
-    private int mostClients, nodeSockets;
-    private long mostUnwritten;
-    /** Bytes that clients have sent ahead of their turn, and the bodies of what is open. */
+    private int maxClients;
+    private int maxNodeSockets;
+    /** Bounds separately what all clients have left unread and what they have sent ahead of their turn. */
+    private long maxBufferedBytes;
+    /** Bytes that clients have sent ahead of their turn (pipelined), and the bodies of open lookups. */
     long readAheadBytes;
-    /** Told to end: every answer ends its connection. */
+    /** The process has been asked to stop: every answer closes its connection. */
     boolean draining;
-    private boolean atWork, closing;
+    private boolean directorRunning;
+    private boolean sendingStopped;
     private double now;
     volatile boolean ready;
 
-    Dispatcher(DirectorSettings opening, IoConnector connector, int mostHops) {
-        this.settings = opening;
+    Dispatcher(DirectorSettings settings, IoConnector connector, int maxHops) {
+        this.settings = settings;
         this.connector = connector;
-        this.director = opening.director;
-        this.maxHops = mostHops;
+        this.director = settings.director;
+        this.maxHops = maxHops;
         this.timers = new Timers(this);
-        this.answerTimes = new AnswerTimes(opening.workloadTable.length);
+        this.answerTimes = new AnswerTimes(settings.workloadTable.length);
     }
 
-    /** Usual clients hold a third of the descriptors at most; nodes and the process itself need three eighths. */
+    /**
+     * Sets the limits that follow from the process's descriptors and memory. Clients usually hold a third of the
+     * descriptors at most; connections to nodes and the process itself need three eighths.
+     */
     void setLimits(int sockets, double memoryMb) {
-        mostClients = sockets * 5 / 8;
-        nodeSockets = sockets / 6;
-        mostUnwritten = (long) (memoryMb * (1 << 20) / 8);
+        maxClients = sockets * 5 / 8;
+        maxNodeSockets = sockets / 6;
+        maxBufferedBytes = (long) (memoryMb * (1 << 20) / 8);
     }
 
-    // ---- the lock and the clock ----
+    // ---- lock and clock ----
 
     void enter() {
         lock.lock();
     }
 
-    /** Settles what has ended, then lets go of the lock. */
+    /** Processes completed hops, then releases the lock. */
     void leave() {
         try {
             if (lock.getHoldCount() == 1) processCompletedHops();
         } catch (RuntimeException | AssertionError e) {
-            recordInternalError(e);                                   // the thread that came with it goes on
+            recordInternalError(e);                     // the calling thread, which may serve all sockets, goes on
         } finally {
             lock.unlock();
         }
     }
 
-    void runLocked(Runnable what) {
+    void runLocked(Runnable action) {
         enter();
         try {
-            what.run();
+            action.run();
         } finally {
             leave();
         }
     }
 
-    /** The system's Unix clock in ms; it never runs backwards here. */
+    /** Unix time in ms; unlike the system clock it never runs backwards. */
     double clock() {
-        Instant t = Instant.now();
-        return now = Math.max(now, t.getEpochSecond() * 1e3 + t.getNano() / 1e6);
+        Instant systemTime = Instant.now();
+        return now = Math.max(now, systemTime.getEpochSecond() * 1e3 + systemTime.getNano() / 1e6);
     }
 
-    void processBatch(EventBatch in) {
-        counters.checkInvariant(lock.isHeldByCurrentThread() && !atWork, "the module is called once at a time");
-        atWork = true;
+    /** Has the director process a batch of events; must not be called while it is processing another. */
+    void processBatch(EventBatch batch) {
+        counters.checkInvariant(lock.isHeldByCurrentThread() && !directorRunning,
+            "the director is called by one thread at a time and not from within a call");
+        directorRunning = true;
         try {
-            director.process(clock(), in, this);
+            director.process(clock(), batch, this);
         } catch (RuntimeException | AssertionError e) {
             recordInternalError(e);
         } finally {
-            atWork = false;
+            directorRunning = false;
         }
     }
 
     private void processCompletedHops() {
         while (true) {
-            if (!ended.isEmpty()) processBatch(this::deliverEnded);
-            else if (!goOn.isEmpty()) goOn.poll().resume();
+            if (!completedHops.isEmpty()) processBatch(this::deliverCompletedHops);
+            else if (!resumableClients.isEmpty()) resumableClients.poll().resume();
             else return;
         }
     }
 
-    void recordInternalError(Throwable e) {
+    void recordInternalError(Throwable error) {
         counters.faults++;
-        LOG.error("fault; what is open is answered when its time is up", e);
+        LOG.error("internal error; open lookups are answered at their deadlines", error);
     }
 
     // ---- lookups ----
 
-    /** Whether this director is sure enough to be up to date to decide what starts now. */
+    /** Whether this director is sufficiently sure that its policy is current to decide new lookups. */
     boolean mayStart() {
         return servingPermit == null || servingPermit.mayStart();
     }
 
-    /** False where a lookup of this id is open already. */
-    boolean startLookup(Lookup l, int workload, int part, double sizeKb, boolean repeat, RouteConstraints by) {
-        if (open.putIfAbsent(l.id, l) != null) return false;
+    /** Returns false if a lookup with this id is already open. */
+    boolean startLookup(Lookup lookup, int workload, int part, double sizeKb, boolean repeat,
+                        RouteConstraints constraints) {
+        if (openLookups.putIfAbsent(lookup.id, lookup) != null) return false;
         counters.lookups++;
-        readAheadBytes += l.body.length;
-        int at = l.index = slots.allocate();
-        l.workload = workload;
-        if (at >= lookups.length) lookups = Arrays.copyOf(lookups, 2 * lookups.length);
-        lookups[at] = l;
-        timers.set(l, l.expiresAt + BACKSTOP_MS);
-        processBatch(to -> to.lookup(at, workload, l.expiresAt, l.object, part, l.group, sizeKb, repeat, false, by));
+        readAheadBytes += lookup.body.length;
+        int index = lookup.index = lookupIndices.allocate();
+        lookup.workload = workload;
+        if (index >= lookups.length) lookups = Arrays.copyOf(lookups, 2 * lookups.length);
+        lookups[index] = lookup;
+        timers.set(lookup, lookup.expiresAt + FALLBACK_DELAY_MS);
+        processBatch(to -> to.lookup(index, workload, lookup.expiresAt, lookup.object, part, lookup.group, sizeKb,
+            repeat, false, constraints));
         return true;
     }
 
     int openLookupCount() {
-        return open.size();
+        return openLookups.size();
     }
 
     int maxHops() {
         return maxHops;
     }
 
-    private boolean isOver(Lookup l) {
-        return open.get(l.id) != l;
+    private boolean isOver(Lookup lookup) {
+        return openLookups.get(lookup.id) != lookup;
     }
 
-    private void over(Lookup l) {
-        ended(l);
-        release(l);
+    private void finish(Lookup lookup) {
+        end(lookup);
+        releaseIndex(lookup);
     }
 
-    /** Nobody waits any more: what has not been written is not sent, whether or not calling off is allowed. */
-    private void ended(Lookup l) {
-        timers.cancel(l);
-        open.remove(l.id, l);
-        slots.markOver(l.index);
-        readAheadBytes -= l.body.length;
-        for (int i = 0; i < l.hopCount(); i++) {
-            Hop h = l.hop(i);
-            if (h.ended || h.writeFuture != null) continue;
-            if (h.connection != null) h.connection.abandon(h);
-            endHop(h, Director.NOT_SENT);
+    /** No client waits any more: hops not yet written are not sent, even where cancellation is switched off. */
+    private void end(Lookup lookup) {
+        timers.cancel(lookup);
+        openLookups.remove(lookup.id, lookup);
+        lookupIndices.markOver(lookup.index);
+        readAheadBytes -= lookup.body.length;
+        for (int i = 0; i < lookup.hopCount(); i++) {
+            Hop hop = lookup.hop(i);
+            if (hop.ended || hop.writeFuture != null) continue;
+            if (hop.connection != null) hop.connection.abandon(hop);
+            endHop(hop, Director.NOT_SENT);
         }
     }
 
-    private void release(Lookup l) {
-        if (slots.release(l.index)) lookups[l.index] = null;
+    private void releaseIndex(Lookup lookup) {
+        if (lookupIndices.release(lookup.index)) lookups[lookup.index] = null;
     }
 
-    void clientDisconnected(Lookup l) {
-        if (isOver(l)) return;
+    void clientDisconnected(Lookup lookup) {
+        if (isOver(lookup)) return;
         counters.cancelled++;
-        ended(l);
-        processBatch(to -> to.clientDisconnected(l.index));
-        release(l);
+        end(lookup);
+        processBatch(to -> to.clientDisconnected(lookup.index));
+        releaseIndex(lookup);
     }
 
-    /** The module answers in time by itself; this only keeps a fault of it from leaving a client waiting. */
-    void lookupTimedOut(Lookup l) {
-        if (isOver(l)) return;
+    /** Fails a lookup that the director has left unanswered; happens only after an internal error. */
+    void lookupTimedOut(Lookup lookup) {
+        if (isOver(lookup)) return;
         counters.unanswered++;
-        LOG.error("lookup without an answer when its time was up");
-        l.client.sendFailure();
-        over(l);
-        callBack(l);
+        LOG.error("the director has not answered a lookup by its deadline");
+        lookup.client.sendFailure();
+        finish(lookup);
+        timeOutHops(lookup);
     }
 
     // ---- clients ----
 
     /**
-     * Where descriptors run short, one that has its refusal goes first, then one that has said nothing sound for
-     * long, then the one longest idle, which may ask again elsewhere, then one that has not asked yet, the oldest
-     * first. Never one that is owed an answer: the new one has to go where all of them are.
+     * Adds a client. If descriptors run short, one client is evicted, in the order of
+     * {@link ClientConnection.EvictionPriority}: one that is closing anyway, then one that has sent no valid
+     * request for long, then the one idle for longest, which may ask again on another connection, then the oldest
+     * that has not asked yet. A client that is owed an answer is never evicted: where all are, the new one goes.
      */
-    void admit(ClientConnection c) {
-        clients.add(c);
-        if (clients.size() <= mostClients) return;
+    void admit(ClientConnection newClient) {
+        clients.add(newClient);
+        if (clients.size() <= maxClients) return;
         counters.evicted++;
-        ClientConnection out = c;
-        int least = ClientConnection.NEW;
-        for (ClientConnection x : clients) {
-            int worth = x == c ? ClientConnection.NEW : x.evictionPriority();
-            boolean longer = worth == least && worth == ClientConnection.IDLE && x.idleMs() > out.idleMs();
-            if (worth >= least && !longer) continue;
-            least = worth;
-            out = x;
-            if (worth == 0) break;
+        ClientConnection evicted = newClient;
+        ClientConnection.EvictionPriority lowest = ClientConnection.EvictionPriority.NEWEST;
+        for (ClientConnection client : clients) {
+            ClientConnection.EvictionPriority priority =
+                client == newClient ? ClientConnection.EvictionPriority.NEWEST : client.evictionPriority();
+            boolean idleLonger = priority == lowest && priority == ClientConnection.EvictionPriority.IDLE
+                && client.idleMs() > evicted.idleMs();
+            if (priority.compareTo(lowest) >= 0 && !idleLonger) continue;
+            lowest = priority;
+            evicted = client;
+            if (priority == ClientConnection.EvictionPriority.CLOSING) break;
         }
-        if (least == ClientConnection.IDLE) {
-            out.closeIfStillIdle();
+        if (lowest == ClientConnection.EvictionPriority.IDLE) {
+            evicted.closeIfStillIdle();
             return;
         }
-        clients.remove(out);
-        out.close();
+        clients.remove(evicted);
+        evicted.close();
     }
 
-    /** Answers then tell clients to ask on a new connection, so that none is closed that may be asking. */
+    /**
+     * Whether descriptors are getting short. Answers then ask clients to reconnect for their next request, so that
+     * no connection has to be closed on which a request may be arriving.
+     */
     boolean underDescriptorPressure() {
-        return clients.size() > mostClients * 3 / 4;
+        return clients.size() > maxClients * 3 / 4;
     }
 
-    void clientClosed(ClientConnection c) {
-        clients.remove(c);
+    void clientClosed(ClientConnection client) {
+        clients.remove(client);
     }
 
     int clientCount() {
         return clients.size();
     }
 
-    /** Where clients together have sent much ahead, each may only a little. */
+    /** Past this limit on what all clients have sent ahead, each client may send only a little ahead. */
     boolean readAheadLimitExceeded() {
-        return readAheadBytes > mostUnwritten;
+        return readAheadBytes > maxBufferedBytes;
     }
 
-    /** The process ends and nobody can come any more: who rests is told to go, who is answered goes after it. */
+    /**
+     * Closes the clients with nothing open, once the process is stopping and no more can connect; the others are
+     * closed after their answer.
+     */
     void closeIdleClients() {
-        for (ClientConnection c : new ArrayList<>(clients)) c.closeIfAtRest();
+        for (ClientConnection client : new ArrayList<>(clients)) client.closeIfAtRest();
     }
 
     long writeBacklogBytes() {
         long sum = 0;
-        for (ClientConnection c : clients) sum += c.session.getScheduledWriteBytes();
+        for (ClientConnection client : clients) sum += client.session.getScheduledWriteBytes();
         return sum;
     }
 
-    /** Clients that read slowly hold so much of the memory at most; past it, the one that holds most goes. */
+    /** Bounds the memory that slow readers hold: past the limit, the one with the largest backlog is closed. */
     void enforceWriteBacklogLimit(ClientConnection writer) {
-        // The sum is looked at only when this one has more than one answer unread: most never have.
-        if (writer.session.getScheduledWriteBytes() <= mostUnwritten / mostClients) return;
-        if (writeBacklogBytes() <= mostUnwritten) return;
+        // The backlogs are summed only if this client's share is exceeded, that is if it has left more than one
+        // answer unread; most clients never do.
+        if (writer.session.getScheduledWriteBytes() <= maxBufferedBytes / maxClients) return;
+        if (writeBacklogBytes() <= maxBufferedBytes) return;
         counters.slowReaders++;
-        ClientConnection most = writer;
-        for (ClientConnection c : clients) {
-            if (c.session.getScheduledWriteBytes() > most.session.getScheduledWriteBytes()) most = c;
+        ClientConnection slowest = writer;
+        for (ClientConnection client : clients) {
+            if (client.session.getScheduledWriteBytes() > slowest.session.getScheduledWriteBytes()) slowest = client;
         }
-        most.abort();
+        slowest.abort();
     }
 
     // ---- hops ----
 
-    private void send(int lookup, int node, int source, double giveUpAt, int rank, double maxAge, int how) {
-        Lookup l = lookups[lookup];
-        if (l == null || isOver(l) || l.hopLimitReached()) {
-            counters.checkInvariant(false, "a hop for a lookup that is over, or one too many");
+    private void send(int lookupIndex, int node, int source, double giveUpAt, int rank, double maxAge,
+                      int fetchOptions) {
+        Lookup lookup = lookups[lookupIndex];
+        if (lookup == null || isOver(lookup) || lookup.hopLimitReached()) {
+            counters.checkInvariant(false, "hops are sent only for open lookups, within the limit per lookup");
             return;
         }
-        Hop h = new Hop(l, slots.hopSent(lookup), nodes.get(node), nodes.get(source), rank, maxAge, how, now,
-            giveUpAt > 0 ? Math.min(giveUpAt, l.expiresAt) : l.expiresAt);
-        l.add(h);
+        Hop hop = new Hop(lookup, lookupIndices.hopSent(lookupIndex), nodes.get(node), nodes.get(source), rank, maxAge,
+            fetchOptions, now, giveUpAt > 0 ? Math.min(giveUpAt, lookup.expiresAt) : lookup.expiresAt);
+        lookup.add(hop);
         counters.hops++;
-        h.node.activeHops++;
-        h.source.activeHops++;
-        if (closing || now >= h.deadline) {
-            endHop(h, closing ? Director.NOT_SENT : Director.TIMED_OUT);
+        hop.node.activeHops++;
+        hop.source.activeHops++;
+        if (sendingStopped || now >= hop.deadline) {
+            endHop(hop, sendingStopped ? Director.NOT_SENT : Director.TIMED_OUT);
             return;
         }
-        timers.set(h, h.deadline);
-        NodeConnection.send(this, h);
+        timers.set(hop, hop.deadline);
+        NodeConnection.send(this, hop);
     }
 
     /**
-     * Asked when a hop's first byte is about to be written, by whatever way it came there. Guards against what changed
-     * while it waited for its connection: nobody waits any more, or its repeats are dropped no longer.
+     * Called right before a hop's first byte is written. Guards against what may have changed while the hop waited
+     * for its connection: the lookup is over, or the origin may no longer drop the request as a duplicate of an
+     * earlier hop.
      */
-    boolean mayBeSent(Hop h) {
-        Lookup l = h.lookup;
-        boolean waitedFor = !isOver(l);
-        counters.checkInvariant(waitedFor, "nothing is sent for a request that is over");
-        if (!waitedFor) return false;
-        Workload w = settings.workloadTable[l.workload];
-        if (w.effect() != Workload.Effect.DEDUPLICATED) return true;
-        double t = clock();
-        for (int i = 0; i < h.number; i++) {
-            Hop x = l.hop(i);
-            boolean ran = x.writeFuture != null && !(x.ended && neverRan(x.outcome));
-            if (ran && t >= x.writtenAt + w.deduplicationWindowMs()) return false;
+    boolean mayBeSent(Hop hop) {
+        Lookup lookup = hop.lookup;
+        boolean open = !isOver(lookup);
+        counters.checkInvariant(open, "nothing is sent for a lookup that is over");
+        if (!open) return false;
+        Workload workload = settings.workloadTable[lookup.workload];
+        if (workload.effect() != Workload.Effect.DEDUPLICATED) return true;
+        double time = clock();
+        for (int i = 0; i < hop.number; i++) {
+            Hop earlier = lookup.hop(i);
+            boolean mayHaveRun = earlier.writeFuture != null && !(earlier.ended && neverExecuted(earlier.outcome));
+            if (mayHaveRun && time >= earlier.writtenAt + workload.deduplicationWindowMs()) return false;
         }
         return true;
     }
 
-    /** What the protocol says of an end: the request was not taken up. */
-    private static boolean neverRan(int outcome) {
+    /** Whether the protocol guarantees, for this outcome, that the request was not executed. */
+    private static boolean neverExecuted(int outcome) {
         return outcome == Director.REJECTED || outcome == Director.CONNECT_FAILED || outcome == Director.NOT_SENT
             || outcome == Director.MISS;
     }
 
-    /** A hop's time limit. */
-    void hopTimedOut(Hop h) {
-        NodeConnection on = h.connection;
-        boolean silent = on != null && on.abandon(h);
-        endHop(h, Director.TIMED_OUT);
-        if (silent) on.retire();
+    void hopTimedOut(Hop hop) {
+        NodeConnection connection = hop.connection;
+        boolean unresponsive = connection != null && connection.abandon(hop);
+        endHop(hop, Director.TIMED_OUT);
+        if (unresponsive) connection.retire();
     }
 
-    /** Notes the end of a hop; the module hears of it when it is not at work. */
-    void endHop(Hop h, int outcome) {
-        if (h.ended) return;
-        h.ended = true;
-        h.outcome = outcome;
-        h.connection = null;
-        timers.cancel(h);
-        h.node.activeHops--;
-        h.source.activeHops--;
+    /** Records the outcome of a hop; the director is told when it is not processing a batch. */
+    void endHop(Hop hop, int outcome) {
+        if (hop.ended) return;
+        hop.ended = true;
+        hop.outcome = outcome;
+        hop.connection = null;
+        timers.cancel(hop);
+        hop.node.activeHops--;
+        hop.source.activeHops--;
         counters.outcomes[outcome]++;
-        ended.add(h);
+        completedHops.add(hop);
     }
 
-    private void deliverEnded(Director to) {
-        for (Hop h; (h = ended.poll()) != null;) {
-            Lookup l = h.lookup;
-            if (h.outcome == Director.SUCCEEDED && !isOver(l)) {
+    private void deliverCompletedHops(Director to) {
+        for (Hop hop; (hop = completedHops.poll()) != null;) {
+            Lookup lookup = hop.lookup;
+            if (hop.outcome == Director.SUCCEEDED && !isOver(lookup)) {
                 counters.succeeded++;
-                if (h.notModified) counters.unchanged++;
-                l.client.sendSuccess(h);
-                ended(l);
+                if (hop.notModified) counters.unchanged++;
+                lookup.client.sendSuccess(hop);
+                end(lookup);
             }
-            h.answer = null;
-            boolean last = isOver(l), known = slots.hopEnded(l.index, h.number);
+            hop.answer = null;
+            boolean last = isOver(lookup);
+            boolean known = lookupIndices.hopEnded(lookup.index, hop.number);
             counters.checkInvariant(known, "a hop ends once");
             if (known) {
-                to.hopEnded(l.index, h.number, h.node.index, h.outcome, last, h.note, now - h.sentAt,
-                    h.sourceWait, h.report);
+                to.hopEnded(lookup.index, hop.number, hop.node.index, hop.outcome, last, hop.note, now - hop.sentAt,
+                    hop.sourceWait, hop.report);
             }
-            if (hopObserver != null) hopObserver.saw(h);
-            release(l);
+            if (hopObserver != null) hopObserver.saw(hop);
+            releaseIndex(lookup);
         }
         if (hopObserver != null) hopObserver.roundEnds(to);
     }
 
-    // ---- the list and purges, called by a reader in the module's round ----
+    // ---- node list and purges, called while the director is processing a batch ----
 
     void listStarted(Director to, int news) {
         nodes.listStarted(to, news);
     }
 
-    void nodeListed(Director to, String id, InetSocketAddress address, int place, int kind, int cell,
-                int standing, double units, double startedAt) {
-        nodes.nodeListed(to, id, address, place, kind, cell, standing, units, startedAt);
+    void nodeListed(Director to, String id, InetSocketAddress address, int zone, int kind, int cell,
+                    int status, double units, double startedAt) {
+        nodes.nodeListed(to, id, address, zone, kind, cell, status, units, startedAt);
     }
 
-    /** What goes down with one connection is less where there are several; descriptors set how many. */
+    /** How many connections a node may have: the more, the less fails with one of them; descriptors bound it. */
     int connectionsPerNode() {
-        return Math.max(1, Math.min(MOST_CONNECTIONS, nodeSockets / nodes.nodeListed()));
+        return Math.max(1, Math.min(MAX_CONNECTIONS_PER_NODE, maxNodeSockets / nodes.listedCount()));
     }
 
     void listFinished(Director to) {
         nodes.listFinished(to);
-        withdrawHops(h -> !usable(h.node) || !usable(h.source));
+        withdrawHops(hop -> !usable(hop.node) || !usable(hop.source));
     }
 
-    private static boolean usable(Node n) {
-        return n.status == Director.IN_SERVICE || n.status == Director.UNCONFIRMED;
+    private static boolean usable(Node node) {
+        return node.status == Director.IN_SERVICE || node.status == Director.UNCONFIRMED;
     }
 
-    void setHopObserver(HopObserver w) {
-        hopObserver = w;
+    void setHopObserver(HopObserver observer) {
+        hopObserver = observer;
     }
 
     void purged(Director to, long object, int group, double at) {
         to.purged(object, group, Math.max(0, now - at));
-        withdrawHops(h -> object >= 0 ? h.lookup.object == object : h.lookup.group == group);
+        withdrawHops(hop -> object >= 0 ? hop.lookup.object == object : hop.lookup.group == group);
     }
 
-    /** What still waits for a connection and is touched by news goes back to the module, which knows better. */
-    private void withdrawHops(Predicate<Hop> which) {
-        for (NodeConnection c : nodeConnections) c.withdraw(which);
+    /** Returns hops that still wait for a connection to the director, which decides anew with the latest news. */
+    private void withdrawHops(Predicate<Hop> affected) {
+        for (NodeConnection connection : nodeConnections) connection.withdraw(affected);
     }
 
-    void probeCompleted(Node node, int outcome, double spent, double[] report) {
+    void probeCompleted(Node node, int outcome, double spentMs, double[] report) {
         counters.probes++;
         if (outcome == Director.SUCCEEDED) counters.probesFit++;
-        processBatch(to -> to.probeCompleted(node.index, outcome, spent, report));
+        processBatch(to -> to.probeCompleted(node.index, outcome, spentMs, report));
     }
 
-    // ---- the end ----
+    // ---- shutdown ----
 
-    /** From now on nothing new goes out: what is open ends as not sent or out of time, and is answered. */
+    /** Sends no further hops: open hops end as not sent or timed out, so that their lookups are answered. */
     void stopSending() {
-        closing = true;
-        for (Lookup l : new ArrayList<>(open.values())) callBack(l);
+        sendingStopped = true;
+        for (Lookup lookup : new ArrayList<>(openLookups.values())) timeOutHops(lookup);
     }
 
-    private void callBack(Lookup l) {
-        for (int i = 0; i < l.hopCount(); i++) if (!l.hop(i).ended) hopTimedOut(l.hop(i));
+    private void timeOutHops(Lookup lookup) {
+        for (int i = 0; i < lookup.hopCount(); i++) {
+            if (!lookup.hop(i).ended) hopTimedOut(lookup.hop(i));
+        }
     }
 
     void resumeLater(ClientConnection client) {
-        goOn.add(client);
+        resumableClients.add(client);
     }
 
-    // ---- what the module writes ----
+    // ---- decisions written by the director ----
 
     @Override public void sendCacheOnly(int lookup, int node, double giveUpAt) {
         send(lookup, node, node, giveUpAt, 0, 0, 0);
     }
 
     @Override public void sendFetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge,
-                                int how) {
-        send(lookup, node, source, giveUpAt, rank, maxAge, how);
+                                int fetchOptions) {
+        send(lookup, node, source, giveUpAt, rank, maxAge, fetchOptions);
     }
 
-    @Override public void cancelHop(int lookup, int hop) {
-        Lookup l = lookups[lookup];
-        Hop h = l == null ? null : l.hop(hop);
-        if (h == null || h.ended) return;
-        if (h.connection != null) h.connection.abandon(h);
-        endHop(h, h.writeFuture == null ? Director.NOT_SENT : Director.CANCELLED);
+    @Override public void cancelHop(int lookupIndex, int hopNumber) {
+        Lookup lookup = lookups[lookupIndex];
+        Hop hop = lookup == null ? null : lookup.hop(hopNumber);
+        if (hop == null || hop.ended) return;
+        if (hop.connection != null) hop.connection.abandon(hop);
+        endHop(hop, hop.writeFuture == null ? Director.NOT_SENT : Director.CANCELLED);
     }
 
-    @Override public void reject(int lookup, double comeBackAfter) {
-        Lookup l = lookups[lookup];
-        if (answerOwed(l)) {
+    @Override public void reject(int lookupIndex, double retryAfterMs) {
+        Lookup lookup = lookups[lookupIndex];
+        if (answerOwed(lookup)) {
             counters.rejected++;
-            l.client.sendRejection(comeBackAfter);
-            over(l);
+            lookup.client.sendRejection(retryAfterMs);
+            finish(lookup);
         }
     }
 
-    @Override public void fail(int lookup) {
-        Lookup l = lookups[lookup];
-        if (answerOwed(l)) {
+    @Override public void fail(int lookupIndex) {
+        Lookup lookup = lookups[lookupIndex];
+        if (answerOwed(lookup)) {
             counters.failed++;
-            l.client.sendFailure();
-            over(l);
+            lookup.client.sendFailure();
+            finish(lookup);
         }
     }
 
-    private boolean answerOwed(Lookup l) {
-        boolean owed = l != null && !isOver(l);
-        counters.checkInvariant(owed, "one final answer for each lookup");
+    private boolean answerOwed(Lookup lookup) {
+        boolean owed = lookup != null && !isOver(lookup);
+        counters.checkInvariant(owed, "a lookup gets one final answer");
         return owed;
     }
 
@@ -492,7 +525,7 @@
         }, at);
     }
 
-    /** Discovery is followed from the start to the end. */
+    /** Ignored: discovery is followed for as long as the process runs. */
     @Override public void watchNodeList(boolean on) { }
 
     @Override public void log(String text) {
--- a/src/main/java/mothcross/net/Hop.java
+++ b/src/main/java/mothcross/net/Hop.java
@@ -3,36 +3,45 @@
 import org.apache.mina.core.buffer.IoBuffer;
 import org.apache.mina.core.future.WriteFuture;
 
-/** One hop of a lookup on its way: where it went, what it asks, how it ended. Fires at its time limit. */
+/** One hop of a lookup: its target, what it requests, and its outcome. As a timer it fires at its deadline. */
 final class Hop extends Timers.Timer {
     final Lookup lookup;
     final int number;
-    final Node node, source;            // the source is the node itself where nothing is to be filled
-    final int rank, fetchOptions;
-    final double maxAge, sentAt, deadline;
-    NodeConnection connection;                  // the connection that it waits for or is out on
-    WriteFuture writeFuture;                // null until it has been given to the connection
+    final Node node;
+    /** Where the node fills from; the node itself if nothing is to be filled. */
+    final Node source;
+    final int rank;
+    /** Bits of {@link mothcross.DecisionWriter}. */
+    final int fetchOptions;
+    final double maxAge;
+    final double sentAt;
+    final double deadline;
+    /** The connection that the hop waits for or is in flight on; null once it has ended. */
+    NodeConnection connection;
+    /** Null until the hop has been given to the socket. */
+    WriteFuture writeFuture;
     double writtenAt;
     boolean ended;
-    int outcome, note;
+    int outcome;
+    int note;
     double sourceWait;
     double[] report;
-    // What the client will be given: room for a head, then the bytes.
+    /** Room for the head of the client's response, followed by the body. */
     IoBuffer answer;
     String etag;
     boolean notModified;
 
-    Hop(Lookup lookup, int number, Node node, Node source, int rank, double maxAge, int how, double sentAt,
-        double until) {
+    Hop(Lookup lookup, int number, Node node, Node source, int rank, double maxAge, int fetchOptions, double sentAt,
+        double deadline) {
         this.lookup = lookup;
         this.number = number;
         this.node = node;
         this.source = source;
         this.rank = rank;
         this.maxAge = maxAge;
-        this.fetchOptions = how;
+        this.fetchOptions = fetchOptions;
         this.sentAt = sentAt;
-        this.deadline = until;
+        this.deadline = deadline;
     }
 
     @Override void fire() {
--- a/src/main/java/mothcross/net/Lookup.java
+++ b/src/main/java/mothcross/net/Lookup.java
@@ -1,35 +1,40 @@
 package mothcross.net;
 
 /**
- * A lookup that a client has asked and that is owed an answer, as the desk keeps it: what its hops must
- * carry on unchanged, and the timer that fires when its time is up. Must never outlive its last hop.
+ * A client's lookup while it is owed an answer or has open hops, with what its hops pass on to nodes unchanged. As
+ * a timer it fires shortly after its deadline.
  */
 final class Lookup extends Timers.Timer {
     final ClientConnection client;
-    final byte[] idHex;                    // as it came, 16 hex digits
-    final long id;                  // the same as a number
-    final byte[] requestFields;                 // the fields of a hop that say what is asked
+    /** The request id as received: 16 hex digits. */
+    final byte[] idHex;
+    /** The request id as a number. */
+    final long id;
+    /** The fields of a node request that say what is requested, the same for every hop. */
+    final byte[] requestFields;
     final byte[] body;
-    final String clientEtag;                 // the tag of the client's own copy, or null
+    /** The tag of the client's own copy, or null. */
+    final String clientEtag;
     final long object;
     final int group;
     final double expiresAt;
-    int index, workload;
+    int index;
+    int workload;
     private final Hop[] hops;
     private int hopCount;
 
-    Lookup(ClientConnection client, byte[] id, byte[] asked, byte[] body, String known, long object, int group,
-           double expires, int mostHops) {
+    Lookup(ClientConnection client, byte[] idHex, byte[] requestFields, byte[] body, String clientEtag, long object,
+           int group, double expiresAt, int maxHops) {
         this.client = client;
-        this.idHex = id;
-        this.id = Bytes.parseHex(id, 0, id.length);
-        this.requestFields = asked;
+        this.idHex = idHex;
+        this.id = Bytes.parseHex(idHex, 0, idHex.length);
+        this.requestFields = requestFields;
         this.body = body;
-        this.clientEtag = known;
+        this.clientEtag = clientEtag;
         this.object = object;
         this.group = group;
-        this.expiresAt = expires;
-        this.hops = new Hop[mostHops];
+        this.expiresAt = expiresAt;
+        this.hops = new Hop[maxHops];
     }
 
     void add(Hop hop) {
@@ -40,6 +45,7 @@
         return hopCount == hops.length;
     }
 
+    /** Returns null if there is no hop of this number. */
     Hop hop(int number) {
         return number >= 0 && number < hopCount ? hops[number] : null;
     }
--- a/src/main/java/mothcross/net/Node.java
+++ b/src/main/java/mothcross/net/Node.java
@@ -4,16 +4,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A node of the list as the desk keeps it: its index, its name, its address and the connections to it. */
+/** A listed node: its index, id, address and status, and the connections to it. */
 final class Node {
     final int index;
     final String id;
     InetSocketAddress address;
+    /** One of the node statuses of {@link mothcross.Director}. */
     int status;
-    double lastReceivedAt;                     // when anything came from it last, on whichever connection
-    int activeHops;                           // out that name it, as node or as source
-    boolean inList;                      // in the whole list being read
-    // Those that are up or on their way and take hops; replaced ones are no longer among them.
+    /** When anything was last received from the node, on any connection. */
+    double lastReceivedAt;
+    /** Open hops that name this node, as target or as source. */
+    int activeHops;
+    /** Whether the list now being read contains the node; always true while a delta is read. */
+    boolean inList;
+    /** Connections that take new hops, up or being made; retired ones are no longer included. */
     final List<NodeConnection> connections = new ArrayList<>();
 
     Node(int index, String id) {
@@ -22,6 +26,6 @@
     }
 
     void retireConnections() {
-        for (NodeConnection c : new ArrayList<>(connections)) c.retire();
+        for (NodeConnection connection : new ArrayList<>(connections)) connection.retire();
     }
 }
--- a/src/main/java/mothcross/net/NodeConnection.java
+++ b/src/main/java/mothcross/net/NodeConnection.java
@@ -15,103 +15,141 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The line protocol with one node, on one of its long-lived connections. Owns the hops that wait for the connection
- * or are out on it, and tells how each ended: not made or never wholly written, it never ran; reset after
- * writing, it may have run; silence ends with the hop's time. Must never send a hop again by itself, keep
- * an answer that no hop waits for, or let bytes of one answer reach another.
+ * The line protocol on one long-lived connection to a node. Holds the hops that wait for the connection or are in
+ * flight on it, and reports how each ended. A hop whose connection was never made, or whose request was never wholly
+ * written, was not executed; one whose connection was lost after writing may have been executed; one without an
+ * answer ends at its deadline.
+ *
+ * <p>A hop is never sent again from here. Answers that no hop waits for are discarded, and after malformed input the
+ * connection is closed, so that bytes of one answer can't be taken for another's.
  */
 final class NodeConnection extends Connection {
     private static final Logger LOG = LoggerFactory.getLogger(NodeConnection.class);
+    /** Left free before each body, for the head of the client's response. */
     static final int RESPONSE_HEAD_ROOM_BYTES = 320;
-    private static final int LONGEST_LINE = 4096, LARGEST_BODY = 240_000;
-    private static final double USED_OF_IDLE = 0.9, UNREAD_MS = 50;
+    private static final int MAX_LINE_BYTES = 4096;
+    private static final int MAX_BODY_BYTES = 240_000;
+    private static final int MAX_ETAG_BYTES = 128;
+    private static final int REQUEST_FIELDS_CHARS = 96;
+    /** Connections idle for this share of the node's idle timeout are closed from here. */
+    private static final double IDLE_TIMEOUT_SHARE = 0.9;
+    /** How long bytes may have been received by the system and not been read yet. */
+    private static final double UNREAD_GRACE_MS = 50;
+    /** The values of the field "n", in the order of the notes of {@link Director}, from {@link Director#HIT}. */
     private static final String[] NOTES = {"mem", "parent", "origin", "shared", "old", "denied", "unreached",
         "absent", "crowded", "behind"};
-    private static final byte[] WANT = Bytes.encode("want "), END_OF_LINE = Bytes.encode("\r\n");
-    private static final String[] HOW = {"share", "peek", "pass", "swr"};
+    /** The values of the field "opts", by the bits of {@link mothcross.DecisionWriter}. */
+    private static final String[] FETCH_OPTIONS = {"share", "peek", "pass", "swr"};
+    private static final byte[] WANT = Bytes.encode("want ");
+    private static final byte[] END_OF_LINE = Bytes.encode("\r\n");
+    private static final int END_OF_LINE_BYTES = 2;
+    /** The value of {@link #remainingBodyBytes} while a line is read. */
+    private static final int NO_BODY = -1;
+    /** The value of {@link #timedUnit} while the read timeout is not set. */
+    private static final long NOT_TIMED = -1;
 
     private final Node node;
     private final ArrayDeque<Hop> waiting = new ArrayDeque<>();
-    private final Map<Long, Hop> out = new LinkedHashMap<>();       // the one longest out first
+    /** Written hops by request id, the oldest first. */
+    private final Map<Long, Hop> inFlight = new LinkedHashMap<>();
     private final Map<String, Probe> probes = new HashMap<>();
-    // The one given to the socket last: the next follows when it has left, so that news finds here what has not.
-    private Hop handed;
-    private boolean stuck;
+    /**
+     * The hop given to the socket last. The next one follows only when this has been written, so that news about a
+     * node still finds here the hops that have not.
+     */
+    private Hop lastWritten;
+    private boolean awaitingWrite;
     private long probeCount;
-    private ConnectFuture connecting;
-    private boolean up, ended, retired;
-    private double heardAt, usedAt;
-    // The answer whose bytes are coming in: how many are still to come, line end included, and for whom.
-    private int bodyLeft = -1;
-    private Hop bodyFor;
-    private int scanned;
-    // Lines and answers that have come in whole; and the count at which patience was set.
-    private static final long NOTHING_BEGUN = -1;
-    private long begun, timed = NOTHING_BEGUN;
-    private boolean suspected, nodeSilent;
-    private int doubts, wrongly;                        // how often it was asked, and was there, since its last answer
+    private ConnectFuture connectFuture;
+    private boolean up;
+    private boolean ended;
+    private boolean retired;
+    private double lastReceivedAt;
+    private double lastUsedAt;
+    /** How many bytes of the answer being read are still to come, with its line end. */
+    private int remainingBodyBytes = NO_BODY;
+    /** The hop that the answer being read belongs to, or null if it is discarded. */
+    private Hop bodyHop;
+    private int scannedBytes;
+    /** How many lines and bodies have been received whole. */
+    private long completeUnits;
+    /** The value of {@link #completeUnits} at which the read timeout was set. */
+    private long timedUnit = NOT_TIMED;
+    private boolean readTimeoutSuspected;
+    /** Whether the whole node, not only this connection, has been found unresponsive. */
+    private boolean nodeUnresponsive;
+    /** 0 while no liveness probe is out; 1 when one has been sent; 2 in the grace time for an unread reply. */
+    private int livenessStage;
+    /** Liveness probes sent since the last answer to a hop; each that was answered was a false suspicion. */
+    private int falseSuspicions;
 
     /**
-     * A line, and an answer's bytes from one to the next, may take the time that a connection may; an answer that
-     * nobody waits for any more has until its hop's time was up, or that long. Else what is here is spoilt: one that
-     * never ends would hold up for ever what comes behind it.
+     * The read timeout. A line has to be received whole, and the next bytes of an answer have to follow, within the
+     * time that a connect may take. An answer that no hop waits for any more may take until its hop's deadline, or
+     * that time if it is later. Past that the connection is closed: an answer that never ends would block all
+     * answers behind it.
      */
-    private final Timers.Timer patience = new Timers.Timer() {
+    private final Timers.Timer readTimeout = new Timers.Timer() {
         @Override void fire() {
             if (ended) return;
-            if (suspected) malformed("stalls within an answer");
-            else dispatcher.timers.set(this, dispatcher.clock() + UNREAD_MS);    // it may have come, and not been read yet
-            suspected = true;
+            if (readTimeoutSuspected) malformed("stalls within an answer");
+            else dispatcher.timers.set(this, dispatcher.clock() + UNREAD_GRACE_MS); // it may be received but unread
+            readTimeoutSuspected = true;
         }
     };
 
     /**
-     * A node that owes answers and says nothing for unusually long is asked whether it is there; where that is not
-     * answered either, the connection is as good as ended: its machine has vanished, or is cut off, or never took up
-     * what it got. Each word that it is there makes the next question come later.
+     * The liveness probe. A node that owes answers and sends nothing for unusually long is asked whether it is
+     * there. If it does not reply to that either, the connection is treated as lost: the machine has vanished, is
+     * cut off, or never received what was written. Each reply delays the next probe.
      */
-    private final Timers.Timer quiet = new Timers.Timer() {
+    private final Timers.Timer livenessTimer = new Timers.Timer() {
         @Override void fire() {
-            if (ended || out.isEmpty()) {
-                doubts = 0;
+            if (ended || inFlight.isEmpty()) {
+                livenessStage = 0;
                 return;
             }
-            Hop first = out.values().iterator().next();
-            double now = dispatcher.clock(), step = dispatcher.settings.connectMs / 4, since = Math.max(heardAt, first.writtenAt);
-            double unusual = Math.max(2 * step, dispatcher.answerTimes.unusualAfterMs(first.lookup.workload, wrongly));
-            boolean nodeToo = node.lastReceivedAt <= since;
-            if (doubts == 0) {
-                boolean doubtful = now - since >= unusual && dispatcher.settings.probingAllowed && (nodeToo || out.size() > 1);
-                if (doubtful) {
-                    doubts = 1;
-                    wrongly++;
+            Hop oldest = inFlight.values().iterator().next();
+            double now = dispatcher.clock();
+            double stepMs = dispatcher.settings.connectMs / 4;
+            double silentSince = Math.max(lastReceivedAt, oldest.writtenAt);
+            double unusualMs = Math.max(2 * stepMs,
+                dispatcher.answerTimes.unusualAfterMs(oldest.lookup.workload, falseSuspicions));
+            boolean nodeSilent = node.lastReceivedAt <= silentSince;
+            if (livenessStage == 0) {
+                boolean suspect = now - silentSince >= unusualMs && dispatcher.settings.probingAllowed
+                    && (nodeSilent || inFlight.size() > 1);
+                if (suspect) {
+                    livenessStage = 1;
+                    falseSuspicions++;
                     session.write(IoBuffer.wrap(Bytes.encode("there l" + probeCount++ + "\r\n")));
                 }
-                dispatcher.timers.set(this, doubtful ? now + step : Math.max(now + step, since + unusual));
-            } else if (doubts++ == 1) {
-                dispatcher.timers.set(this, now + UNREAD_MS);
+                dispatcher.timers.set(this,
+                    suspect ? now + stepMs : Math.max(now + stepMs, silentSince + unusualMs));
+            } else if (livenessStage++ == 1) {
+                dispatcher.timers.set(this, now + UNREAD_GRACE_MS);
             } else {
                 dispatcher.counters.unresponsive++;
-                LOG.debug("{} says nothing, {} hops are out", node.id, out.size());
+                LOG.debug("{} is unresponsive with {} hops in flight", node.id, inFlight.size());
                 abort();
-                nodeSilent = nodeToo;
+                nodeUnresponsive = nodeSilent;
                 closed();
             }
         }
     };
 
-    /** Not up in time counts as not reached. */
-    private final Timers.Timer notUp = new Timers.Timer() {
+    /** A connection not up in time counts as failed to connect. */
+    private final Timers.Timer connectTimeout = new Timers.Timer() {
         @Override void fire() {
             if (up || ended) return;
-            connecting.cancel();
+            connectFuture.cancel();
             closed();
         }
     };
 
-    /** A question about the node itself. */
+    /** A health probe of the node, requested by the director. */
     private final class Probe extends Timers.Timer {
-        final double askedAt = dispatcher.clock();
+        final double startedAt = dispatcher.clock();
         final String tag;
 
         Probe(String tag) {
@@ -124,157 +162,183 @@
 
         void finish(int outcome, double[] report) {
             dispatcher.timers.cancel(this);
-            if (probes.remove(tag) != null) dispatcher.probeCompleted(node, outcome, dispatcher.clock() - askedAt, report);
+            if (probes.remove(tag) != null) {
+                dispatcher.probeCompleted(node, outcome, dispatcher.clock() - startedAt, report);
+            }
         }
     }
 
-    private NodeConnection(Dispatcher desk, Node node) {
-        super(desk);
+    private NodeConnection(Dispatcher dispatcher, Node node) {
+        super(dispatcher);
         this.node = node;
         node.connections.add(this);
-        desk.nodeConnections.add(this);
-        desk.counters.connects++;
-        desk.timers.set(notUp, desk.clock() + desk.settings.connectMs);
-        connecting = desk.connector.connect(node.address, (session, future) -> bindSession(session));
-        connecting.addListener(f -> {
-            if (connecting.getException() != null || connecting.isCanceled()) desk.runLocked(this::closed);
+        dispatcher.nodeConnections.add(this);
+        dispatcher.counters.connects++;
+        dispatcher.timers.set(connectTimeout, dispatcher.clock() + dispatcher.settings.connectMs);
+        connectFuture = dispatcher.connector.connect(node.address, (session, future) -> bindSession(session));
+        connectFuture.addListener(future -> {
+            if (connectFuture.getException() != null || connectFuture.isCanceled()) {
+                dispatcher.runLocked(this::closed);
+            }
         });
     }
 
-    /** The one that is up and carries least; where even that one carries something, one more is made for later. */
-    private static NodeConnection to(Dispatcher desk, Node node) {
+    /**
+     * Selects the least loaded connection to a node, with those that are up first. If even that one has load, one
+     * more connection is opened for later hops.
+     */
+    private static NodeConnection select(Dispatcher dispatcher, Node node) {
         NodeConnection best = null;
-        boolean coming = false;
-        for (NodeConnection c : new ArrayList<>(node.connections)) {
-            // The node closes what has been idle for long; not to cross that, it is closed here a little sooner.
-            if (c.up && c.load() == 0 && desk.clock() - c.usedAt > USED_OF_IDLE * desk.settings.idleMs) c.retire();
-            else if (c.load() >= desk.settings.maxStreamsPerConnection) continue;
-            else if (best == null || c.up && !best.up || c.up == best.up && c.load() < best.load()) best = c;
-            coming |= !c.up;
+        boolean connecting = false;
+        for (NodeConnection candidate : new ArrayList<>(node.connections)) {
+            if (candidate.idleTooLong()) candidate.retire();
+            else if (candidate.load() >= dispatcher.settings.maxStreamsPerConnection) continue;
+            else if (best == null || candidate.betterThan(best)) best = candidate;
+            connecting |= !candidate.up;
         }
-        boolean more = best != null && best.load() > 0 && !coming;
-        if (more && node.connections.size() < desk.connectionsPerNode()) new NodeConnection(desk, node);
-        return best != null ? best : new NodeConnection(desk, node);
+        boolean needsMore = best != null && best.load() > 0 && !connecting;
+        if (needsMore && node.connections.size() < dispatcher.connectionsPerNode()) {
+            new NodeConnection(dispatcher, node);
+        }
+        return best != null ? best : new NodeConnection(dispatcher, node);
+    }
+
+    /**
+     * The node closes connections that have been idle for long. They are closed here a little earlier, so that no
+     * request crosses that close.
+     */
+    private boolean idleTooLong() {
+        return up && load() == 0
+            && dispatcher.clock() - lastUsedAt > IDLE_TIMEOUT_SHARE * dispatcher.settings.idleMs;
+    }
+
+    private boolean betterThan(NodeConnection other) {
+        return up && !other.up || up == other.up && load() < other.load();
     }
 
     private int load() {
-        return out.size() + waiting.size() + probes.size();
+        return inFlight.size() + waiting.size() + probes.size();
     }
 
-    /** How many hops wait for the connection to come up, or for its socket to take what went before. */
+    /** The number of hops that wait for the connection to come up or for the previous write to complete. */
     int waitingHops() {
         return waiting.size();
     }
 
-    static void send(Dispatcher desk, Hop h) {
-        NodeConnection c = to(desk, h.node);
-        h.connection = c;
-        if (c.ended) {
-            desk.endHop(h, Director.CONNECT_FAILED);
+    static void send(Dispatcher dispatcher, Hop hop) {
+        NodeConnection connection = select(dispatcher, hop.node);
+        hop.connection = connection;
+        if (connection.ended) {
+            dispatcher.endHop(hop, Director.CONNECT_FAILED);
             return;
         }
-        c.waiting.add(h);
-        if (c.up) c.flow();
+        connection.waiting.add(hop);
+        if (connection.up) connection.writeWaiting();
     }
 
-    /** Writes what waits for as long as the socket takes it; where it does not, the rest stays here. */
-    private void flow() {
+    /** Writes waiting hops for as long as the socket accepts them; the rest keeps waiting here. */
+    private void writeWaiting() {
         while (up && !waiting.isEmpty()) {
-            if (handed != null && !handed.writeFuture.isDone()) {
-                boolean asked = stuck;
-                stuck = true;                           // before: it may have left by now, and goes on at once
-                if (!asked) handed.writeFuture.addListener(f -> dispatcher.runLocked(this::goesOn));
+            if (lastWritten != null && !lastWritten.writeFuture.isDone()) {
+                boolean listening = awaitingWrite;
+                // Set before the listener is added: if the write has completed by now, that runs at once.
+                awaitingWrite = true;
+                if (!listening) {
+                    lastWritten.writeFuture.addListener(future -> dispatcher.runLocked(this::resumeWriting));
+                }
                 return;
             }
-            Hop h = waiting.poll();
-            if (dispatcher.mayBeSent(h)) write(h);
-            else dispatcher.endHop(h, Director.NOT_SENT);
+            Hop hop = waiting.poll();
+            if (dispatcher.mayBeSent(hop)) write(hop);
+            else dispatcher.endHop(hop, Director.NOT_SENT);
         }
     }
 
-    private void goesOn() {
-        stuck = false;
-        flow();
-        retireWhenDone();
+    private void resumeWriting() {
+        awaitingWrite = false;
+        writeWaiting();
+        closeWhenRetired();
     }
 
-    static void probe(Dispatcher desk, Node node) {
-        NodeConnection c = to(desk, node);
-        Probe p = c.new Probe("p" + c.probeCount++);
-        c.probes.put(p.tag, p);
-        desk.timers.set(p, desk.clock() + desk.settings.connectMs);
-        if (c.up) c.writeProbe(p);
+    static void probe(Dispatcher dispatcher, Node node) {
+        NodeConnection connection = select(dispatcher, node);
+        Probe probe = connection.new Probe("p" + connection.probeCount++);
+        connection.probes.put(probe.tag, probe);
+        dispatcher.timers.set(probe, dispatcher.clock() + dispatcher.settings.connectMs);
+        if (connection.up) connection.writeProbe(probe);
     }
 
-    private void writeProbe(Probe p) {
-        session.write(IoBuffer.wrap(Bytes.encode("busy " + p.tag + "\r\n")));
+    private void writeProbe(Probe probe) {
+        session.write(IoBuffer.wrap(Bytes.encode("busy " + probe.tag + "\r\n")));
     }
 
-    private void write(Hop h) {
-        Lookup l = h.lookup;
+    private void write(Hop hop) {
+        Lookup lookup = hop.lookup;
         double now = dispatcher.clock();
-        StringBuilder s = new StringBuilder(96);
-        s.append(",patience=").append(Math.max(1, (long) (h.deadline - now)));
-        if (h.source != h.node) s.append(",via=").append(h.source.id);
-        if (h.rank > 0) s.append(",tier=").append(h.rank);
-        if (h.maxAge > 0) s.append(",fresh=").append(Math.max(1, (long) h.maxAge));
-        for (int i = 0, first = 1; i < HOW.length; i++) {
-            if ((h.fetchOptions & 1 << i) == 0) continue;
-            s.append(first == 1 ? ",opts=" : "+").append(HOW[i]);
-            first = 0;
+        StringBuilder fields = new StringBuilder(REQUEST_FIELDS_CHARS);
+        fields.append(",patience=").append(Math.max(1, (long) (hop.deadline - now)));
+        if (hop.source != hop.node) fields.append(",via=").append(hop.source.id);
+        if (hop.rank > 0) fields.append(",tier=").append(hop.rank);
+        if (hop.maxAge > 0) fields.append(",fresh=").append(Math.max(1, (long) hop.maxAge));
+        boolean first = true;
+        for (int i = 0; i < FETCH_OPTIONS.length; i++) {
+            if ((hop.fetchOptions & 1 << i) == 0) continue;
+            fields.append(first ? ",opts=" : "+").append(FETCH_OPTIONS[i]);
+            first = false;
         }
-        s.append(' ').append(l.body.length).append("\r\n");
-        byte[] orders = Bytes.encode(s.toString());
-        if (LOG.isTraceEnabled()) LOG.trace("{} is asked {}{}", node.id, Bytes.decode(l.requestFields), s);
-        int length = l.idHex.length + l.requestFields.length + orders.length + l.body.length;
-        IoBuffer b = IoBuffer.allocate(WANT.length + 1 + length + END_OF_LINE.length);
-        b.put(WANT).put(l.idHex).put((byte) ' ').put(l.requestFields).put(orders).put(l.body).put(END_OF_LINE).flip();
-        h.writtenAt = usedAt = now;
-        if (out.isEmpty()) dispatcher.timers.set(quiet, now + dispatcher.settings.connectMs / 2);
-        out.put(l.id, h);
-        handed = h;
-        h.writeFuture = session.write(b);
+        fields.append(' ').append(lookup.body.length).append("\r\n");
+        byte[] hopFields = Bytes.encode(fields.toString());
+        if (LOG.isTraceEnabled()) LOG.trace("to {}: {}{}", node.id, Bytes.decode(lookup.requestFields), fields);
+        int length = lookup.idHex.length + lookup.requestFields.length + hopFields.length + lookup.body.length;
+        IoBuffer request = IoBuffer.allocate(WANT.length + 1 + length + END_OF_LINE.length);
+        request.put(WANT).put(lookup.idHex).put((byte) ' ').put(lookup.requestFields).put(hopFields)
+            .put(lookup.body).put(END_OF_LINE).flip();
+        hop.writtenAt = lastUsedAt = now;
+        if (inFlight.isEmpty()) dispatcher.timers.set(livenessTimer, now + dispatcher.settings.connectMs / 2);
+        inFlight.put(lookup.id, hop);
+        lastWritten = hop;
+        hop.writeFuture = session.write(request);
     }
 
-    /** Nobody waits for the hop any more. True where the node has said nothing at all since it was sent. */
-    boolean abandon(Hop h) {
-        if (h.writeFuture == null) {
-            waiting.remove(h);
+    /** Stops waiting for a hop. Returns whether nothing at all was received on the connection since it was sent. */
+    boolean abandon(Hop hop) {
+        if (hop.writeFuture == null) {
+            waiting.remove(hop);
             return false;
         }
-        out.remove(h.lookup.id, h);
+        inFlight.remove(hop.lookup.id, hop);
         if (!up) return false;
-        if (bodyFor == h) {
-            bodyFor = null;
-            times(Math.max(h.deadline, dispatcher.clock() + dispatcher.settings.connectMs));
+        if (bodyHop == hop) {
+            bodyHop = null;
+            setReadTimeout(Math.max(hop.deadline, dispatcher.clock() + dispatcher.settings.connectMs));
         }
         if (dispatcher.settings.cancellation) {
-            session.write(IoBuffer.wrap(Bytes.encode("never_mind " + Bytes.decode(h.lookup.idHex) + "\r\n")));
+            session.write(IoBuffer.wrap(Bytes.encode("never_mind " + Bytes.decode(hop.lookup.idHex) + "\r\n")));
         }
-        boolean silent = heardAt < h.writtenAt;
-        retireWhenDone();
-        return silent;
+        boolean unresponsive = lastReceivedAt < hop.writtenAt;
+        closeWhenRetired();
+        return unresponsive;
     }
 
-    /** What has not been written yet and fits goes back: it never ran. */
-    void withdraw(Predicate<Hop> which) {
-        waiting.removeIf(h -> {
-            if (!which.test(h)) return false;
-            dispatcher.endHop(h, Director.NOT_SENT);
+    /** Ends waiting hops that match as not sent; none of them was executed. */
+    void withdraw(Predicate<Hop> affected) {
+        waiting.removeIf(hop -> {
+            if (!affected.test(hop)) return false;
+            dispatcher.endHop(hop, Director.NOT_SENT);
             return true;
         });
     }
 
-    /** The next hop gets a new connection; this one ends with what is out on it. */
+    /** Takes no further hops, and closes once those waiting or in flight have ended. */
     void retire() {
         node.connections.remove(this);
         retired = true;
-        retireWhenDone();
+        closeWhenRetired();
     }
 
-    private void retireWhenDone() {
-        boolean done = out.isEmpty() && waiting.isEmpty() && probes.isEmpty();
-        if (retired && done && up && !ended) session.closeOnFlush();
+    private void closeWhenRetired() {
+        boolean drained = inFlight.isEmpty() && waiting.isEmpty() && probes.isEmpty();
+        if (retired && drained && up && !ended) session.closeOnFlush();
     }
 
     @Override void opened() {
@@ -284,11 +348,11 @@
         }
         up = true;
         dispatcher.counters.up++;
-        dispatcher.timers.cancel(notUp);
-        flow();
-        for (Probe p : probes.values()) writeProbe(p);
-        usedAt = dispatcher.clock();
-        retireWhenDone();
+        dispatcher.timers.cancel(connectTimeout);
+        writeWaiting();
+        for (Probe probe : probes.values()) writeProbe(probe);
+        lastUsedAt = dispatcher.clock();
+        closeWhenRetired();
     }
 
     @Override void closed() {
@@ -296,32 +360,37 @@
         ended = true;
         dispatcher.nodeConnections.remove(this);
         node.connections.remove(this);
-        dispatcher.timers.cancel(patience);
-        dispatcher.timers.cancel(notUp);
-        dispatcher.timers.cancel(quiet);
-        endAll(waiting, null);
-        endAll(out.values(), bodyFor);
+        dispatcher.timers.cancel(readTimeout);
+        dispatcher.timers.cancel(connectTimeout);
+        dispatcher.timers.cancel(livenessTimer);
+        endHops(waiting, null);
+        endHops(inFlight.values(), bodyHop);
         int outcome = up ? Director.CONNECTION_LOST : Director.CONNECT_FAILED;
-        for (Probe p : probes.values()) {
-            dispatcher.timers.set(new Timers.Timer() {              // not at once: the module may be at work
+        for (Probe probe : probes.values()) {
+            // By a timer, not at once: the director may be processing a batch.
+            dispatcher.timers.set(new Timers.Timer() {
                 @Override void fire() {
-                    p.finish(outcome, null);
+                    probe.finish(outcome, null);
                 }
             }, dispatcher.clock());
         }
         up = false;
     }
 
-    /** One fault is one piece of evidence about the node, the rest only went down with it: but not if all is silent. */
-    private void endAll(Collection<Hop> hops, Hop guilty) {
-        Hop first = guilty;
-        for (Hop h : hops) {
-            if (first == null) first = h;
-            if (h != first && !nodeSilent) h.note = Director.COLLATERAL_FAILURE;
-            // Guards against an end from here while the write is being made: it may leave after this. Only a write that
-            // has failed never ran.
-            boolean ran = h.writeFuture != null && (h.writeFuture.isWritten() || !h.writeFuture.isDone());
-            dispatcher.endHop(h, ran ? Director.CONNECTION_LOST : Director.CONNECT_FAILED);
+    /**
+     * Ends all hops with the connection. One failure is one piece of evidence about the node: only the hop that
+     * caused it, or else the first, counts, and the rest is noted as collateral. If the whole node is unresponsive,
+     * every hop counts.
+     */
+    private void endHops(Collection<Hop> hops, Hop culprit) {
+        Hop first = culprit;
+        for (Hop hop : hops) {
+            if (first == null) first = hop;
+            if (hop != first && !nodeUnresponsive) hop.note = Director.COLLATERAL_FAILURE;
+            // A write that is still being made while we close may yet go out. Only a hop whose write has failed is
+            // known not to have been executed.
+            boolean mayHaveRun = hop.writeFuture != null && (hop.writeFuture.isWritten() || !hop.writeFuture.isDone());
+            dispatcher.endHop(hop, mayHaveRun ? Director.CONNECTION_LOST : Director.CONNECT_FAILED);
         }
         hops.clear();
     }
@@ -329,178 +398,197 @@
     // ---- answers ----
 
     @Override void received() {
-        heardAt = usedAt = node.lastReceivedAt = dispatcher.clock();
-        doubts = 0;
-        answers();
+        lastReceivedAt = lastUsedAt = node.lastReceivedAt = dispatcher.clock();
+        livenessStage = 0;
+        readAnswers();
         if (ended) return;
-        if (remaining() == 0 && bodyLeft < 0) {
-            dispatcher.timers.cancel(patience);
-            timed = NOTHING_BEGUN;
-        } else if (begun != timed || bodyFor != null) {
-            times(heardAt + dispatcher.settings.connectMs);        // what trickles within a line gets no more time for it
+        if (remaining() == 0 && remainingBodyBytes < 0) {
+            dispatcher.timers.cancel(readTimeout);
+            timedUnit = NOT_TIMED;
+        } else if (completeUnits != timedUnit || bodyHop != null) {
+            // Not extended by bytes that trickle in within a line.
+            setReadTimeout(lastReceivedAt + dispatcher.settings.connectMs);
         }
     }
 
-    /** What is coming in now has to be whole, or for an answer to have gone on, by then. */
-    private void times(double by) {
-        timed = begun;
-        suspected = false;
-        dispatcher.timers.set(patience, by);
+    /** Sets by when the line being read has to be whole, or the answer being read has to continue. */
+    private void setReadTimeout(double deadline) {
+        timedUnit = completeUnits;
+        readTimeoutSuspected = false;
+        dispatcher.timers.set(readTimeout, deadline);
     }
 
-    private void answers() {
+    private void readAnswers() {
         while (remaining() > 0) {
-            if (bodyLeft >= 0) {
-                takeBody();
-                if (bodyLeft >= 0) return;
+            if (remainingBodyBytes >= 0) {
+                readBody();
+                if (remainingBodyBytes >= 0) return;
                 continue;
             }
-            int end = Bytes.indexOf(bytes, from + scanned, to, '\n');
-            if (end < 0) {
-                scanned = remaining();
-                if (scanned > LONGEST_LINE) malformed("line too long");
+            int lineFeed = Bytes.indexOf(bytes, from + scannedBytes, to, '\n');
+            if (lineFeed < 0) {
+                scannedBytes = remaining();
+                if (scannedBytes > MAX_LINE_BYTES) malformed("line too long");
                 return;
             }
-            scanned = 0;
-            begun++;
-            if (end == from || bytes[end - 1] != '\r') {
+            scannedBytes = 0;
+            completeUnits++;
+            if (lineFeed == from || bytes[lineFeed - 1] != '\r') {
                 malformed("line does not end in CR LF");
                 return;
             }
             int start = from;
-            from = end + 1;
-            if (LOG.isTraceEnabled()) LOG.trace("{} says {}", node.id, Bytes.decode(bytes, start, end - 1));
-            if (!line(start, end - 1)) return;
+            from = lineFeed + 1;
+            if (LOG.isTraceEnabled()) LOG.trace("from {}: {}", node.id, Bytes.decode(bytes, start, lineFeed - 1));
+            if (!readLine(start, lineFeed - 1)) return;
         }
     }
 
-    private void takeBody() {
-        int n = Math.min(remaining(), bodyLeft - 2);
-        if (n > 0) {
-            if (bodyFor != null) bodyFor.answer.put(bytes, from, n);
-            from += n;
-            bodyLeft -= n;
+    private void readBody() {
+        int length = Math.min(remaining(), remainingBodyBytes - END_OF_LINE_BYTES);
+        if (length > 0) {
+            if (bodyHop != null) bodyHop.answer.put(bytes, from, length);
+            from += length;
+            remainingBodyBytes -= length;
         }
-        if (bodyLeft > 2 || remaining() < 2) return;
+        if (remainingBodyBytes > END_OF_LINE_BYTES || remaining() < END_OF_LINE_BYTES) return;
         if (bytes[from] != '\r' || bytes[from + 1] != '\n') {
             malformed("body does not end in CR LF");
             return;
         }
-        from += 2;
-        bodyLeft = -1;
-        begun++;
-        Hop h = bodyFor;
-        bodyFor = null;
-        if (h != null) {
-            out.remove(h.lookup.id, h);
-            dispatcher.endHop(h, Director.SUCCEEDED);
+        from += END_OF_LINE_BYTES;
+        remainingBodyBytes = NO_BODY;
+        completeUnits++;
+        Hop hop = bodyHop;
+        bodyHop = null;
+        if (hop != null) {
+            inFlight.remove(hop.lookup.id, hop);
+            dispatcher.endHop(hop, Director.SUCCEEDED);
         }
-        retireWhenDone();
+        closeWhenRetired();
     }
 
-    /** {@code ID WORD FIELDS LENGTH}; false where the connection had to be dropped. */
-    private boolean line(int start, int end) {
-        int a = Bytes.indexOf(bytes, start, end, ' ');
-        int b = a < 0 ? -1 : Bytes.indexOf(bytes, a + 1, end, ' ');
-        int c = b < 0 ? -1 : Bytes.indexOf(bytes, b + 1, end, ' ');
-        if (a < 0) return malformed("one word");
-        int wordEnd = b < 0 ? end : b;
-        boolean fit = Bytes.matches(bytes, a + 1, wordEnd, "FIT");
-        if (fit || Bytes.matches(bytes, a + 1, wordEnd, "UNFIT")) {
-            long length = c < 0 ? -1 : Bytes.parseInteger(bytes, c + 1, end);
-            if (c >= 0 && (length < 0 || length > LARGEST_BODY)) return malformed("length");
-            bodyLeft = c < 0 ? -1 : (int) length + 2;
-            Probe p = probes.get(Bytes.decode(bytes, start, a));
-            double[] report = b < 0 ? null : report(b + 1, c < 0 ? end : c);
-            if (p != null) p.finish(fit ? Director.SUCCEEDED : Director.REJECTED, report);
-            return true;
+    /** Reads {@code ID WORD FIELDS LENGTH}; returns false if the connection had to be closed. */
+    private boolean readLine(int start, int end) {
+        int idEnd = Bytes.indexOf(bytes, start, end, ' ');
+        int wordEnd = idEnd < 0 ? -1 : Bytes.indexOf(bytes, idEnd + 1, end, ' ');
+        int fieldsEnd = wordEnd < 0 ? -1 : Bytes.indexOf(bytes, wordEnd + 1, end, ' ');
+        if (idEnd < 0) return malformed("one word");
+        int lastOfWord = wordEnd < 0 ? end : wordEnd;
+        boolean fit = Bytes.matches(bytes, idEnd + 1, lastOfWord, "FIT");
+        if (fit || Bytes.matches(bytes, idEnd + 1, lastOfWord, "UNFIT")) {
+            return readProbeReply(fit, start, idEnd, wordEnd, fieldsEnd, end);
         }
-        if (c < 0) return malformed("fewer than four words");
-        int outcome = outcome(a + 1, b);
-        long length = Bytes.parseInteger(bytes, c + 1, end);
-        if (outcome < 0 || length < 0 || length > LARGEST_BODY) return malformed("word or length");
-        bodyLeft = (int) length + 2;
-        Hop h = Bytes.isHex(bytes, start, a) ? out.get(Bytes.parseHex(bytes, start, a)) : null;
-        if (h == null) return true;                     // given up meanwhile, or nobody's
-        if (!fields(h, b + 1, c)) {
-            bodyFor = h;
+        if (fieldsEnd < 0) return malformed("fewer than four words");
+        int outcome = parseOutcome(idEnd + 1, wordEnd);
+        long length = Bytes.parseInteger(bytes, fieldsEnd + 1, end);
+        if (outcome < 0 || length < 0 || length > MAX_BODY_BYTES) return malformed("word or length");
+        remainingBodyBytes = (int) length + END_OF_LINE_BYTES;
+        Hop hop = Bytes.isHex(bytes, start, idEnd) ? inFlight.get(Bytes.parseHex(bytes, start, idEnd)) : null;
+        if (hop == null) return true;                   // abandoned meanwhile, or an unknown id
+        if (!parseFields(hop, wordEnd + 1, fieldsEnd)) {
+            bodyHop = hop;
             return malformed("fields");
         }
-        wrongly = 0;
-        h.notModified = bytes[a + 1] == 'K';
-        // Only the copy that the client has named may be called current, and by the node that names it.
-        if (h.notModified && (length > 0 || h.lookup.clientEtag == null || !h.lookup.clientEtag.equals(h.etag))) {
-            bodyFor = h;
-            return malformed("a copy is kept that nobody has");
+        falseSuspicions = 0;
+        hop.notModified = bytes[idEnd + 1] == 'K';
+        // Only the copy that the client has named may be confirmed as current, by an answer with the same tag.
+        Lookup lookup = hop.lookup;
+        boolean sameTag = lookup.clientEtag != null && lookup.clientEtag.equals(hop.etag);
+        if (hop.notModified && (length > 0 || !sameTag)) {
+            bodyHop = hop;
+            return malformed("confirms a copy that the client does not have");
         }
         if (outcome == Director.SUCCEEDED) {
-            dispatcher.answerTimes.record(h.lookup.workload, dispatcher.clock() - h.writtenAt);
-            h.answer = IoBuffer.allocate(RESPONSE_HEAD_ROOM_BYTES + (int) length);
-            h.answer.position(RESPONSE_HEAD_ROOM_BYTES);
-            bodyFor = h;
+            dispatcher.answerTimes.record(lookup.workload, dispatcher.clock() - hop.writtenAt);
+            hop.answer = IoBuffer.allocate(RESPONSE_HEAD_ROOM_BYTES + (int) length);
+            hop.answer.position(RESPONSE_HEAD_ROOM_BYTES);
+            bodyHop = hop;
         } else {
-            out.remove(h.lookup.id);
-            dispatcher.endHop(h, outcome);
+            inFlight.remove(lookup.id);
+            dispatcher.endHop(hop, outcome);
         }
         return true;
     }
 
-    private int outcome(int a, int b) {
-        if (Bytes.matches(bytes, a, b, "DONE") || Bytes.matches(bytes, a, b, "KEEP")) return Director.SUCCEEDED;
-        if (Bytes.matches(bytes, a, b, "LACK")) return Director.MISS;
-        if (Bytes.matches(bytes, a, b, "WAIT")) return Director.REJECTED;
-        if (Bytes.matches(bytes, a, b, "BROKE")) return Director.ERROR;
-        return Bytes.matches(bytes, a, b, "PAST") ? Director.NOT_SENT : -1;
+    /** The report and the length may be absent: {@code wordEnd} or {@code fieldsEnd} is -1 then. */
+    private boolean readProbeReply(boolean fit, int start, int tagEnd, int wordEnd, int fieldsEnd, int end) {
+        long length = fieldsEnd < 0 ? -1 : Bytes.parseInteger(bytes, fieldsEnd + 1, end);
+        if (fieldsEnd >= 0 && (length < 0 || length > MAX_BODY_BYTES)) return malformed("length");
+        remainingBodyBytes = fieldsEnd < 0 ? NO_BODY : (int) length + END_OF_LINE_BYTES;
+        Probe probe = probes.get(Bytes.decode(bytes, start, tagEnd));
+        double[] report = wordEnd < 0 ? null : parseReport(wordEnd + 1, fieldsEnd < 0 ? end : fieldsEnd);
+        if (probe != null) probe.finish(fit ? Director.SUCCEEDED : Director.REJECTED, report);
+        return true;
     }
 
-    private boolean fields(Hop h, int a, int b) {
-        if (b - a == 1 && bytes[a] == '-') return true;
-        while (a < b) {
-            int comma = Bytes.indexOf(bytes, a, b, ','), end = comma < 0 ? b : comma;
-            int eq = Bytes.indexOf(bytes, a, end, '=');
-            if (eq <= a) return false;
-            int v = eq + 1;
-            if (Bytes.matches(bytes, a, eq, "n")) {
-                for (int i = 0; i < NOTES.length; i++) if (Bytes.matches(bytes, v, end, NOTES[i])) h.note = i + 1;
-            } else if (Bytes.matches(bytes, a, eq, "lag")) {
-                h.sourceWait = Bytes.parseDecimal(bytes, v, end);
-                if (Double.isNaN(h.sourceWait)) return false;
-            } else if (Bytes.matches(bytes, a, eq, "l")) {
-                h.report = report(v, end);
-            } else if (Bytes.matches(bytes, a, eq, "tag")) {
-                h.etag = end - v <= 128 ? Bytes.decode(bytes, v, end) : null;
+    /** Returns -1 for an unknown word. */
+    private int parseOutcome(int start, int end) {
+        if (Bytes.matches(bytes, start, end, "DONE") || Bytes.matches(bytes, start, end, "KEEP")) {
+            return Director.SUCCEEDED;
+        }
+        if (Bytes.matches(bytes, start, end, "LACK")) return Director.MISS;
+        if (Bytes.matches(bytes, start, end, "WAIT")) return Director.REJECTED;
+        if (Bytes.matches(bytes, start, end, "BROKE")) return Director.ERROR;
+        return Bytes.matches(bytes, start, end, "PAST") ? Director.NOT_SENT : -1;
+    }
+
+    /** Reads {@code name=value,name=value} or {@code -} into the hop; unknown names are ignored. */
+    private boolean parseFields(Hop hop, int start, int end) {
+        if (end - start == 1 && bytes[start] == '-') return true;
+        int position = start;
+        while (position < end) {
+            int comma = Bytes.indexOf(bytes, position, end, ',');
+            int fieldEnd = comma < 0 ? end : comma;
+            int equals = Bytes.indexOf(bytes, position, fieldEnd, '=');
+            if (equals <= position) return false;
+            int value = equals + 1;
+            if (Bytes.matches(bytes, position, equals, "n")) {
+                for (int i = 0; i < NOTES.length; i++) {
+                    if (Bytes.matches(bytes, value, fieldEnd, NOTES[i])) hop.note = i + Director.HIT;
+                }
+            } else if (Bytes.matches(bytes, position, equals, "lag")) {
+                hop.sourceWait = Bytes.parseDecimal(bytes, value, fieldEnd);
+                if (Double.isNaN(hop.sourceWait)) return false;
+            } else if (Bytes.matches(bytes, position, equals, "l")) {
+                hop.report = parseReport(value, fieldEnd);
+            } else if (Bytes.matches(bytes, position, equals, "tag")) {
+                hop.etag = fieldEnd - value <= MAX_ETAG_BYTES ? Bytes.decode(bytes, value, fieldEnd) : null;
             }
-            a = end + 1;
+            position = fieldEnd + 1;
         }
         return true;
     }
 
-    /** {@code name:value;name:value}; what is not known is skipped. */
-    private double[] report(int a, int b) {
-        if (b - a > 2 && bytes[a] == 'l' && bytes[a + 1] == '=') a += 2;
-        double[] told = new double[dispatcher.settings.reportFields.length];
-        Arrays.fill(told, Double.NaN);
-        while (a < b) {
-            int semi = Bytes.indexOf(bytes, a, b, ';'), end = semi < 0 ? b : semi;
-            int colon = Bytes.indexOf(bytes, a, end, ':');
-            for (int i = 0; colon > a && i < told.length; i++) {
-                if (!Bytes.matches(bytes, a, colon, dispatcher.settings.reportFields[i])) continue;
-                told[i] = Bytes.parseDecimal(bytes, colon + 1, end);
+    /** Reads {@code name:value;name:value}, with or without {@code l=} before it; unknown names are ignored. */
+    private double[] parseReport(int start, int end) {
+        int position = start;
+        if (end - start > 2 && bytes[start] == 'l' && bytes[start + 1] == '=') position += 2;
+        double[] values = new double[dispatcher.settings.reportFields.length];
+        Arrays.fill(values, Double.NaN);
+        while (position < end) {
+            int semicolon = Bytes.indexOf(bytes, position, end, ';');
+            int fieldEnd = semicolon < 0 ? end : semicolon;
+            int colon = Bytes.indexOf(bytes, position, fieldEnd, ':');
+            for (int i = 0; colon > position && i < values.length; i++) {
+                if (!Bytes.matches(bytes, position, colon, dispatcher.settings.reportFields[i])) continue;
+                values[i] = Bytes.parseDecimal(bytes, colon + 1, fieldEnd);
             }
-            a = end + 1;
+            position = fieldEnd + 1;
         }
-        return dispatcher.settings.decodeReport(told);
+        return dispatcher.settings.decodeReport(values);
     }
 
-    private boolean malformed(String what) {
+    /** Counts a protocol violation and closes the connection; returns false for the caller to return. */
+    private boolean malformed(String reason) {
         dispatcher.counters.badNode++;
         if (dispatcher.counters.mayWarn()) {
-            LOG.warn("{} sent what is no answer ({}); its connection is dropped", node.id, what);
+            LOG.warn("{} sent a malformed answer ({}); closing the connection", node.id, reason);
         }
         abort();
         closed();
-        bodyLeft = -1;
-        bodyFor = null;
+        remainingBodyBytes = NO_BODY;
+        bodyHop = null;
         return false;
     }
 }
--- a/src/main/java/mothcross/net/Nodes.java
+++ b/src/main/java/mothcross/net/Nodes.java
@@ -9,58 +9,60 @@
 import mothcross.Director;
 
 /**
- * The nodes of the list by index and by id. Owns the indices: one entry for each node listed; that of one that
- * is gone, and has no hop out, is given to the next new one. Must never decide whether a node is used.
+ * The nodes of the list by index and by id. Each listed node has an index; the index of a node that has left the
+ * list and that no open hop names is reused for the next new node. Accessed under the dispatcher's lock.
  */
 final class Nodes {
     private final List<Node> all = new ArrayList<>();
     private final Map<String, Node> byId = new HashMap<>();
-    private final LinkedHashSet<Node> gone = new LinkedHashSet<>();
+    /** Nodes that have left the list, the one gone for longest first. */
+    private final LinkedHashSet<Node> removed = new LinkedHashSet<>();
 
     Node get(int index) {
         return all.get(index);
     }
 
-    /** How many indices there are, in use or free for new nodes. */
+    /** The number of indices, in use or free for new nodes. */
     int size() {
         return all.size();
     }
 
-    /** How many are listed, with those gone whose index was not given anew yet. */
-    int nodeListed() {
+    /** The number of listed nodes and of removed ones whose index has not been reused yet. */
+    int listedCount() {
         return byId.size();
     }
 
     void listStarted(Director to, int news) {
-        boolean whole = news != Director.LIST_DELTA;
-        for (Node n : all) n.inList = !whole;
+        boolean wholeList = news != Director.LIST_DELTA;
+        for (Node node : all) node.inList = !wholeList;
         to.listStarted(news);
     }
 
-    void nodeListed(Director to, String id, InetSocketAddress address, int place, int kind, int cell,
-                int standing, double units, double startedAt) {
-        Node n = byId.get(id);
-        if (n == null) {
-            if (standing == Director.REMOVED) return;
-            byId.put(id, n = new Node(freeIndex(), id));
-            all.set(n.index, n);
+    void nodeListed(Director to, String id, InetSocketAddress address, int zone, int kind, int cell,
+                    int status, double units, double startedAt) {
+        Node node = byId.get(id);
+        if (node == null) {
+            if (status == Director.REMOVED) return;
+            byId.put(id, node = new Node(allocateIndex(), id));
+            all.set(node.index, node);
         }
-        gone.remove(n);
-        n.inList = true;
-        n.status = standing;
-        if (!address.equals(n.address)) n.retireConnections();
-        n.address = address;
-        // All directors must find the same ranking, and each reaches a node at an address of its own.
-        to.nodeListed(n.index, id, place, kind, cell, standing, units, startedAt);
+        removed.remove(node);
+        node.inList = true;
+        node.status = status;
+        if (!address.equals(node.address)) node.retireConnections();
+        node.address = address;
+        // The director ranks nodes by id, not by address: all directors must compute the same ranking, and each
+        // may reach a node at a different address.
+        to.nodeListed(node.index, id, zone, kind, cell, status, units, startedAt);
     }
 
-    /** That of the node gone longest of those that no hop names; the module forgets what it knew of that one. */
-    private int freeIndex() {
-        for (Node n : gone) {
-            if (n.activeHops > 0) continue;
-            gone.remove(n);
-            byId.remove(n.id, n);
-            return n.index;
+    /** Reuses the index of the node removed for longest that no open hop names; the director forgets that node. */
+    private int allocateIndex() {
+        for (Node node : removed) {
+            if (node.activeHops > 0) continue;
+            removed.remove(node);
+            byId.remove(node.id, node);
+            return node.index;
         }
         all.add(null);
         return all.size() - 1;
@@ -68,11 +70,11 @@
 
     void listFinished(Director to) {
         to.listFinished();
-        for (Node n : all) {
-            if (!n.inList) n.status = Director.REMOVED;
-            if (n.status != Director.REMOVED) continue;
-            n.retireConnections();
-            gone.add(n);
+        for (Node node : all) {
+            if (!node.inList) node.status = Director.REMOVED;
+            if (node.status != Director.REMOVED) continue;
+            node.retireConnections();
+            removed.add(node);
         }
     }
 }
--- a/src/main/java/mothcross/net/Processor.java
+++ b/src/main/java/mothcross/net/Processor.java
@@ -10,12 +10,13 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * The one thread that reads and writes all sockets, with two things that the library keeps to itself: whether the
- * other side had closed by the time its last bytes were read, and closing only the side on which we write. Owns
- * nothing but these marks on a session; must never read or write by itself.
+ * The thread that reads and writes all sockets, extended by two things that MINA does not expose: whether the peer
+ * had closed by the time its last bytes were read, and closing only our direction of a connection. Both are kept as
+ * attributes of the session.
  */
 final class Processor extends NioProcessor {
-    private static final String CHANNEL = "channel", END_OF_INPUT = "end of input";
+    private static final String CHANNEL_ATTRIBUTE = "channel";
+    private static final String END_OF_INPUT_ATTRIBUTE = "end of input";
 
     Processor(Executor threads) {
         super(threads);
@@ -23,29 +24,29 @@
 
     @Override protected void init(NioSession session) throws Exception {
         super.init(session);
-        for (SelectionKey k : selector.keys()) {
-            if (k.attachment() == session) session.setAttribute(CHANNEL, k.channel());
+        for (SelectionKey key : selector.keys()) {
+            if (key.attachment() == session) session.setAttribute(CHANNEL_ATTRIBUTE, key.channel());
         }
     }
 
-    /** The library reads until nothing more is there, and passes the bytes on before it tells of the end after them. */
-    @Override protected int read(NioSession session, IoBuffer into) throws Exception {
-        int n = super.read(session, into);
-        if (n < 0) session.setAttribute(END_OF_INPUT);
-        return n;
+    /** MINA reads until nothing is left, and passes the bytes on before it reports the end of input after them. */
+    @Override protected int read(NioSession session, IoBuffer buffer) throws Exception {
+        int length = super.read(session, buffer);
+        if (length < 0) session.setAttribute(END_OF_INPUT_ATTRIBUTE);
+        return length;
     }
 
-    /** Whether nothing more can come: the other side has closed, and what it sent before may still be being handled. */
+    /** Whether the peer has closed its direction; what it sent before may not have been processed yet. */
     static boolean endOfInput(IoSession session) {
-        return session.containsAttribute(END_OF_INPUT);
+        return session.containsAttribute(END_OF_INPUT_ATTRIBUTE);
     }
 
-    /** Half-close: the other side reads what was written and then the end; what it still sends can be read. */
+    /** Half-closes: the peer reads what was written and then the end; what it still sends can be read. */
     static void shutdownOutput(IoSession session) {
         try {
-            ((SocketChannel) session.getAttribute(CHANNEL)).shutdownOutput();
+            ((SocketChannel) session.getAttribute(CHANNEL_ATTRIBUTE)).shutdownOutput();
         } catch (IOException | RuntimeException e) {
-            session.closeNow();                             // it has ended meanwhile, or was never up
+            session.closeNow();                             // closed meanwhile, or never connected
         }
     }
 }
--- a/src/main/java/mothcross/net/Timers.java
+++ b/src/main/java/mothcross/net/Timers.java
@@ -1,67 +1,73 @@
 package mothcross.net;
 
 import java.util.Arrays;
-import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.Condition;
 
 /**
- * All times that something waits for, in one heap served by one thread, to the millisecond. Owns that
- * thread; must never fire outside the desk's lock, and never hold anything but what is waited for still.
+ * All timers in one binary heap, served by one thread with a resolution of a millisecond. Timers are set, cancelled
+ * and fired under the dispatcher's lock; the heap references only timers that are set.
  */
 final class Timers implements Runnable {
-    /** What fires: hops, lookups, connections are timers themselves, so none costs another object. */
+    private static final int INITIAL_CAPACITY = 64;
+    private static final double MAX_WAIT_MS = 1000;
+    private static final double NANOS_PER_MS = 1e6;
+
+    /** Extended by hops, lookups and connections' timers themselves, so that setting one allocates nothing. */
     abstract static class Timer {
+        private static final int NOT_SET = -1;
+
         private double dueAt;
-        private int heapIndex = -1;                         // in the heap; -1: not set
+        private int heapIndex = NOT_SET;
 
         abstract void fire();
     }
 
-    private final Dispatcher desk;
+    private final Dispatcher dispatcher;
     private final Condition changed;
-    private Timer[] heap = new Timer[64];                 // each earlier than the two at twice its place
+    /** Each timer is due no later than its children, at twice its index plus 1 and plus 2. */
+    private Timer[] heap = new Timer[INITIAL_CAPACITY];
     private int size;
     private boolean stopped;
 
-    Timers(Dispatcher desk) {
-        this.desk = desk;
-        this.changed = desk.lock.newCondition();
+    Timers(Dispatcher dispatcher) {
+        this.dispatcher = dispatcher;
+        this.changed = dispatcher.lock.newCondition();
     }
 
-    /** Under the lock; a timer that is set already is moved. */
-    void set(Timer timer, double at) {
+    /** Sets a timer, or moves it if it is set already. */
+    void set(Timer timer, double dueAt) {
         cancel(timer);
-        timer.dueAt = at;
+        timer.dueAt = dueAt;
         if (size == heap.length) heap = Arrays.copyOf(heap, 2 * size);
-        settle(timer, size++);
+        sift(timer, size++);
         if (heap[0] == timer) changed.signal();
     }
 
-    /** What is over is waited for no longer, and nothing holds it. */
+    /** Removes a timer from the heap; does nothing if it is not set. */
     void cancel(Timer timer) {
-        int at = timer.heapIndex;
-        if (at < 0) return;
-        timer.heapIndex = -1;
+        int index = timer.heapIndex;
+        if (index < 0) return;
+        timer.heapIndex = Timer.NOT_SET;
         Timer last = heap[--size];
         heap[size] = null;
-        if (last != timer) settle(last, at);
+        if (last != timer) sift(last, index);
     }
 
-    /** Puts a timer where it belongs: up from this place, else down from it. */
-    private void settle(Timer timer, int from) {
+    /** Places a timer in the heap: moves it up from the given index, or else down from it. */
+    private void sift(Timer timer, int from) {
         int i = from;
-        for (int up; i > 0 && heap[up = (i - 1) / 2].dueAt > timer.dueAt; i = up) put(heap[up], i);
-        for (int down; (down = 2 * i + 1) < size; i = down) {
-            if (down + 1 < size && heap[down + 1].dueAt < heap[down].dueAt) down++;
-            if (heap[down].dueAt >= timer.dueAt) break;
-            put(heap[down], i);
+        for (int parent; i > 0 && heap[parent = (i - 1) / 2].dueAt > timer.dueAt; i = parent) put(heap[parent], i);
+        for (int child; (child = 2 * i + 1) < size; i = child) {
+            if (child + 1 < size && heap[child + 1].dueAt < heap[child].dueAt) child++;
+            if (heap[child].dueAt >= timer.dueAt) break;
+            put(heap[child], i);
         }
         put(timer, i);
     }
 
-    private void put(Timer timer, int at) {
-        heap[at] = timer;
-        timer.heapIndex = at;
+    private void put(Timer timer, int index) {
+        heap[index] = timer;
+        timer.heapIndex = index;
     }
 
     void stop() {
@@ -75,23 +81,23 @@
 
     @Override public void run() {
         while (true) {
-            desk.enter();
+            dispatcher.enter();
             try {
                 if (stopped) return;
                 Timer next = heap[0];
-                double wait = next == null ? 1000 : next.dueAt - desk.clock();
-                if (wait <= 0) {
+                double waitMs = next == null ? MAX_WAIT_MS : next.dueAt - dispatcher.clock();
+                if (waitMs <= 0) {
                     cancel(next);
                     next.fire();
                 } else {
-                    changed.awaitNanos((long) Math.min(TimeUnit.SECONDS.toNanos(1), wait * 1e6));
+                    changed.awaitNanos((long) (Math.min(MAX_WAIT_MS, waitMs) * NANOS_PER_MS));
                 }
             } catch (InterruptedException e) {
                 return;
-            } catch (Throwable e) {                     // without this thread nothing would end in time
-                desk.recordInternalError(e);
+            } catch (Throwable e) {                     // without this thread no deadline would be enforced
+                dispatcher.recordInternalError(e);
             } finally {
-                desk.leave();
+                dispatcher.leave();
             }
         }
     }
