--- a/src/test/java/mothcross/net/EndingsTest.java
+++ b/src/test/java/mothcross/net/EndingsTest.java
@@ -16,7 +16,7 @@
 import mothcross.standin.FakeDiscovery;
 import org.testng.annotations.Test;
 
-/** The instants in which something ends and something is still owed, or is owed no more. */
+/** Connections, answers and processes that end while an answer is still owed, or is owed no longer. */
 public class EndingsTest {
     private static final String ASK = "GET /api/v2/books/%02x HTTP/1.1|Req-Id: %016x|Req-Wait-Ms: %d||";
 
@@ -44,23 +44,26 @@
         return c;
     }
 
-    /** Written on and on until the other side has had enough; how is the test's control, no time is waited for. */
+    /** Writes again and again until the director closes the connection, for up to 10 s. */
     private static void trickle(Outside to, String what) throws IOException {
         long until = System.nanoTime() + 10_000_000_000L;
         try {
             while (System.nanoTime() < until) {
                 to.write(what, false);
-                Thread.sleep(20);                           // the pace of the trickle
+                Thread.sleep(20);                           // the interval between writes
             }
         } catch (IOException e) {
-            return;                                         // the director has ended the connection
+            return;                                         // the director has closed the connection
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        throw new AssertionError("the director bears it for ever");
+        throw new AssertionError("the director does not close the connection");
     }
 
-    /** The request and the end of its client are there together when the director comes to read: nobody waits. */
+    /**
+     * A request and the disconnect of its client are both received before the director reads. Nobody waits for the
+     * answer, so the request must not be forwarded to a node.
+     */
     @Test(timeOut = 30_000) public void requestOfDisconnectedClientIsNotForwarded() throws Exception {
         DirectorServer director = null;
         try {
@@ -72,9 +75,9 @@
             }
             director.desk().enter();
             try {
-                b.write("GET /-/healthy HTTP/1.1||", false);    // the one thread that reads now waits for the lock
+                b.write("GET /-/healthy HTTP/1.1||", false);    // blocks the only reading thread on the lock
                 Dispatcher d = director.desk();
-                Fleet.until("it waits", () -> lockIsContended(d));
+                Fleet.until("the reading thread waits for the lock", () -> lockIsContended(d));
                 a.write(String.format(ASK, 10, 10, 29_000), false);
                 a.close(false);
             } finally {
@@ -91,42 +94,44 @@
     }
 
     /**
-     * Bytes that are there unread when our side ends, behind an answer and on a connection that rests: a close would
-     * reset both, and take the answer with it. They are read and not sent on.
+     * Requests arrive, and are unread, while the director closes: one behind the last answer, one on an idle
+     * connection. A close with unread bytes would reset both connections and lose the answer. The requests are read
+     * and discarded.
      */
     @Test(timeOut = 30_000) public void bytesArrivingDuringCloseCauseNoReset() throws Exception {
         DirectorServer director = startDirector("node", Map.of());
         try {
-            Outside asked = client("asked", director), rests = client("rests", director), b = client("b", director);
-            for (Outside c : List.of(rests, b)) {
+            Outside waiting = client("asked", director), idle = client("rests", director), b = client("b", director);
+            for (Outside c : List.of(idle, b)) {
                 c.write("GET /-/healthy HTTP/1.1||", false);
                 assertTrue(c.read().startsWith("HTTP/1.1 200 "));
             }
-            asked.write("GET /api/v2/books/0a HTTP/1.1|Req-Id: 000000000000000a|Connection: close||", false);
+            waiting.write("GET /api/v2/books/0a HTTP/1.1|Req-Id: 000000000000000a|Connection: close||", false);
             assertTrue(parties.get("n1").read().startsWith("want 000000000000000a "));
             Dispatcher d = director.desk();
             d.enter();
             try {
-                b.write("GET /-/healthy HTTP/1.1||", false);    // the one thread that reads now waits for the lock
-                Fleet.until("it waits", () -> lockIsContended(d));
-                asked.write(String.format(ASK, 11, 11, 2900), false);
-                rests.write(String.format(ASK, 11, 12, 2900), false);
+                b.write("GET /-/healthy HTTP/1.1||", false);    // blocks the only reading thread on the lock
+                Fleet.until("the reading thread waits for the lock", () -> lockIsContended(d));
+                waiting.write(String.format(ASK, 11, 11, 2900), false);
+                idle.write(String.format(ASK, 11, 12, 2900), false);
                 d.closeIdleClients();
                 d.stopSending();
             } finally {
                 d.leave();
             }
-            assertTrue(asked.read().startsWith("HTTP/1.1 503 "));
-            for (Outside c : List.of(asked, rests)) assertTrue(c.ends(), "reset");
-            // Closed over them, they are never read, and the connection is reset.
-            Fleet.until("what crossed has been read", () -> counters(director).receivedAfterClose >= 2);
-            assertEquals(counters(director).lookups, 1, "what crossed is not taken");
+            assertTrue(waiting.read().startsWith("HTTP/1.1 503 "));
+            for (Outside c : List.of(waiting, idle)) assertTrue(c.ends(), "reset");
+            // A close with these bytes unread would never read them, and reset the connection.
+            Fleet.until("bytes received after the close have been read",
+                () -> counters(director).receivedAfterClose >= 2);
+            assertEquals(counters(director).lookups, 1, "requests received after the close are not served");
         } finally {
             release(director);
         }
     }
 
-    /** The timers' thread may wait for the lock as well; the other one reads. */
+    /** Whether the reading thread waits for the lock; the timers' thread may as well, and does not count. */
     private static boolean lockIsContended(Dispatcher d) {
         return Thread.getAllStackTraces().keySet().stream().anyMatch(t -> !t.getName().equals("timers")
             && d.lock.hasQueuedThread(t));
@@ -141,7 +146,7 @@
         }
     }
 
-    /** Half a frame that trickles is no news: the watch is made anew, as after silence. */
+    /** Bytes that trickle in within a frame do not extend its timeout: the director reconnects, as after silence. */
     @Test(timeOut = 30_000) public void tricklingDiscoveryFrameTimesOut() throws Exception {
         DirectorServer director = null;
         try {
@@ -151,13 +156,13 @@
             bulletin.write("00000fff 0000000000000003 02", false);
             trickle(bulletin, "00");
             bulletin.close(false);
-            assertEquals(bulletin.read(), "2", "it asks anew from what it knows");
+            assertEquals(bulletin.read(), "2", "the watch resumes after the last known event");
         } finally {
             release(director);
         }
     }
 
-    /** It says again and again that nothing is new, after an event that never came: that event is asked for. */
+    /** Heartbeats name an event that never arrived: the director reconnects and requests it. */
     @Test(timeOut = 30_000) public void missedDiscoveryEventIsRequestedAgain() throws Exception {
         DirectorServer director = null;
         try {
@@ -167,13 +172,16 @@
             bulletin.write("00000009 0000000000000002 00", false);
             trickle(bulletin, "00000009 0000000000000003 00");
             bulletin.close(false);
-            assertEquals(bulletin.read(), "2", "it asks for what never came");
+            assertEquals(bulletin.read(), "2", "the missed event is requested");
         } finally {
             release(director);
         }
     }
 
-    /** SIGHUP names an address where nobody listens yet: it is asked until somebody does, from the same number on. */
+    /**
+     * A reload names a discovery address where nothing listens yet: the director retries until it can connect, and
+     * continues from the same event.
+     */
     @Test(timeOut = 30_000) public void watchMovesToAddressNotYetListening() throws Exception {
         DirectorServer director = null;
         try (FakeDiscovery next = new FakeDiscovery()) {
@@ -198,7 +206,7 @@
         }
     }
 
-    /** A line that trickles, and an answer that trickles after its time, hold nobody up behind them for ever. */
+    /** A line, or an answer past its deadline, that trickles in without end must not block the answers behind it. */
     @Test(timeOut = 30_000) public void tricklingAnswerTimesOut() throws Exception {
         for (String begun : List.of("000000000000000a DO", "000000000000000a DONE n=mem 200000|")) {
             DirectorServer director = null;
@@ -215,7 +223,7 @@
         }
     }
 
-    /** A body of 60 MB is refused by its head; its sender gets the refusal and a close in the page's 6 s. */
+    /** A body of 60 MB is refused by its head; the client gets the refusal, and the close follows within 6 s. */
     @Test(timeOut = 30_000) public void hugeBodyIsRefusedBeforeClose() throws Exception {
         DirectorServer director = startDirector("node", Map.of("writes", "true"));
         try {
@@ -223,14 +231,14 @@
             long began = System.nanoTime();
             a.write("PUT /api/v2/books/0a HTTP/1.1|Req-Id: 000000000000000a|Content-Length: 60000000||", false);
             assertTrue(a.read().startsWith("HTTP/1.1 413 "));
-            String much = "y".repeat(1 << 20);
+            String megabyte = "y".repeat(1 << 20);
             try {
-                for (int i = 0; i < 58; i++) a.write(much, false);
+                for (int i = 0; i < 58; i++) a.write(megabyte, false);
             } catch (IOException e) {
-                assertTrue(clients(director) <= 1, "closed on it");
+                assertTrue(clients(director) <= 1, "the connection was closed by the director");
             }
             Fleet.until("the connection has ended", () -> clients(director) == 0);
-            assertTrue(System.nanoTime() - began < 6_000_000_000L, "took too long");
+            assertTrue(System.nanoTime() - began < 6_000_000_000L, "closed too late");
         } finally {
             release(director);
         }
@@ -245,55 +253,61 @@
         }
     }
 
-    /** Many large bodies at once, none of them whole: past an eighth of the memory they are refused, and let go. */
+    /**
+     * Many large bodies arrive at once and none is complete. Once they hold more than an eighth of the memory, further
+     * bytes are refused and the buffers released.
+     */
     @Test(timeOut = 30_000) public void incompleteBodiesAreBounded() throws Exception {
         DirectorServer director = startDirector("node", Map.of("writes", "true", "sockets", "400", "memory", "16"));
         try {
-            String most = "y".repeat(150_000);
+            String incompleteBody = "y".repeat(150_000);
             for (int i = 0; i < 30; i++) {
                 client("c" + i, director).write("PUT /api/v2/books/0a HTTP/1.1|Req-Id: " + String.format("%016x", i + 1)
-                    + "|Content-Length: 200000||" + most, false);
+                    + "|Content-Length: 200000||" + incompleteBody, false);
             }
             Dispatcher d = director.desk();
-            Fleet.until("all is read", () -> d.readAheadBytes > 0 && clients(director) < 30);
+            Fleet.until("the limit is reached and a client refused",
+                () -> d.readAheadBytes > 0 && clients(director) < 30);
             for (int i = 0; i < 30; i++) {
                 Outside c = parties.get("c" + i);
-                c.write(most.substring(0, 10_000), false);  // who is still read is looked at again
+                c.write(incompleteBody.substring(0, 10_000), false);    // has the director check the limit again
             }
-            Fleet.until("what is held is bounded", () -> d.readAheadBytes <= (16 << 20) / 8 + 160_000);
+            Fleet.until("the bytes held are bounded", () -> d.readAheadBytes <= (16 << 20) / 8 + 160_000);
             List<Outside> all = new ArrayList<>();
             for (int i = 0; i < 30; i++) all.add(parties.get("c" + i));
-            Fleet.until("one has its refusal", () -> all.stream().anyMatch(Outside::answered));
+            Fleet.until("a client has received its refusal", () -> all.stream().anyMatch(Outside::answered));
             for (Outside c : all) if (c.answered()) assertTrue(c.read().startsWith("HTTP/1.1 503 "));
         } finally {
             release(director);
         }
     }
 
-    /** The states of a process's end, by time alone. */
+    /** The states of the shutdown sequence, driven by time alone. */
     @Test public void processEndsWhenNoAnswerIsOwed() {
         ShutdownSequence e = new ShutdownSequence();
         assertEquals(e.state(), ShutdownSequence.State.SERVING);
         e.begins(1000, 60_000);
-        assertEquals(e.answeredBy(), 1000 + 700 + 3000 - 150.0, "the page's longest deadline");
-        assertEquals(e.step(1699, 0, 0), ShutdownSequence.State.DRAINING, "who may still come finds somebody");
+        assertEquals(e.answeredBy(), 1000 + 700 + 3000 - 150.0,
+            "drain time, plus the longest client deadline, less a margin");
+        assertEquals(e.step(1699, 0, 0), ShutdownSequence.State.DRAINING, "new connections are still accepted");
         assertEquals(e.step(1710, 1700, 3), ShutdownSequence.State.DRAINING,
-            "somebody has just come: more may be waiting");
+            "a client has just connected: more may be queued");
         assertEquals(e.step(1760, 1700, 3), ShutdownSequence.State.CLOSING);
         assertEquals(e.step(e.answeredBy(), 1700, 3), ShutdownSequence.State.CLOSING,
-            "the last answers are on their way");
-        assertEquals(e.step(e.answeredBy() + 100, 1700, 3), ShutdownSequence.State.OUT, "before it is killed");
+            "the last answers are being sent");
+        assertEquals(e.step(e.answeredBy() + 100, 1700, 3), ShutdownSequence.State.OUT, "exits before it is killed");
         ShutdownSequence quick = new ShutdownSequence();
         quick.begins(0, 500);
-        assertEquals(quick.answeredBy(), 1050.0, "no client waits for longer");
+        assertEquals(quick.answeredBy(), 1050.0, "no client waits for longer than its 500 ms");
         assertEquals(quick.step(700, 100, 1), ShutdownSequence.State.CLOSING);
-        assertEquals(quick.step(701, 100, 0), ShutdownSequence.State.OUT, "nobody is left");
+        assertEquals(quick.step(701, 100, 0), ShutdownSequence.State.OUT, "no client is left");
         ShutdownSequence busy = new ShutdownSequence();
         busy.begins(0, 500);
-        assertEquals(busy.step(1060, 1059, 9), ShutdownSequence.State.CLOSING, "they never stop coming");
+        assertEquals(busy.step(1060, 1059, 9), ShutdownSequence.State.CLOSING,
+            "clients that keep connecting do not delay the close");
     }
 
-    /** Where the connection is shut unread to make room, asked again on another, as the front and its clients do. */
+    /** Retries on a new connection if this one was evicted, as front ends and their clients do. */
     private static String answer(int port, String ask) throws IOException {
         for (long until = System.nanoTime() + 10_000_000_000L;;) {
             Outside c = Outside.client("c", port);
@@ -309,31 +323,32 @@
     }
 
     /**
-     * In a process of its own with so many descriptors: idle clients take all that they can get while discovery is
-     * down. It is ready all the same, reaches its node, follows discovery when that is back, and ends with 0.
+     * A separate process with 256 descriptors: idle clients take all they can get while discovery is down. The
+     * director must still be ready, reach its node, follow discovery once it is back, and exit with 0.
      */
     @Test(timeOut = 60_000) public void idleClientsDoNotExhaustDescriptors() throws Exception {
-        int most = 256;
-        InetAddress here = InetAddress.getByName("127.0.0.1");
+        int maxDescriptors = 256;
+        InetAddress loopback = InetAddress.getByName("127.0.0.1");
         Path file = Files.createTempFile("mothcross", ".json");
         List<Socket> idle = new ArrayList<>();
         AtomicBoolean purged = new AtomicBoolean();
         FakeDiscovery back = new FakeDiscovery();
         parties.put("n1", Outside.listening("node", "cache", 1));
-        Files.writeString(file, Outside.told(Map.of("sockets", Integer.toString(most), "memory", "64", "bulletin",
-            Integer.toString(back.port())), parties));
-        ProcessBuilder b = Outside.builder("serve", "--config", file.toString());
-        List<String> command = new ArrayList<>(List.of("sh", "-c", "ulimit -n " + most + "; exec \"$@\"", "sh"));
-        command.addAll(b.command());
-        Process p = b.command(command).start();
+        Files.writeString(file, Outside.told(Map.of("sockets", Integer.toString(maxDescriptors), "memory", "64",
+            "bulletin", Integer.toString(back.port())), parties));
+        ProcessBuilder builder = Outside.builder("serve", "--config", file.toString());
+        String limitAndRun = "ulimit -n " + maxDescriptors + "; exec \"$@\"";
+        List<String> command = new ArrayList<>(List.of("sh", "-c", limitAndRun, "sh"));
+        command.addAll(builder.command());
+        Process process = builder.command(command).start();
         try {
-            String line = p.errorReader().readLine();
-            while (!line.contains(" serves on ")) line = p.errorReader().readLine();
+            String line = process.errorReader().readLine();
+            while (!line.contains(" serves on ")) line = process.errorReader().readLine();
             int port = Integer.parseInt(line.replaceAll(".*:", ""));
-            for (int i = 0; i < 2 * most; i++) {
+            for (int i = 0; i < 2 * maxDescriptors; i++) {
                 Socket s = new Socket();
                 idle.add(s);
-                s.connect(new InetSocketAddress(here, port), 5000);
+                s.connect(new InetSocketAddress(loopback, port), 5000);
             }
             Outside n1 = parties.get("n1");
             Thread node = new Thread(() -> {
@@ -344,7 +359,7 @@
                         n1.write(want.split(" ")[1] + " DONE n=mem 2|ok|", false);
                     }
                 } catch (IOException e) {
-                    return;                                 // the director has ended
+                    return;                                 // the director has exited
                 }
             });
             node.setDaemon(true);
@@ -357,10 +372,10 @@
             for (int i = 11; !purged.get(); i++) {
                 answer(port, String.format(ASK, 10, i, 2900).replace("||", "|X-Lot: 17||"));
             }
-            p.destroy();
-            assertEquals(p.waitFor(), 0);
+            process.destroy();
+            assertEquals(process.waitFor(), 0);
         } finally {
-            p.destroyForcibly();
+            process.destroyForcibly();
             for (Socket s : idle) s.close();
             back.close();
             release(null);
