--- a/src/main/java/mothcross/net/ClientConnection.java
+++ b/src/main/java/mothcross/net/ClientConnection.java
@@ -319,7 +319,7 @@
     /** Parses the head in place; returns the status to refuse the request with, or null. */
     private String parseHead(int headEnd) {
         resetHead();
-        if (dispatcher.activeRoutes != null) dispatcher.activeRoutes.headBegins();
+        if (dispatcher.activeRoutes != null) dispatcher.activeRoutes.headStarted();
         int lineFeed = Bytes.indexOf(bytes, from, headEnd, '\n');
         String errorStatus = parseRequestLine(lineFeed);
         if (errorStatus != null) return errorStatus;
@@ -396,7 +396,7 @@
     }
 
     private void parseField(int name, int nameEnd, int value, int valueEnd) {
-        if (dispatcher.activeRoutes != null) dispatcher.activeRoutes.field(bytes, name, nameEnd, value, valueEnd);
+        if (dispatcher.activeRoutes != null) dispatcher.activeRoutes.headerField(bytes, name, nameEnd, value, valueEnd);
         if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "connection")) {
             closeAfterAnswer = Bytes.matchesIgnoreCase(bytes, value, valueEnd, "close")
                 || closeAfterAnswer && !Bytes.matchesIgnoreCase(bytes, value, valueEnd, "keep-alive");
@@ -479,7 +479,7 @@
         if (!dispatcher.mayStart()) {
             hasSentValidRequest = true;
             dispatcher.counters.notCurrent++;
-            String retryAfter = retryAfterField(dispatcher.servingPermit.comeBackAfter());
+            String retryAfter = retryAfterField(dispatcher.servingPermit.retryAfterMs());
             write(response("503 Service Unavailable", retryAfter, ""));
             return;
         }
@@ -489,11 +489,11 @@
             now + (Double.isNaN(waitMs) ? workload.timeoutMs() : waitMs), dispatcher.maxHops());
         int decidedAs = workloadIndex;
         RouteConstraints constraints = null;
-        Routing routing = dispatcher.activeRoutes == null ? null : dispatcher.activeRoutes.of(newLookup.object);
-        if (dispatcher.activeRoutes != null) plan = dispatcher.activeRoutes.plan();
+        Routing routing = dispatcher.activeRoutes == null ? null : dispatcher.activeRoutes.forObject(newLookup.object);
+        if (dispatcher.activeRoutes != null) plan = dispatcher.activeRoutes.planNumber();
         if (routing != null) {
-            routing.target(bytes, targetStart, targetEnd, nameStart, nameEnd, objectStart, objectEnd);
-            routing.told(this, hasPart, part, group, sizeKb, waitMs, repeat);
+            routing.setTarget(bytes, targetStart, targetEnd, nameStart, nameEnd, objectStart, objectEnd);
+            routing.setRequestFields(this, hasPart, part, group, sizeKb, waitMs, repeat);
             RouteTable.Outcome outcome = routing.route(workloadIndex, dispatcher.maxHops(), now);
             if (outcome.status != 0) {
                 hasSentValidRequest = true;
@@ -502,7 +502,7 @@
                 return;
             }
             decidedAs = outcome.workload;
-            constraints = Routing.narrowing(outcome, dispatcher.maxHops());
+            constraints = Routing.constraints(outcome, dispatcher.maxHops());
         }
         lookup = newLookup;
         if (dispatcher.startLookup(newLookup, decidedAs, (int) part, sizeKb, repeat, constraints)) {
@@ -541,7 +541,7 @@
 
     /** The client's IP address, 4 or 16 bytes; computed once per connection. */
     byte[] address() {
-        if (address == null) address = Routing.address(session.getRemoteAddress());
+        if (address == null) address = Routing.addressBytes(session.getRemoteAddress());
         return address;
     }
 
--- a/src/main/java/mothcross/net/Dispatcher.java
+++ b/src/main/java/mothcross/net/Dispatcher.java
@@ -401,10 +401,10 @@
                 to.hopEnded(lookup.index, hop.number, hop.node.index, hop.outcome, last, hop.note, now - hop.sentAt,
                     hop.sourceWait, hop.report);
             }
-            if (hopObserver != null) hopObserver.saw(hop);
+            if (hopObserver != null) hopObserver.hopEnded(hop);
             releaseIndex(lookup);
         }
-        if (hopObserver != null) hopObserver.roundEnds(to);
+        if (hopObserver != null) hopObserver.roundFinished(to);
     }
 
     // ---- node list and purges, called while the director is processing a batch ----
--- a/src/test/java/mothcross/net/EndingsTest.java
+++ b/src/test/java/mothcross/net/EndingsTest.java
@@ -27,7 +27,7 @@
         parties.put("n1", Outside.listening("node", "cache", 1));
         String told = Outside.told(start, parties);
         DirectorServer director = new DirectorServer(
-            StartupConfig.of(JsonParser.parseString(told).getAsJsonObject(), null, true, 0));
+            StartupConfig.parse(JsonParser.parseString(told).getAsJsonObject(), null, true, 0));
         director.start();
         return director;
     }
@@ -73,15 +73,15 @@
                 c.write("GET /-/healthy HTTP/1.1||", false);
                 assertTrue(c.read().startsWith("HTTP/1.1 200 "));
             }
-            director.desk().enter();
+            director.dispatcher().enter();
             try {
                 b.write("GET /-/healthy HTTP/1.1||", false);    // blocks the only reading thread on the lock
-                Dispatcher d = director.desk();
-                Fleet.until("the reading thread waits for the lock", () -> lockIsContended(d));
+                Dispatcher d = director.dispatcher();
+                Fleet.awaitTrue("the reading thread waits for the lock", () -> lockIsContended(d));
                 a.write(String.format(ASK, 10, 10, 29_000), false);
                 a.close(false);
             } finally {
-                director.desk().leave();
+                director.dispatcher().leave();
             }
             assertTrue(b.read().startsWith("HTTP/1.1 200 "));
             b.write(String.format(ASK, 11, 11, 2900), false);
@@ -108,11 +108,11 @@
             }
             waiting.write("GET /api/v2/books/0a HTTP/1.1|Req-Id: 000000000000000a|Connection: close||", false);
             assertTrue(parties.get("n1").read().startsWith("want 000000000000000a "));
-            Dispatcher d = director.desk();
+            Dispatcher d = director.dispatcher();
             d.enter();
             try {
                 b.write("GET /-/healthy HTTP/1.1||", false);    // blocks the only reading thread on the lock
-                Fleet.until("the reading thread waits for the lock", () -> lockIsContended(d));
+                Fleet.awaitTrue("the reading thread waits for the lock", () -> lockIsContended(d));
                 waiting.write(String.format(ASK, 11, 11, 2900), false);
                 idle.write(String.format(ASK, 11, 12, 2900), false);
                 d.closeIdleClients();
@@ -123,7 +123,7 @@
             assertTrue(waiting.read().startsWith("HTTP/1.1 503 "));
             for (Outside c : List.of(waiting, idle)) assertTrue(c.ends(), "reset");
             // A close with these bytes unread would never read them, and reset the connection.
-            Fleet.until("bytes received after the close have been read",
+            Fleet.awaitTrue("bytes received after the close have been read",
                 () -> counters(director).receivedAfterClose >= 2);
             assertEquals(counters(director).lookups, 1, "requests received after the close are not served");
         } finally {
@@ -138,11 +138,11 @@
     }
 
     private static Counters counters(DirectorServer director) {
-        director.desk().enter();
+        director.dispatcher().enter();
         try {
-            return director.desk().counters;
+            return director.dispatcher().counters;
         } finally {
-            director.desk().leave();
+            director.dispatcher().leave();
         }
     }
 
@@ -189,11 +189,11 @@
             Outside old = parties.get("bulletin"), n1 = parties.get("n1"), a = client("a", director);
             assertEquals(old.read(), "2");
             String told = Outside.told(Map.of("bulletin", Integer.toString(next.port())), parties);
-            director.reload(StartupConfig.of(JsonParser.parseString(told).getAsJsonObject(), null, true, 0));
+            director.reload(StartupConfig.parse(JsonParser.parseString(told).getAsJsonObject(), null, true, 0));
             assertTrue(old.gone());
-            next.numbersFrom(3);
-            next.open();
-            next.purge(17, System.currentTimeMillis());
+            next.restartNumbering(3);
+            next.startListening();
+            next.sendPurge(17, System.currentTimeMillis());
             for (int i = 1, known = 0; known == 0; i++) {
                 a.write("GET /api/v2/books/0a HTTP/1.1|X-Lot: 17|Req-Id: " + String.format("%016x", i) + "||", false);
                 String want = n1.read();
@@ -237,7 +237,7 @@
             } catch (IOException e) {
                 assertTrue(clients(director) <= 1, "the connection was closed by the director");
             }
-            Fleet.until("the connection has ended", () -> clients(director) == 0);
+            Fleet.awaitTrue("the connection has ended", () -> clients(director) == 0);
             assertTrue(System.nanoTime() - began < 6_000_000_000L, "closed too late");
         } finally {
             release(director);
@@ -245,11 +245,11 @@
     }
 
     private static int clients(DirectorServer director) {
-        director.desk().enter();
+        director.dispatcher().enter();
         try {
-            return director.desk().clientCount();
+            return director.dispatcher().clientCount();
         } finally {
-            director.desk().leave();
+            director.dispatcher().leave();
         }
     }
 
@@ -265,17 +265,17 @@
                 client("c" + i, director).write("PUT /api/v2/books/0a HTTP/1.1|Req-Id: " + String.format("%016x", i + 1)
                     + "|Content-Length: 200000||" + incompleteBody, false);
             }
-            Dispatcher d = director.desk();
-            Fleet.until("the limit is reached and a client refused",
+            Dispatcher d = director.dispatcher();
+            Fleet.awaitTrue("the limit is reached and a client refused",
                 () -> d.readAheadBytes > 0 && clients(director) < 30);
             for (int i = 0; i < 30; i++) {
                 Outside c = parties.get("c" + i);
                 c.write(incompleteBody.substring(0, 10_000), false);    // has the director check the limit again
             }
-            Fleet.until("the bytes held are bounded", () -> d.readAheadBytes <= (16 << 20) / 8 + 160_000);
+            Fleet.awaitTrue("the bytes held are bounded", () -> d.readAheadBytes <= (16 << 20) / 8 + 160_000);
             List<Outside> all = new ArrayList<>();
             for (int i = 0; i < 30; i++) all.add(parties.get("c" + i));
-            Fleet.until("a client has received its refusal", () -> all.stream().anyMatch(Outside::answered));
+            Fleet.awaitTrue("a client has received its refusal", () -> all.stream().anyMatch(Outside::answered));
             for (Outside c : all) if (c.answered()) assertTrue(c.read().startsWith("HTTP/1.1 503 "));
         } finally {
             release(director);
@@ -286,23 +286,23 @@
     @Test public void processEndsWhenNoAnswerIsOwed() {
         ShutdownSequence e = new ShutdownSequence();
         assertEquals(e.state(), ShutdownSequence.State.SERVING);
-        e.begins(1000, 60_000);
-        assertEquals(e.answeredBy(), 1000 + 700 + 3000 - 150.0,
+        e.start(1000, 60_000);
+        assertEquals(e.answerDeadline(), 1000 + 700 + 3000 - 150.0,
             "drain time, plus the longest client deadline, less a margin");
         assertEquals(e.step(1699, 0, 0), ShutdownSequence.State.DRAINING, "new connections are still accepted");
         assertEquals(e.step(1710, 1700, 3), ShutdownSequence.State.DRAINING,
             "a client has just connected: more may be queued");
         assertEquals(e.step(1760, 1700, 3), ShutdownSequence.State.CLOSING);
-        assertEquals(e.step(e.answeredBy(), 1700, 3), ShutdownSequence.State.CLOSING,
+        assertEquals(e.step(e.answerDeadline(), 1700, 3), ShutdownSequence.State.CLOSING,
             "the last answers are being sent");
-        assertEquals(e.step(e.answeredBy() + 100, 1700, 3), ShutdownSequence.State.OUT, "exits before it is killed");
+        assertEquals(e.step(e.answerDeadline() + 100, 1700, 3), ShutdownSequence.State.TERMINATED, "exits before it is killed");
         ShutdownSequence quick = new ShutdownSequence();
-        quick.begins(0, 500);
-        assertEquals(quick.answeredBy(), 1050.0, "no client waits for longer than its 500 ms");
+        quick.start(0, 500);
+        assertEquals(quick.answerDeadline(), 1050.0, "no client waits for longer than its 500 ms");
         assertEquals(quick.step(700, 100, 1), ShutdownSequence.State.CLOSING);
-        assertEquals(quick.step(701, 100, 0), ShutdownSequence.State.OUT, "no client is left");
+        assertEquals(quick.step(701, 100, 0), ShutdownSequence.State.TERMINATED, "no client is left");
         ShutdownSequence busy = new ShutdownSequence();
-        busy.begins(0, 500);
+        busy.start(0, 500);
         assertEquals(busy.step(1060, 1059, 9), ShutdownSequence.State.CLOSING,
             "clients that keep connecting do not delay the close");
     }
@@ -366,9 +366,9 @@
             node.start();
             assertTrue(answer(port, "GET /-/healthy HTTP/1.1||").startsWith("HTTP/1.1 200 "));
             assertTrue(answer(port, String.format(ASK, 10, 10, 2900)).endsWith("||ok"));
-            back.numbersFrom(3);
-            back.open();
-            back.purge(17, System.currentTimeMillis());
+            back.restartNumbering(3);
+            back.startListening();
+            back.sendPurge(17, System.currentTimeMillis());
             for (int i = 11; !purged.get(); i++) {
                 answer(port, String.format(ASK, 10, i, 2900).replace("||", "|X-Lot: 17||"));
             }
