--- a/src/main/java/mothcross/net/ClientConnection.java
+++ b/src/main/java/mothcross/net/ClientConnection.java
@@ -248,7 +248,7 @@
         repeat = false;
         usable = true;
         seen = 0;
-        if (desk.rules != null) desk.rules.headBegins();
+        if (desk.rules != null) desk.rules.headStarted();
         int eol = Bytes.find(bytes, from, end, '\n');
         if (eol == from || bytes[eol - 1] != '\r') return "400 Bad Request";
         int a = Bytes.find(bytes, from, eol, ' '), b = a < 0 ? -1 : Bytes.find(bytes, a + 1, eol, ' ');
@@ -295,7 +295,7 @@
     }
 
     private void field(int name, int nameEnd, int v, int e) {
-        if (desk.rules != null) desk.rules.field(bytes, name, nameEnd, v, e);
+        if (desk.rules != null) desk.rules.headerField(bytes, name, nameEnd, v, e);
         if (Bytes.isWord(bytes, name, nameEnd, "connection")) {
             close = Bytes.isWord(bytes, v, e, "close") || close && !Bytes.isWord(bytes, v, e, "keep-alive");
         } else if (Bytes.isWord(bytes, name, nameEnd, "req-id")) {
@@ -382,7 +382,7 @@
         if (!desk.mayStart()) {
             proven = true;
             desk.count.notCurrent++;
-            write(whole("503 Service Unavailable", advice(desk.current.comeBackAfter()), ""));
+            write(whole("503 Service Unavailable", advice(desk.current.retryAfterMs()), ""));
             return;
         }
         byte[] body = Arrays.copyOfRange(bytes, bodyAt, bodyAt + (int) bodyLength);
@@ -391,11 +391,11 @@
             now + (Double.isNaN(wait) ? w.timeoutMs() : wait), desk.mostHops());
         int as = workload;
         RouteConstraints by = null;
-        Routing rules = desk.rules == null ? null : desk.rules.of(l.object);
-        if (desk.rules != null) plan = desk.rules.plan();
+        Routing rules = desk.rules == null ? null : desk.rules.forObject(l.object);
+        if (desk.rules != null) plan = desk.rules.planNumber();
         if (rules != null) {
-            rules.target(bytes, target, targetEnd, a, b, b + 1, objectEnd);
-            rules.told(this, parted, part, group, sizeKb, wait, repeat);
+            rules.setTarget(bytes, target, targetEnd, a, b, b + 1, objectEnd);
+            rules.setRequestFields(this, parted, part, group, sizeKb, wait, repeat);
             RouteTable.Outcome o = rules.route(workload, desk.mostHops(), now);
             if (o.status != 0) {
                 proven = true;
@@ -403,7 +403,7 @@
                 return;
             }
             as = o.workload;
-            by = Routing.narrowing(o, desk.mostHops());
+            by = Routing.constraints(o, desk.mostHops());
         }
         lookup = l;
         if (desk.lookup(l, as, (int) part, sizeKb, repeat, by)) {
@@ -417,7 +417,7 @@
 
     /** Of the other side, 4 or 16 bytes; made once a connection. */
     byte[] address() {
-        if (address == null) address = Routing.address(session.getRemoteAddress());
+        if (address == null) address = Routing.addressBytes(session.getRemoteAddress());
         return address;
     }
 
--- a/src/main/java/mothcross/net/Dispatcher.java
+++ b/src/main/java/mothcross/net/Dispatcher.java
@@ -370,10 +370,10 @@
                 to.hopEnded(l.index, h.number, h.node.index, h.outcome, last, h.note, now - h.sentAt,
                     h.sourceWait, h.report);
             }
-            if (witness != null) witness.saw(h);
+            if (witness != null) witness.hopEnded(h);
             release(l);
         }
-        if (witness != null) witness.roundEnds(to);
+        if (witness != null) witness.roundFinished(to);
     }
 
     // ---- the list and purges, called by a reader in the module's round ----
--- a/src/main/java/mothcross/policy/net/PolicyNode.java
+++ b/src/main/java/mothcross/policy/net/PolicyNode.java
@@ -221,7 +221,7 @@
         return l.why == PolicyReplica.StopReason.NO && now() < l.until;
     }
 
-    @Override public double comeBackAfter() {
+    @Override public double retryAfterMs() {
         return party.register().leaseMs() / 2;
     }
 
--- a/src/test/java/mothcross/net/DrainPathsTest.java
+++ b/src/test/java/mothcross/net/DrainPathsTest.java
@@ -22,7 +22,7 @@
     private static DirectorServer told(Map<String, String> start, Map<String, Outside> parties, String listen)
         throws Exception {
         String told = Outside.told(start, parties);
-        return new DirectorServer(StartupConfig.of(JsonParser.parseString(told).getAsJsonObject(), listen, true, 0));
+        return new DirectorServer(StartupConfig.parse(JsonParser.parseString(told).getAsJsonObject(), listen, true, 0));
     }
 
     private static String drains(long event, Outside who, int index, int kind) {
@@ -115,14 +115,14 @@
                 clients.add(c);
                 c.write(String.format(ASK, i, i + 1, 16_000, "z".repeat(16_000)), false);
             }
-            Fleet.until("all asked, and some wait for a full socket", () -> waits(life) > 0
-                && life.desk().openLookups() == asks);
+            Fleet.awaitTrue("all asked, and some wait for a full socket", () -> waits(life) > 0
+                && life.dispatcher().openLookups() == asks);
             assertEquals(bulletin.read(), "2");
             bulletin.write(drains(3, n1, 1, 0), false);
-            Fleet.until("what waits goes back", () -> waits(life) == 0);
+            Fleet.awaitTrue("what waits goes back", () -> waits(life) == 0);
             long back = notSent(life);
             assertTrue(back > 0 && back < asks, "went back: " + back);
-            Fleet.until("the module has decided anew: the link is full", () -> life.desk().count.bounced == back);
+            Fleet.awaitTrue("the module has decided anew: the link is full", () -> life.dispatcher().count.bounced == back);
             for (long i = back; i < asks; i++) assertTrue(n1.read().startsWith("want "), "begun before the news");
             life.release();
             assertTrue(n1.gone(), "nothing begun after it");
@@ -147,19 +147,19 @@
         try {
             life.start();
             for (int i = 0; i < 2 || waits(life) == 0; i++) {
-                if (i == 1) Fleet.until("the first is written", () -> waits(life) == 0);
+                if (i == 1) Fleet.awaitTrue("the first is written", () -> waits(life) == 0);
                 Outside c = Outside.client("c" + i, life.port());
                 clients.add(c);
                 c.write(String.format(ASK, i, i + 1, 16_000, "z".repeat(16_000)), false);
                 int asked = i + 1;
-                Fleet.until("asked", () -> life.desk().openLookups() == asked || waits(life) > 0);
+                Fleet.awaitTrue("asked", () -> life.dispatcher().openLookups() == asked || waits(life) > 0);
             }
             int waiting = waits(life), asked = clients.size();
-            Fleet.until("the silent node's connection is ended",
+            Fleet.awaitTrue("the silent node's connection is ended",
                 () -> ends(life, mothcross.Director.CONNECTION_LOST) > 0);
             assertEquals(ends(life, mothcross.Director.CONNECTION_LOST), asked - waiting, "begun, and may have run");
-            Fleet.until("all have their answer", () -> life.desk().openLookups() <= waiting);
-            assertEquals(life.desk().count.givenUp, asked - waiting);
+            Fleet.awaitTrue("all have their answer", () -> life.dispatcher().openLookups() <= waiting);
+            assertEquals(life.dispatcher().count.givenUp, asked - waiting);
         } finally {
             life.release();
             for (Outside o : clients) o.release();
@@ -172,20 +172,20 @@
     }
 
     private static long ends(DirectorServer life, int how) {
-        life.desk().enter();
+        life.dispatcher().enter();
         try {
-            return life.desk().count.ends[how];
+            return life.dispatcher().count.ends[how];
         } finally {
-            life.desk().leave();
+            life.dispatcher().leave();
         }
     }
 
     private static int waits(DirectorServer life) {
-        life.desk().enter();
+        life.dispatcher().enter();
         try {
-            return life.desk().connections.stream().mapToInt(NodeConnection::waits).sum();
+            return life.dispatcher().connections.stream().mapToInt(NodeConnection::waits).sum();
         } finally {
-            life.desk().leave();
+            life.dispatcher().leave();
         }
     }
 }
--- a/src/test/java/mothcross/net/ServeTest.java
+++ b/src/test/java/mothcross/net/ServeTest.java
@@ -131,7 +131,7 @@
         private Thread ending;
 
         Run(Map<String, String> start, Map<String, Outside> parties) throws Exception {
-            life = new DirectorServer(StartupConfig.of(
+            life = new DirectorServer(StartupConfig.parse(
                 com.google.gson.JsonParser.parseString(Outside.told(start, parties)).getAsJsonObject(), null, true, 0));
             life.start();
             port = life.port();
@@ -146,12 +146,12 @@
                 }
             });
             ending.start();
-            while (life.desk().ready) Thread.onSpinWait();
+            while (life.dispatcher().ready) Thread.onSpinWait();
         }
 
         /** Of the node listed first. */
         void probe() {
-            life.desk().locked(() -> life.desk().probe(0));
+            life.dispatcher().locked(() -> life.dispatcher().probe(0));
         }
 
         void ended() throws InterruptedException {
@@ -167,15 +167,15 @@
         }
 
         private long counted(String name) throws Exception {
-            life.desk().enter();
+            life.dispatcher().enter();
             try {
-                Counters c = life.desk().count;
-                if (name.equals("nodes")) return life.desk().nodes.size();
-                if (name.equals("timers")) return life.desk().timers.size();
+                Counters c = life.dispatcher().count;
+                if (name.equals("nodes")) return life.dispatcher().nodes.size();
+                if (name.equals("timers")) return life.dispatcher().timers.size();
                 return name.startsWith("end") ? c.ends[name.charAt(3) - '0']
                     : Counters.class.getDeclaredField(name).getLong(c);
             } finally {
-                life.desk().leave();
+                life.dispatcher().leave();
             }
         }
 
