--- a/src/main/java/mothcross/net/DirectorServer.java
+++ b/src/main/java/mothcross/net/DirectorServer.java
@@ -72,7 +72,7 @@
     }
 
     private void limits() {
-        dispatcher.limits(config.sockets, config.memoryMb);
+        dispatcher.setLimits(config.sockets, config.memoryMb);
         acceptor.most = config.sockets * 11 / 16 + 1;
     }
 
@@ -110,8 +110,8 @@
             keeper, remembering.fleet(), start.name, System.currentTimeMillis());
         watch = new DiscoveryWatch(dispatcher, persistentMembership == null ? new DiscoveryListener.Direct(dispatcher) : persistentMembership,
             start.discovery);
-        connector.setHandler(new Connection.Callbacks(dispatcher, false));
-        acceptor.setHandler(new Connection.Callbacks(dispatcher, true));
+        connector.setHandler(new Connection.SessionHandler(dispatcher, false));
+        acceptor.setHandler(new Connection.SessionHandler(dispatcher, true));
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(512);
         acceptor.setCloseOnDeactivation(false);         // another address, or the end, leaves open what is open
@@ -128,9 +128,9 @@
     public void start() throws IOException, StartupConfig.InvalidConfigException {
         RouteTable table = table(routes, config, null);
         if (table != null) {
-            dispatcher.rules = new ActiveRoutes(config.name);
-            dispatcher.rules.scaleLimits(share);
-            dispatcher.rules.activate(null, table, null);
+            dispatcher.activeRoutes = new ActiveRoutes(config.name);
+            dispatcher.activeRoutes.scaleLimits(share);
+            dispatcher.activeRoutes.activate(null, table, null);
         }
         dispatcher.enter();
         try {
@@ -145,10 +145,10 @@
         Thread timers = new Thread(dispatcher.timers, "timers");
         timers.setDaemon(true);
         timers.start();
-        dispatcher.locked(watch::connect);
+        dispatcher.runLocked(watch::connect);
         awaitNews();
         acceptor.bind(config.listen);
-        dispatcher.locked(() -> {
+        dispatcher.runLocked(() -> {
             counters();
             dispatcher.ready = ending.state() == ShutdownSequence.State.SERVING;  // it may have been told to end meanwhile
         });
@@ -184,33 +184,33 @@
 
     /** This director's part of each limit, in parts of the fixed one; from any thread. */
     public void scaleLimits(double times) {
-        dispatcher.locked(() -> {
+        dispatcher.runLocked(() -> {
             share = times;
-            if (dispatcher.rules != null) dispatcher.rules.scaleLimits(times);
+            if (dispatcher.activeRoutes != null) dispatcher.activeRoutes.scaleLimits(times);
         });
     }
 
     /** Before it begins: somebody else says whether it is up to date, and brings its tables. */
     public void usePolicy(ServingPermit current, boolean tellsPlan) {
-        dispatcher.locked(() -> {
-            dispatcher.current = current;
-            dispatcher.tellsPlan = tellsPlan;
-            dispatcher.rules = new ActiveRoutes(config.name);
-            dispatcher.rules.scaleLimits(share);
+        dispatcher.runLocked(() -> {
+            dispatcher.servingPermit = current;
+            dispatcher.exposePlan = tellsPlan;
+            dispatcher.activeRoutes = new ActiveRoutes(config.name);
+            dispatcher.activeRoutes.scaleLimits(share);
         });
     }
 
     /** Rules made ready for what this director is told; null with their faults. */
     public RouteTable compilePolicy(RouteRules rules, List<String> faults) {
         RouteTable[] before = new RouteTable[1];
-        dispatcher.locked(() -> before[0] = dispatcher.rules == null ? null : dispatcher.rules.table());
+        dispatcher.runLocked(() -> before[0] = dispatcher.activeRoutes == null ? null : dispatcher.activeRoutes.table());
         return RouteTable.compile(rules, config.directorSettings.workloads, config.directorSettings.workloadTable,
             config.directorSettings.directorsInZone, config.maxHops, before[0], faults);
     }
 
     /** From the next lookup on; those under way keep what they began with. */
     public void activatePolicy(Plan plan, RouteTable main, RouteTable trial) {
-        dispatcher.locked(() -> dispatcher.rules.activate(plan, main, trial));
+        dispatcher.runLocked(() -> dispatcher.activeRoutes.activate(plan, main, trial));
     }
 
     /** SIGHUP: takes over what another file tells, under load; nothing that is open is touched. */
@@ -226,8 +226,8 @@
     public void reload(StartupConfig anew, MembershipSettings features, RouteRules rules)
         throws StartupConfig.InvalidConfigException {
         // All is compiled first; a lookup under way keeps what it came under, the next one meets the new table whole.
-        boolean own = dispatcher.current == null;                 // else its tables come from the fleet
-        RouteTable table = own ? table(rules, config, dispatcher.rules == null ? null : dispatcher.rules.table()) : null;
+        boolean own = dispatcher.servingPermit == null;                 // else its tables come from the fleet
+        RouteTable table = own ? table(rules, config, dispatcher.activeRoutes == null ? null : dispatcher.activeRoutes.table()) : null;
         List<InetSocketAddress> old = List.of(config.listen);
         boolean moves = !anew.listen.equals(config.listen);
         if (moves) {
@@ -238,15 +238,15 @@
                 return;
             }
         }
-        dispatcher.locked(() -> {
+        dispatcher.runLocked(() -> {
             boolean waits = remembering == null != (features == null) || features != null
                 && !(features.file().equals(remembering.file()) && features.fleet().equals(remembering.fleet()));
             routes = rules;
-            if (own && table == null) dispatcher.rules = null;
+            if (own && table == null) dispatcher.activeRoutes = null;
             if (table != null) {
-                if (dispatcher.rules == null) dispatcher.rules = new ActiveRoutes(config.name);
-                dispatcher.rules.scaleLimits(share);
-                dispatcher.rules.activate(null, table, null);
+                if (dispatcher.activeRoutes == null) dispatcher.activeRoutes = new ActiveRoutes(config.name);
+                dispatcher.activeRoutes.scaleLimits(share);
+                dispatcher.activeRoutes.activate(null, table, null);
             }
             boolean others = waits || !anew.settings.equals(config.settings);
             if (!waits && features != null && !features.equals(remembering)) {
@@ -256,7 +256,7 @@
             config = anew;
             limits();
             watch.moveTo(anew.discovery);
-            dispatcher.count.reloads++;
+            dispatcher.counters.reloads++;
             LOG.info("reload: the file is read anew{}", others ? "; its settings wait for the next start" : "");
         });
         if (moves) acceptor.unbind(old);
@@ -290,9 +290,9 @@
 
     private void log() {
         Runtime r = Runtime.getRuntime();
-        LOG.info("{}{}; open {}, clients {}, nodes {}, timers {}, heap {} MB", dispatcher.count.line(),
-            (persistentMembership == null ? "" : persistentMembership.counterLine()) + (dispatcher.rules == null ? "" : dispatcher.rules.line()),
-            dispatcher.openLookups(), dispatcher.clients(), dispatcher.nodes.size(), dispatcher.timers.size(),
+        LOG.info("{}{}; open {}, clients {}, nodes {}, timers {}, heap {} MB", dispatcher.counters.line(),
+            (persistentMembership == null ? "" : persistentMembership.counterLine()) + (dispatcher.activeRoutes == null ? "" : dispatcher.activeRoutes.line()),
+            dispatcher.openLookupCount(), dispatcher.clientCount(), dispatcher.nodes.size(), dispatcher.timers.size(),
             (r.totalMemory() - r.freeMemory()) >> 20);
     }
 
@@ -309,7 +309,7 @@
             ending.start(dispatcher.clock(), longest);
             dispatcher.timers.set(new Timers.Timer() {
                 @Override void fire() {
-                    dispatcher.endAll();
+                    dispatcher.stopSending();
                 }
             }, ending.answerDeadline());
         } finally {
@@ -320,30 +320,30 @@
             ShutdownSequence.State s;
             dispatcher.enter();
             try {
-                s = ending.step(dispatcher.clock(), acceptor.cameAt, dispatcher.clients());
+                s = ending.step(dispatcher.clock(), acceptor.cameAt, dispatcher.clientCount());
             } finally {
                 dispatcher.leave();
             }
             if (s == ShutdownSequence.State.CLOSING && listens) {
                 listens = false;
                 acceptor.unbind();
-                dispatcher.locked(dispatcher::endResting);
+                dispatcher.runLocked(dispatcher::closeIdleClients);
             }
             if (s == ShutdownSequence.State.TERMINATED) break;
         }
-        dispatcher.locked(() -> {
+        dispatcher.runLocked(() -> {
             watch.stop();
             log();
         });
         if (persistentMembership != null) persistentMembership.stop(LAST_WRITE_MS);
-        dispatcher.locked(dispatcher.timers::stop);
+        dispatcher.runLocked(dispatcher.timers::stop);
         over.countDown();
     }
 
     /** Lets go of the sockets; for those who start several lives in one process. */
     public void release() {
         if (persistentMembership != null) persistentMembership.kill();
-        dispatcher.locked(() -> {
+        dispatcher.runLocked(() -> {
             watch.stop();
             dispatcher.timers.stop();
         });
--- a/src/test/java/mothcross/net/DrainPathsTest.java
+++ b/src/test/java/mothcross/net/DrainPathsTest.java
@@ -116,13 +116,13 @@
                 c.write(String.format(ASK, i, i + 1, 16_000, "z".repeat(16_000)), false);
             }
             Fleet.awaitTrue("all asked, and some wait for a full socket", () -> waits(life) > 0
-                && life.dispatcher().openLookups() == asks);
+                && life.dispatcher().openLookupCount() == asks);
             assertEquals(bulletin.read(), "2");
             bulletin.write(drains(3, n1, 1, 0), false);
             Fleet.awaitTrue("what waits goes back", () -> waits(life) == 0);
             long back = notSent(life);
             assertTrue(back > 0 && back < asks, "went back: " + back);
-            Fleet.awaitTrue("the module has decided anew: the link is full", () -> life.dispatcher().count.bounced == back);
+            Fleet.awaitTrue("the module has decided anew: the link is full", () -> life.dispatcher().counters.rejected == back);
             for (long i = back; i < asks; i++) assertTrue(n1.read().startsWith("want "), "begun before the news");
             life.release();
             assertTrue(n1.gone(), "nothing begun after it");
@@ -152,14 +152,14 @@
                 clients.add(c);
                 c.write(String.format(ASK, i, i + 1, 16_000, "z".repeat(16_000)), false);
                 int asked = i + 1;
-                Fleet.awaitTrue("asked", () -> life.dispatcher().openLookups() == asked || waits(life) > 0);
+                Fleet.awaitTrue("asked", () -> life.dispatcher().openLookupCount() == asked || waits(life) > 0);
             }
             int waiting = waits(life), asked = clients.size();
             Fleet.awaitTrue("the silent node's connection is ended",
                 () -> ends(life, mothcross.Director.CONNECTION_LOST) > 0);
             assertEquals(ends(life, mothcross.Director.CONNECTION_LOST), asked - waiting, "begun, and may have run");
-            Fleet.awaitTrue("all have their answer", () -> life.dispatcher().openLookups() <= waiting);
-            assertEquals(life.dispatcher().count.givenUp, asked - waiting);
+            Fleet.awaitTrue("all have their answer", () -> life.dispatcher().openLookupCount() <= waiting);
+            assertEquals(life.dispatcher().counters.failed, asked - waiting);
         } finally {
             life.release();
             for (Outside o : clients) o.release();
@@ -174,7 +174,7 @@
     private static long ends(DirectorServer life, int how) {
         life.dispatcher().enter();
         try {
-            return life.dispatcher().count.ends[how];
+            return life.dispatcher().counters.outcomes[how];
         } finally {
             life.dispatcher().leave();
         }
@@ -183,7 +183,7 @@
     private static int waits(DirectorServer life) {
         life.dispatcher().enter();
         try {
-            return life.dispatcher().connections.stream().mapToInt(NodeConnection::waits).sum();
+            return life.dispatcher().nodeConnections.stream().mapToInt(NodeConnection::waitingHops).sum();
         } finally {
             life.dispatcher().leave();
         }
--- a/src/test/java/mothcross/net/RememberedTest.java
+++ b/src/test/java/mothcross/net/RememberedTest.java
@@ -123,7 +123,7 @@
             Fleet.awaitTrue("event " + event, () -> Fleet.lastEvent(d) == event);
             long told = System.nanoTime();
             // What waited for a connection that never came up was taken back and went elsewhere.
-            Fleet.awaitTrue("taken back", () -> counted(d, c -> c.ends[Director.NOT_SENT]) >= 1);
+            Fleet.awaitTrue("taken back", () -> counted(d, c -> c.outcomes[Director.NOT_SENT]) >= 1);
             mute.setUnresponsive(false);
             try (FakeClients.Client c = new FakeClients.Client(d.port())) {
                 for (int i = 0; i < 40; i++) assertEquals(c.status(100 + i, 10, 17), 200);
@@ -143,7 +143,7 @@
     private static int counted(DirectorServer d, Counted what) {
         d.dispatcher().enter();
         try {
-            return (int) what.of(d.dispatcher().count);
+            return (int) what.of(d.dispatcher().counters);
         } finally {
             d.dispatcher().leave();
         }
