--- a/src/main/java/mothcross/net/ActiveRoutes.java
+++ b/src/main/java/mothcross/net/ActiveRoutes.java
@@ -4,68 +4,71 @@
 import mothcross.route.RouteTable;
 
 /**
- * The tables of routes in force: one, and while a change is tried a second for some lookups. Each lookup is looked at
- * by one of them, chosen when it comes, and keeps what that said. Under the desk's lock. Must never mix the two for
- * one
- * lookup, nor decide which text is in force.
+ * The route tables in use: the main one, and during a canary trial a second one for some lookups. Each lookup is
+ * routed by exactly one of them, chosen when it arrives, and keeps that result. Which policy is active is decided by
+ * the caller. Used under the dispatcher's lock.
  */
 final class ActiveRoutes {
     private final String director;
-    private Plan plan;                                      // null: the operators' own file, no changes by the fleet
-    private Routing main, trial;
-    private double scaleLimits = 1;
+    private Plan plan;                                      // null: routes of the operators' file, not the fleet's
+    private Routing main;
+    private Routing trial;
+    private double limitScale = 1;
 
     ActiveRoutes(String director) {
         this.director = director;
     }
 
-    /** What is being asked goes by the new tables from its next lookup on; a table may be null: no rules. */
-    void activate(Plan by, RouteTable all, RouteTable some) {
-        plan = by;
-        main = routing(all);
-        trial = by != null && !by.canary().isNone() ? routing(some) : null;
+    /** Uses the new tables from the next lookup on; a null table has no rules. */
+    void activate(Plan newPlan, RouteTable mainTable, RouteTable trialTable) {
+        plan = newPlan;
+        main = routing(mainTable);
+        trial = newPlan != null && !newPlan.canary().isNone() ? routing(trialTable) : null;
     }
 
-    private Routing routing(RouteTable t) {
-        if (t == null) return null;
-        Routing r = new Routing();
-        r.scaleLimits(scaleLimits);
-        r.activate(t);
-        return r;
+    private Routing routing(RouteTable table) {
+        if (table == null) return null;
+        Routing routing = new Routing();
+        routing.scaleLimits(limitScale);
+        routing.activate(table);
+        return routing;
     }
 
-    /** The number of the plan in force, -1 where changes are not the fleet's. */
+    /** The number of the fleet's plan that is active; -1 where the routes come from the operators' file. */
     long planNumber() {
         return plan == null ? -1 : plan.number();
     }
 
+    /** The main table; null where there are no rules. */
     RouteTable table() {
         return main == null ? null : main.table();
     }
 
-    void scaleLimits(double times) {
-        scaleLimits = times;
-        if (main != null) main.scaleLimits(times);
-        if (trial != null) trial.scaleLimits(times);
+    /** Sets this director's share of each rate limit, as a factor of the configured limit. */
+    void scaleLimits(double scale) {
+        limitScale = scale;
+        if (main != null) main.scaleLimits(scale);
+        if (trial != null) trial.scaleLimits(scale);
     }
 
-    // ---- the head, as it is read: both look at it, as it is not known yet which one counts ----
+    // ---- the request head as it is parsed: kept by both, as the object that selects one may not be known yet ----
 
     void headStarted() {
         if (main != null) main.headStarted();
         if (trial != null) trial.headStarted();
     }
 
-    void headerField(byte[] in, int name, int nameEnd, int v, int e) {
-        if (main != null) main.headerField(in, name, nameEnd, v, e);
-        if (trial != null) trial.headerField(in, name, nameEnd, v, e);
+    void headerField(byte[] head, int name, int nameEnd, int value, int valueEnd) {
+        if (main != null) main.headerField(head, name, nameEnd, value, valueEnd);
+        if (trial != null) trial.headerField(head, name, nameEnd, value, valueEnd);
     }
 
-    /** The table that a lookup of this object goes by; null where that has no rules. */
+    /** The routing for a lookup of this object; null where its table has no rules. */
     Routing forObject(long object) {
         return plan != null && plan.isOnTrial(director, object) ? trial : main;
     }
 
+    /** The tables' part of the line of counters in the log. */
     String line() {
         return (main == null ? "" : main.table().line()) + (trial == null ? "" : "; on trial" + trial.table().line());
     }
--- a/src/main/java/mothcross/net/DiscoveryListener.java
+++ b/src/main/java/mothcross/net/DiscoveryListener.java
@@ -4,73 +4,79 @@
 import mothcross.Director;
 
 /**
- * Who takes the news of discovery, within the module's round: the desk as it comes, or what is remembered of the
- * fleet first. {@code number} is that of an event.
+ * Receives the updates of discovery: the dispatcher directly, or the persistent membership in front of it. Methods
+ * with a {@link Director} are called within a batch of events, all of them under the dispatcher's lock. An
+ * {@code event} is the number of an event of discovery; an {@code updateKind} is one of Director's LIST constants.
  */
 interface DiscoveryListener {
-    /** The number of the last event that was taken. */
+    /** The number of the last event that was applied. */
     long lastEvent();
 
-    /** True where an event whose number is had already, or a whole list under any, is to be heard all the same. */
-    boolean acceptsRepeated(boolean wholeList);
+    /** Whether an event whose number was applied before, or a snapshot under any number, is passed on all the same. */
+    boolean acceptsRepeated(boolean snapshot);
 
-    /** False where the entries that follow are to be passed over. */
-    boolean listStarted(Director to, long number, int news);
+    /** A snapshot or delta of the list starts. False where the entries that follow are to be skipped. */
+    boolean listStarted(Director to, long event, int updateKind);
 
-    void nodeListed(Director to, String id, InetSocketAddress address, int place, int kind, int cell, int standing,
-                double units, double startedAt);
+    /** One entry of the list that was started; {@code zone} and {@code kind} are indices into the settings. */
+    void nodeListed(Director to, String id, InetSocketAddress address, int zone, int kind, int cell, int status,
+                    double units, double startedAt);
 
     void listFinished(Director to);
 
-    void purged(Director to, long number, long object, int group, double at);
+    /** A purge of one object or of a group issued at {@code at}, Unix ms; the other of the two is -1. */
+    void purged(Director to, long event, long object, int group, double at);
 
-    /** Discovery has nothing new, its last event is {@code number}. True where it should be asked from the first. */
-    boolean heartbeat(Director to, long number);
+    /**
+     * An empty frame that confirms {@code event} as the last event of discovery. True where the connection is to be
+     * opened again, from the first event on.
+     */
+    boolean heartbeat(Director to, long event);
 
-    /** The connection that brought news has ended. */
-    void connectionLost(String why);
+    /** The connection to discovery has ended, or an attempt to connect has failed. */
+    void connectionLost(String reason);
 
-    /** As the desk takes them: every event in its order. */
+    /** Passes every event on to the dispatcher in its order. */
     final class Direct implements DiscoveryListener {
-        private final Dispatcher desk;
-        private long last;
+        private final Dispatcher dispatcher;
+        private long lastEvent;
 
-        Direct(Dispatcher desk) {
-            this.desk = desk;
+        Direct(Dispatcher dispatcher) {
+            this.dispatcher = dispatcher;
         }
 
         @Override public long lastEvent() {
-            return last;
+            return lastEvent;
         }
 
-        @Override public boolean acceptsRepeated(boolean wholeList) {
+        @Override public boolean acceptsRepeated(boolean snapshot) {
             return false;
         }
 
-        @Override public boolean listStarted(Director to, long number, int news) {
-            last = number;
-            desk.listStarted(to, news);
+        @Override public boolean listStarted(Director to, long event, int updateKind) {
+            lastEvent = event;
+            dispatcher.listStarted(to, updateKind);
             return true;
         }
 
-        @Override public void nodeListed(Director to, String id, InetSocketAddress address, int place, int kind,
-                                     int cell, int standing, double units, double startedAt) {
-            desk.nodeListed(to, id, address, place, kind, cell, standing, units, startedAt);
+        @Override public void nodeListed(Director to, String id, InetSocketAddress address, int zone, int kind,
+                                         int cell, int status, double units, double startedAt) {
+            dispatcher.nodeListed(to, id, address, zone, kind, cell, status, units, startedAt);
         }
 
         @Override public void listFinished(Director to) {
-            desk.listFinished(to);
+            dispatcher.listFinished(to);
         }
 
-        @Override public void purged(Director to, long number, long object, int group, double at) {
-            last = number;
-            desk.purged(to, object, group, at);
+        @Override public void purged(Director to, long event, long object, int group, double at) {
+            lastEvent = event;
+            dispatcher.purged(to, object, group, at);
         }
 
-        @Override public boolean heartbeat(Director to, long number) {
+        @Override public boolean heartbeat(Director to, long event) {
             return false;
         }
 
-        @Override public void connectionLost(String why) { }
+        @Override public void connectionLost(String reason) { }
     }
 }
--- a/src/main/java/mothcross/net/DiscoveryWatch.java
+++ b/src/main/java/mothcross/net/DiscoveryWatch.java
@@ -25,139 +25,164 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * News of the list and of purges: what is known at the start, then the frames of discovery. Owns the
- * number of the last event and the connection that brings the next; an end, a silence or a frame that can't
- * be used makes it connect anew from that number, each time a little later until frames come again. Must
- * never apply an event twice, skip one, or judge what an event means.
+ * Follows the event stream of service discovery: first the list and purges in the configuration, then the frames of
+ * a connection to discovery.
+ *
+ * <p>Keeps the number of the last event through its {@link DiscoveryListener} and resumes from that number after a
+ * connection that was lost, timed out or sent a malformed frame, with an exponential delay until frames arrive
+ * again. No event is applied twice or skipped; the listener judges what an event means. All methods except
+ * {@link #awaitFirstFrame} run under the dispatcher's lock.
  */
 final class DiscoveryWatch {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryWatch.class);
-    private static final double SILENCE_MS = 2000, FIRST_WAIT_MS = 50, LONGEST_WAIT_MS = 500;
-    /** The protocol page's: a frame at least that often. */
-    private static final double FRAME_EVERY_MS = 1000;
-    private static final int LONGEST_FRAME = 4 << 20, RECORD = 27, TRIES_TO_SPEAK = 2;
+    private static final double FRAME_TIMEOUT_MS = 2000;
+    private static final double MIN_RECONNECT_DELAY_MS = 50;
+    private static final double MAX_RECONNECT_DELAY_MS = 500;
+    /** The protocol page promises a frame at least this often. */
+    private static final double FRAME_INTERVAL_MS = 1000;
+    /** Connections that may fail without a frame before the start no longer waits for discovery. */
+    private static final int MAX_CONNECTIONS_WITHOUT_FRAME = 2;
 
-    private final Dispatcher desk;
-    private final DiscoveryListener news;
+    // A frame is LENGTH, then as many bytes: EVENT, KIND, payload.
+    private static final int LENGTH_BYTES = 4;
+    private static final int EVENT_BYTES = 8;
+    private static final int MIN_FRAME_BYTES = EVENT_BYTES + 1;
+    private static final int MAX_FRAME_BYTES = 4 << 20;
+    private static final int NODE_RECORD_BYTES = 27;
+    private static final int OBJECT_PURGE_BYTES = 16;
+    private static final int GROUP_PURGE_BYTES = 10;
+    private static final int KIND_HEARTBEAT = 0;
+    private static final int KIND_SNAPSHOT = 1;
+    private static final int KIND_DELTA = 2;
+    private static final int KIND_OBJECT_PURGE = 3;
+    private static final int KIND_GROUP_PURGE = 4;
+
+    private final Dispatcher dispatcher;
+    private final DiscoveryListener listener;
     private InetSocketAddress address;
     private FeedConnection feed;
-    private double waitMs = FIRST_WAIT_MS;
+    private double reconnectDelayMs = MIN_RECONNECT_DELAY_MS;
     private boolean stopped;
-    private int failedToSpeak;
-    /** Down once it has brought a frame since the start, or can't: what is known may be older than what was told. */
-    private final CountDownLatch spoken = new CountDownLatch(1);
+    private int connectionsWithoutFrame;
+    /** Released by the first frame since the start, or once enough connections have failed without one. */
+    private final CountDownLatch firstFrame = new CountDownLatch(1);
 
-    DiscoveryWatch(Dispatcher desk, DiscoveryListener news, InetSocketAddress address) {
-        this.desk = desk;
-        this.news = news;
+    DiscoveryWatch(Dispatcher dispatcher, DiscoveryListener listener, InetSocketAddress address) {
+        this.dispatcher = dispatcher;
+        this.listener = listener;
         this.address = address;
     }
 
-    // ---- what is known at the start ----
-
-    /** One entry of the list as the told file has it; {@code phase} is checked here, places and kinds by name. */
-    private record KnownNode(String id, InetSocketAddress at, String place, String kind, int cell, int standing,
-                          double units, double started) {
-        static KnownNode of(JsonObject n) {
-            String id = n.get("id").getAsString();
-            int standing = DirectorSettings.parseNodeStatus(n.get("phase").getAsString());
-            if (standing < 0) throw new IllegalArgumentException("phase of " + id);
-            return new KnownNode(id, parseAddress(n.get("host_port").getAsString()), n.get("locality").getAsString(),
-                n.get("flavor").getAsString(), n.get("cell").getAsInt(), standing, n.get("size").getAsDouble(),
-                n.get("up_since_ms").getAsDouble());
+    // ---- the list in the configuration ----
+
+    /** A node of the configured list. {@code phase} is validated here; zone and kind are resolved by name later. */
+    private record KnownNode(String id, InetSocketAddress address, String zone, String kind, int cell, int status,
+                             double units, double startedAt) {
+        static KnownNode parse(JsonObject json) {
+            String id = json.get("id").getAsString();
+            int status = DirectorSettings.parseNodeStatus(json.get("phase").getAsString());
+            if (status < 0) throw new IllegalArgumentException("phase of " + id);
+            return new KnownNode(id, parseAddress(json.get("host_port").getAsString()),
+                json.get("locality").getAsString(), json.get("flavor").getAsString(), json.get("cell").getAsInt(),
+                status, json.get("size").getAsDouble(), json.get("up_since_ms").getAsDouble());
         }
     }
 
-    /** {@code {"no":LAST,"items":[...]}}: the list as it stands after all items, without what is gone. */
-    private static List<KnownNode> members(JsonArray items) {
-        Map<String, JsonObject> list = new LinkedHashMap<>();
-        for (JsonElement e : items) {
-            JsonObject roster = e.getAsJsonObject().getAsJsonObject("roster");
+    /** Applies the items of {@code {"no":LAST,"items":[...]}} in order; returns the list without terminated nodes. */
+    private static List<KnownNode> knownNodes(JsonArray items) {
+        Map<String, JsonObject> nodesById = new LinkedHashMap<>();
+        for (JsonElement item : items) {
+            JsonObject roster = item.getAsJsonObject().getAsJsonObject("roster");
             if (roster == null) continue;
-            if (roster.get("complete").getAsBoolean()) list.clear();
-            for (JsonElement m : roster.getAsJsonArray("members")) {
-                JsonObject node = m.getAsJsonObject();
-                list.put(node.get("id").getAsString(), node);
+            if (roster.get("complete").getAsBoolean()) nodesById.clear();
+            for (JsonElement member : roster.getAsJsonArray("members")) {
+                JsonObject node = member.getAsJsonObject();
+                nodesById.put(node.get("id").getAsString(), node);
             }
         }
-        list.values().removeIf(n -> n.get("phase").getAsString().equals("terminated"));
-        return list.values().stream().map(KnownNode::of).toList();
+        nodesById.values().removeIf(node -> node.get("phase").getAsString().equals("terminated"));
+        return nodesById.values().stream().map(KnownNode::parse).toList();
     }
 
-    private static List<Purge> purges(JsonArray items) {
-        List<Purge> all = new ArrayList<>();
-        for (JsonElement e : items) {
-            JsonObject recall = e.getAsJsonObject().getAsJsonObject("recall");
+    private static List<Purge> knownPurges(JsonArray items) {
+        List<Purge> purges = new ArrayList<>();
+        for (JsonElement element : items) {
+            JsonObject recall = element.getAsJsonObject().getAsJsonObject("recall");
             if (recall == null) continue;
-            JsonElement item = recall.get("item"), lot = recall.get("lot");
+            JsonElement item = recall.get("item");
+            JsonElement lot = recall.get("lot");
             long object = item == null ? -1 : Long.parseUnsignedLong(item.getAsString(), 16) & Long.MAX_VALUE;
-            all.add(new Purge(object, lot == null ? -1 : lot.getAsInt(), recall.get("issued").getAsDouble()));
+            purges.add(new Purge(object, lot == null ? -1 : lot.getAsInt(), recall.get("issued").getAsDouble()));
         }
-        return all;
+        return purges;
     }
 
-    /** The told file's list and purges go to the module as they stand; all is read before it hears of any. */
+    /** Passes the configured list and purges to the listener; everything is parsed before any of it is passed on. */
     void start(JsonObject known) {
         JsonArray items = known.getAsJsonArray("items");
-        List<KnownNode> members = members(items);
-        List<Purge> purges = purges(items);
-        long last = known.get("no").getAsLong();
-        desk.processBatch(to -> {
-            news.listStarted(to, last, Director.LIST_RESTORED);
-            for (KnownNode m : members) {
-                news.nodeListed(to, m.id, m.at, desk.settings.zones.indexOf(m.place), desk.settings.kinds.indexOf(m.kind),
-                    m.cell, m.standing, m.units, m.started);
+        List<KnownNode> nodes = knownNodes(items);
+        List<Purge> purges = knownPurges(items);
+        long lastEvent = known.get("no").getAsLong();
+        DirectorSettings settings = dispatcher.settings;
+        dispatcher.processBatch(to -> {
+            listener.listStarted(to, lastEvent, Director.LIST_RESTORED);
+            for (KnownNode node : nodes) {
+                listener.nodeListed(to, node.id, node.address, settings.zones.indexOf(node.zone),
+                    settings.kinds.indexOf(node.kind), node.cell, node.status, node.units, node.startedAt);
             }
-            news.listFinished(to);
-            for (Purge p : purges) news.purged(to, last, p.object(), p.group(), p.at());
+            listener.listFinished(to);
+            for (Purge purge : purges) listener.purged(to, lastEvent, purge.object(), purge.group(), purge.at());
         });
     }
 
-    /** The same as a list that was kept when the file was written. */
+    /** The configured list as a membership snapshot taken when the configuration was written. */
     static MembershipSnapshot toSnapshot(JsonObject known, String fleet, String director, double writtenAt) {
         JsonArray items = known.getAsJsonArray("items");
         Map<String, ListedNode> entries = new LinkedHashMap<>();
-        for (KnownNode m : members(items)) {
-            entries.put(m.id, new ListedNode(m.id, m.at.getHostString(), m.at.getPort(), m.place, m.kind, m.cell,
-                m.standing, m.units, m.started, writtenAt, 0, true));
+        for (KnownNode node : knownNodes(items)) {
+            entries.put(node.id, new ListedNode(node.id, node.address.getHostString(), node.address.getPort(),
+                node.zone, node.kind, node.cell, node.status, node.units, node.startedAt, writtenAt, 0, true));
         }
         return new MembershipSnapshot(fleet, director, writtenAt, known.get("no").getAsLong(), writtenAt,
-            HashTreePMap.from(entries), purges(items));
+            HashTreePMap.from(entries), knownPurges(items));
     }
 
+    /** Parses {@code HOST:PORT} and resolves the host. */
     static InetSocketAddress parseAddress(String hostPort) {
         int colon = hostPort.lastIndexOf(':');
         int port = Integer.parseInt(hostPort.substring(colon + 1));
         return new InetSocketAddress(hostPort.substring(0, colon), port);
     }
 
-    // ---- following it ----
+    // ---- the connection to discovery ----
 
     /**
-     * Waits, without the lock, until what was told before the start is known: until its first frame, two connections
-     * that brought none, or as long as one may take to come up or a frame to follow. False where it has not spoken.
+     * Waits, without the lock, until discovery has caught this director up on events from before its start: until the
+     * first frame, or two connections without one, at most for the time of a connect or a frame interval. Returns
+     * false where discovery has not answered.
      */
     boolean awaitFirstFrame() throws InterruptedException {
-        long most = (long) Math.min(FRAME_EVERY_MS, desk.settings.connectMs);
-        boolean in = spoken.await(most, TimeUnit.MILLISECONDS);
-        return in && failedToSpeak < TRIES_TO_SPEAK;
+        long timeoutMs = (long) Math.min(FRAME_INTERVAL_MS, dispatcher.settings.connectMs);
+        boolean released = firstFrame.await(timeoutMs, TimeUnit.MILLISECONDS);
+        return released && connectionsWithoutFrame < MAX_CONNECTIONS_WITHOUT_FRAME;
     }
 
+    /** Connects to discovery unless a connection exists or the watch has been stopped. */
     void connect() {
         if (stopped || feed != null) return;
         feed = new FeedConnection();
         feed.connect();
     }
 
-    /** Told of another address: the old one tells nothing more, the numbers go on. */
-    void moveTo(InetSocketAddress to) {
-        if (to.equals(address) || stopped) return;
-        LOG.info("discovery: moved from {} to {} at event {}", address, to, news.lastEvent());
-        address = to;
-        waitMs = FIRST_WAIT_MS;
-        FeedConnection old = feed;
-        feed = null;                                    // so that its end is no reason to connect again
-        if (old != null) old.leave();
+    /** Switches to another address of discovery, which continues the same event numbers. */
+    void moveTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address) || stopped) return;
+        LOG.info("discovery: moved from {} to {} at event {}", address, newAddress, listener.lastEvent());
+        address = newAddress;
+        reconnectDelayMs = MIN_RECONNECT_DELAY_MS;
+        FeedConnection previous = feed;
+        feed = null;                                    // so that its end does not schedule a reconnect
+        if (previous != null) previous.cancel();
         connect();
     }
 
@@ -166,72 +191,76 @@
         if (feed != null) feed.abort();
     }
 
-    private void again(String why) {
+    private void reconnectLater(String reason) {
         if (stopped) return;
-        if (desk.counters.mayWarn()) {
-            LOG.info("discovery: {}; connecting again from event {} in {} ms", why, news.lastEvent(), (long) waitMs);
+        if (dispatcher.counters.mayWarn()) {
+            LOG.info("discovery: {}; reconnecting from event {} in {} ms", reason, listener.lastEvent(),
+                (long) reconnectDelayMs);
         }
         feed = null;
-        news.connectionLost(why);
-        if (++failedToSpeak >= TRIES_TO_SPEAK) spoken.countDown();
-        desk.timers.set(new Timers.Timer() {
+        listener.connectionLost(reason);
+        if (++connectionsWithoutFrame >= MAX_CONNECTIONS_WITHOUT_FRAME) firstFrame.countDown();
+        dispatcher.timers.set(new Timers.Timer() {
             @Override void fire() {
                 connect();
             }
-        }, desk.clock() + waitMs);
-        waitMs = Math.min(LONGEST_WAIT_MS, 2 * waitMs);
+        }, dispatcher.clock() + reconnectDelayMs);
+        reconnectDelayMs = Math.min(MAX_RECONNECT_DELAY_MS, 2 * reconnectDelayMs);
     }
 
+    /** One connection to discovery, from the attempt to connect to its end. */
     private final class FeedConnection extends Connection {
         private ConnectFuture connecting;
-        private double wholeAt;                         // when its last whole frame came, or it came up
-        private boolean up;
+        /** When the last complete frame arrived, or the connection was opened or attempted. */
+        private double lastFrameAt;
+        private boolean established;
 
         FeedConnection() {
-            super(DiscoveryWatch.this.desk);
+            super(DiscoveryWatch.this.dispatcher);
         }
 
         void connect() {
-            wholeAt = dispatcher.clock();
+            lastFrameAt = dispatcher.clock();
             connecting = dispatcher.connector.connect(address, (session, future) -> bindSession(session));
-            connecting.addListener(f -> {
+            connecting.addListener(future -> {
                 if (connecting.getException() == null && !connecting.isCanceled()) return;
-                dispatcher.runLocked(() -> end("can't be reached"));
+                dispatcher.runLocked(() -> end("connect failed"));
             });
-            watch();
+            scheduleTimeoutCheck();
         }
 
         /**
-         * One timer for the whole life of the connection: it looks whether a frame came lately. Bytes are no news: half
-         * a frame that trickles would keep a watch that tells nothing.
+         * One timer for the whole life of the connection checks when the last complete frame arrived. Single bytes do
+         * not count: half a frame that trickles in would keep a connection that delivers nothing.
          */
-        private void watch() {
+        private void scheduleTimeoutCheck() {
             dispatcher.timers.set(new Timers.Timer() {
                 @Override void fire() {
                     if (feed != FeedConnection.this) return;
-                    if (dispatcher.clock() < wholeAt + patience()) {
-                        watch();
+                    if (dispatcher.clock() < lastFrameAt + timeoutMs()) {
+                        scheduleTimeoutCheck();
                         return;
                     }
-                    end(up ? "silent" : "does not come up");
+                    end(established ? "no frame in time" : "connect timed out");
                     connecting.cancel();
                 }
-            }, wholeAt + patience());
+            }, lastFrameAt + timeoutMs());
         }
 
-        private double patience() {
-            return up ? SILENCE_MS : dispatcher.settings.connectMs;
+        private double timeoutMs() {
+            return established ? FRAME_TIMEOUT_MS : dispatcher.settings.connectMs;
         }
 
-        void leave() {
+        /** Closes the connection, or the attempt, without reporting its end. */
+        void cancel() {
             connecting.cancel();
             abort();
         }
 
-        private void end(String why) {
+        private void end(String reason) {
             if (feed != this) return;
             abort();
-            again(why);
+            reconnectLater(reason);
         }
 
         @Override void opened() {
@@ -239,98 +268,122 @@
                 abort();
                 return;
             }
-            up = true;
-            wholeAt = dispatcher.clock();
-            session.write(IoBuffer.allocate(8).putLong(news.lastEvent()).flip());
+            established = true;
+            lastFrameAt = dispatcher.clock();
+            session.write(IoBuffer.allocate(EVENT_BYTES).putLong(listener.lastEvent()).flip());
         }
 
         @Override void closed() {
-            end("ended");
+            end("connection closed");
         }
 
         @Override void received() {
             if (feed != this) return;
-            while (remaining() >= 4) {
-                long length = big(from, 4);
-                if (length < 9 || length > LONGEST_FRAME) {
+            while (remaining() >= LENGTH_BYTES) {
+                long length = readUnsigned(from, LENGTH_BYTES);
+                if (length < MIN_FRAME_BYTES || length > MAX_FRAME_BYTES) {
                     malformed("length " + length);
                     return;
                 }
-                if (remaining() < 4 + length) return;
-                int at = from + 4, end = at + (int) length;
-                if (!frame(big(at, 8), bytes[at + 8], at + 9, end)) return;
-                failedToSpeak = 0;
-                spoken.countDown();
-                wholeAt = dispatcher.clock();
-                from = end;
+                if (remaining() < LENGTH_BYTES + length) return;
+                int frameStart = from + LENGTH_BYTES;
+                int payloadStart = frameStart + MIN_FRAME_BYTES;
+                int frameEnd = frameStart + (int) length;
+                long event = readUnsigned(frameStart, EVENT_BYTES);
+                if (!frame(event, bytes[frameStart + EVENT_BYTES], payloadStart, frameEnd)) return;
+                connectionsWithoutFrame = 0;
+                firstFrame.countDown();
+                lastFrameAt = dispatcher.clock();
+                from = frameEnd;
             }
         }
 
-        private boolean frame(long number, int kind, int at, int end) {
-            int size = end - at;
-            if (kind == 0) {
-                waitMs = FIRST_WAIT_MS;
-                if (size != 0) return malformed("an empty frame that is not empty");
-                boolean[] anew = new boolean[1];
-                dispatcher.processBatch(to -> anew[0] = news.heartbeat(to, number));
-                if (anew[0]) end("older than what is known");
-                // Nothing new after an event that never came: it was lost on the way, and is asked for again.
-                else if (number > news.lastEvent()) return malformed("nothing new after event " + number + ", known "
-                    + news.lastEvent());
-                return !anew[0];
-            }
-            long last = news.lastEvent();
-            boolean whole = kind == 1 && news.acceptsRepeated(true), again = number <= last;
-            if (again && !whole && !news.acceptsRepeated(false)) return true;     // had it already
-            boolean fits = switch (kind) {
-                case 1, 2 -> size % RECORD == 0;
-                case 3 -> size == 16;
-                case 4 -> size == 10;
+        /** Applies one frame; false where it has ended this connection. */
+        private boolean frame(long event, int kind, int start, int end) {
+            int size = end - start;
+            if (kind == KIND_HEARTBEAT) return heartbeat(event, size);
+            long lastEvent = listener.lastEvent();
+            boolean acceptedSnapshot = kind == KIND_SNAPSHOT && listener.acceptsRepeated(true);
+            boolean repeated = event <= lastEvent;
+            if (repeated && !acceptedSnapshot && !listener.acceptsRepeated(false)) return true;
+            boolean sizeFits = switch (kind) {
+                case KIND_SNAPSHOT, KIND_DELTA -> size % NODE_RECORD_BYTES == 0;
+                case KIND_OBJECT_PURGE -> size == OBJECT_PURGE_BYTES;
+                case KIND_GROUP_PURGE -> size == GROUP_PURGE_BYTES;
                 default -> false;
             };
-            if (!fits) return malformed("kind " + kind + " of " + size + " bytes");
-            if (number > last + 1 && !whole) return malformed("event " + number + " after " + last);
-            if (kind <= 2) {
-                for (int r = at; r < end; r += RECORD) {
-                    int state = bytes[r + 10];
-                    if (state < 0 || state > Director.REMOVED) return malformed("state " + state);
+            if (!sizeFits) return malformed("kind " + kind + " of " + size + " bytes");
+            if (event > lastEvent + 1 && !acceptedSnapshot) return malformed("event " + event + " after " + lastEvent);
+            if (kind <= KIND_DELTA) {
+                for (int record = start; record < end; record += NODE_RECORD_BYTES) {
+                    int status = bytes[record + 10];
+                    if (status < 0 || status > Director.REMOVED) return malformed("state " + status);
                 }
             }
             dispatcher.processBatch(to -> {
-                if (kind == 3) news.purged(to, number, big(at, 8) & Long.MAX_VALUE, -1, big(at + 8, 8));
-                else if (kind == 4) news.purged(to, number, -1, (int) big(at, 2), big(at + 2, 8));
-                else list(to, number, kind, at, end);
+                if (kind == KIND_OBJECT_PURGE) {
+                    long object = readUnsigned(start, 8) & Long.MAX_VALUE;
+                    listener.purged(to, event, object, -1, readUnsigned(start + 8, 8));
+                } else if (kind == KIND_GROUP_PURGE) {
+                    int group = (int) readUnsigned(start, 2);
+                    listener.purged(to, event, -1, group, readUnsigned(start + 2, 8));
+                } else {
+                    nodeRecords(to, event, kind, start, end);
+                }
             });
-            waitMs = FIRST_WAIT_MS;
+            reconnectDelayMs = MIN_RECONNECT_DELAY_MS;
             return true;
         }
 
-        private void list(Director to, long number, int kind, int at, int end) {
-            if (!news.listStarted(to, number, kind == 1 ? Director.LIST_SNAPSHOT : Director.LIST_DELTA)) return;
-            for (int r = at; r < end; r += RECORD) {
-                InetSocketAddress socket;
+        private boolean heartbeat(long event, int size) {
+            reconnectDelayMs = MIN_RECONNECT_DELAY_MS;
+            if (size != 0) return malformed("a heartbeat with a payload");
+            boolean[] restart = new boolean[1];
+            dispatcher.processBatch(to -> restart[0] = listener.heartbeat(to, event));
+            if (restart[0]) {
+                end("its event numbers are older than the known list");
+            } else if (event > listener.lastEvent()) {
+                // The heartbeat confirms an event that never arrived: it was lost and is requested again.
+                return malformed("heartbeat for event " + event + ", last known " + listener.lastEvent());
+            }
+            return !restart[0];
+        }
+
+        private void nodeRecords(Director to, long event, int kind, int start, int end) {
+            int update = kind == KIND_SNAPSHOT ? Director.LIST_SNAPSHOT : Director.LIST_DELTA;
+            if (!listener.listStarted(to, event, update)) return;
+            for (int record = start; record < end; record += NODE_RECORD_BYTES) {
+                InetSocketAddress nodeAddress;
                 try {
-                    byte[] address = Arrays.copyOfRange(bytes, r + 4, r + 8);
-                    socket = new InetSocketAddress(InetAddress.getByAddress(address), (int) big(r + 8, 2));
+                    byte[] ipAddress = Arrays.copyOfRange(bytes, record + 4, record + 8);
+                    int port = (int) readUnsigned(record + 8, 2);
+                    nodeAddress = new InetSocketAddress(InetAddress.getByAddress(ipAddress), port);
                 } catch (UnknownHostException e) {
-                    throw new IllegalStateException(e);  // four bytes are always an address
+                    throw new IllegalStateException(e);  // four bytes are always a valid address
                 }
-                news.nodeListed(to, String.format("s-%08x", big(r, 4)), socket, bytes[r + 11], bytes[r + 12],
-                    (int) big(r + 13, 2), bytes[r + 10], big(r + 15, 4) / 1000.0, big(r + 19, 8));
+                String id = String.format("s-%08x", readUnsigned(record, 4));
+                int status = bytes[record + 10];
+                int zone = bytes[record + 11];
+                int nodeKind = bytes[record + 12];
+                int cell = (int) readUnsigned(record + 13, 2);
+                double units = readUnsigned(record + 15, 4) / 1000.0;
+                listener.nodeListed(to, id, nodeAddress, zone, nodeKind, cell, status, units,
+                    readUnsigned(record + 19, 8));
             }
-            news.listFinished(to);
+            listener.listFinished(to);
         }
 
-        private long big(int at, int size) {
-            long n = 0;
-            for (int i = 0; i < size; i++) n = n << 8 | bytes[at + i] & 0xff;
-            return n;
+        /** Reads a big-endian number of {@code size} bytes. */
+        private long readUnsigned(int start, int size) {
+            long value = 0;
+            for (int i = 0; i < size; i++) value = value << 8 | bytes[start + i] & 0xff;
+            return value;
         }
 
-        private boolean malformed(String what) {
+        private boolean malformed(String problem) {
             dispatcher.counters.badFrame++;
-            if (dispatcher.counters.mayWarn()) LOG.warn("discovery sent what is no frame ({})", what);
-            end("can't be used");
+            if (dispatcher.counters.mayWarn()) LOG.warn("discovery sent a malformed frame ({})", problem);
+            end("malformed frame");
             return false;
         }
     }
--- a/src/main/java/mothcross/net/HopObserver.java
+++ b/src/main/java/mothcross/net/HopObserver.java
@@ -2,12 +2,11 @@
 
 import mothcross.Director;
 
-/**
- * Hears how hops end, as evidence about the nodes they named, within the module's round. Told of every end,
- * and at the end of the round once more, when it may bring news of the list.
- */
+/** Observes how hops end, as evidence about the nodes they went to; called within a batch of events. */
 interface HopObserver {
+    /** Called for every hop that has ended. */
     void hopEnded(Hop hop);
 
+    /** Called once after the last {@link #hopEnded} of a batch; may pass changes of the list to the director. */
     void roundFinished(Director to);
 }
--- a/src/main/java/mothcross/net/Routing.java
+++ b/src/main/java/mothcross/net/Routing.java
@@ -1,6 +1,7 @@
 package mothcross.net;
 
 import java.net.InetSocketAddress;
+import java.net.SocketAddress;
 import mothcross.RouteConstraints;
 import mothcross.expr.Frame;
 import mothcross.expr.Inputs;
@@ -8,121 +9,140 @@
 import mothcross.route.RouteTable;
 
 /**
- * The routes' view of the head that has just been read: where in the bytes what stands. Owns the table in force and
- * those
- * places; under the desk's lock one head at a time is looked at. Must never copy what a client sent, nor decide
- * anything.
+ * Routes one request head at a time by a table. Keeps the positions of the head's fields in the buffer that was
+ * received, and nothing that a client sent is copied. The table makes the decision. Used under the dispatcher's lock.
  */
 final class Routing implements Frame.Request {
     private RouteTable table;
-    private double scaleLimits = 1;
+    private double limitScale = 1;
+    /** The headers that the table reads; the value of each, where sent, is between the two positions. */
     private String[] headers = new String[0];
-    private int[] from = new int[0], to = new int[0];
+    private int[] headerStarts = new int[0];
+    private int[] headerEnds = new int[0];
     private byte[] bytes;
-    private int nameFrom, nameTo, objectFrom, objectTo, targetFrom, targetTo;
-    private long part, group;
-    private double sizeKb, wait;
-    private boolean parted, repeat;
+    private int workloadStart;
+    private int workloadEnd;
+    private int objectStart;
+    private int objectEnd;
+    private int targetStart;
+    private int targetEnd;
+    private boolean hasPart;
+    private long part;
+    private long group;
+    private double sizeKb;
+    private double waitMs;
+    private boolean retry;
     private ClientConnection client;
 
     RouteTable table() {
         return table;
     }
 
-    /** What is being asked goes by the new table from its next lookup on. */
-    void activate(RouteTable anew) {
-        table = anew;
-        if (anew != null) anew.scaleLimits(scaleLimits);
-        headers = anew == null ? new String[0] : anew.headers();
-        from = new int[headers.length];
-        to = new int[headers.length];
+    /** Uses the new table from the next lookup on. */
+    void activate(RouteTable newTable) {
+        table = newTable;
+        if (newTable != null) newTable.scaleLimits(limitScale);
+        headers = newTable == null ? new String[0] : newTable.headers();
+        headerStarts = new int[headers.length];
+        headerEnds = new int[headers.length];
     }
 
-    /** What membership says of this director's part of each limit, in parts of the fixed one. */
-    void scaleLimits(double times) {
-        scaleLimits = times;
-        if (table != null) table.scaleLimits(times);
+    /** Sets this director's share of each rate limit, as a factor of the configured limit. */
+    void scaleLimits(double scale) {
+        limitScale = scale;
+        if (table != null) table.scaleLimits(scale);
     }
 
-    // ---- the head, as it is read ----
+    // ---- the request head as it is parsed ----
 
     void headStarted() {
-        for (int i = 0; i < from.length; i++) from[i] = -1;
+        for (int i = 0; i < headerStarts.length; i++) headerStarts[i] = -1;
     }
 
-    /** The first of a name counts, as sent. */
-    void headerField(byte[] in, int name, int nameEnd, int v, int e) {
+    /** Keeps the position of a header's value; the first header of a name counts. */
+    void headerField(byte[] head, int name, int nameEnd, int value, int valueEnd) {
         for (int i = 0; i < headers.length; i++) {
-            if (from[i] >= 0 || !Bytes.matchesIgnoreCase(in, name, nameEnd, headers[i])) continue;
-            from[i] = v;
-            to[i] = e;
+            if (headerStarts[i] >= 0 || !Bytes.matchesIgnoreCase(head, name, nameEnd, headers[i])) continue;
+            headerStarts[i] = value;
+            headerEnds[i] = valueEnd;
         }
     }
 
-    void setTarget(byte[] in, int begin, int end, int name, int nameEnd, int object, int objectEnd) {
-        bytes = in;
-        targetFrom = begin;
-        targetTo = end;
-        nameFrom = name;
-        nameTo = nameEnd;
-        objectFrom = object;
-        objectTo = objectEnd;
+    /** Keeps the positions of the request target, and of the workload's name and the object in it. */
+    void setTarget(byte[] head, int target, int targetLimit, int workload, int workloadLimit, int object,
+                   int objectLimit) {
+        bytes = head;
+        targetStart = target;
+        targetEnd = targetLimit;
+        workloadStart = workload;
+        workloadEnd = workloadLimit;
+        objectStart = object;
+        objectEnd = objectLimit;
     }
 
-    void setRequestFields(ClientConnection by, boolean hasPart, long number, long lot, double kb, double waitMs, boolean again) {
-        client = by;
-        parted = hasPart;
-        part = number;
-        group = lot;
-        sizeKb = kb;
-        wait = waitMs;
-        repeat = again;
+    /** Keeps the request's parsed fields; a negative group or wait and a size of 0 stand for absent ones. */
+    void setRequestFields(ClientConnection sender, boolean partPresent, long partNumber, long groupNumber,
+                          double objectSizeKb, double clientWaitMs, boolean isRetry) {
+        client = sender;
+        hasPart = partPresent;
+        part = partNumber;
+        group = groupNumber;
+        sizeKb = objectSizeKb;
+        waitMs = clientWaitMs;
+        retry = isRetry;
     }
 
-    RouteTable.Outcome route(int workload, int mostHops, double now) {
-        RouteTable.Outcome o = table.route(this, workload, mostHops, now);
+    /** Evaluates the table for the head that has been parsed, and drops the references to it. */
+    RouteTable.Outcome route(int workload, int maxHops, double now) {
+        RouteTable.Outcome outcome = table.route(this, workload, maxHops, now);
         bytes = null;
         client = null;
-        return o;
+        return outcome;
     }
 
-    static RouteConstraints constraints(RouteTable.Outcome o, int mostHops) {
-        if (!o.hasPlacementKey && o.importanceShare == 1 && o.maxHops == mostHops) return null;
-        return new RouteConstraints(o.hasPlacementKey, o.placementKey, o.maxHops, o.importanceShare);
+    /** The constraints that an outcome puts on the lookup; null where there are none. */
+    static RouteConstraints constraints(RouteTable.Outcome outcome, int maxHops) {
+        if (!outcome.hasPlacementKey && outcome.importanceShare == 1 && outcome.maxHops == maxHops) return null;
+        return new RouteConstraints(outcome.hasPlacementKey, outcome.placementKey, outcome.maxHops,
+            outcome.importanceShare);
     }
 
-    @Override public void read(int number, Frame f, int slot) {
-        if (number >= Inputs.FIRST_HEADER) {
-            int i = number - Inputs.FIRST_HEADER;
-            if (from[i] >= 0) f.put(slot, bytes, from[i], to[i]);
+    @Override public void read(int input, Frame frame, int slot) {
+        if (input >= Inputs.FIRST_HEADER) {
+            int i = input - Inputs.FIRST_HEADER;
+            if (headerStarts[i] >= 0) frame.put(slot, bytes, headerStarts[i], headerEnds[i]);
             return;
         }
-        switch (number) {
-            case RequestInputs.WORKLOAD -> f.put(slot, bytes, nameFrom, nameTo);
-            case RequestInputs.OBJECT -> f.put(slot, bytes, objectFrom, objectTo);
-            case RequestInputs.TARGET -> f.put(slot, bytes, targetFrom, targetTo);
+        switch (input) {
+            case RequestInputs.WORKLOAD -> frame.put(slot, bytes, workloadStart, workloadEnd);
+            case RequestInputs.OBJECT -> frame.put(slot, bytes, objectStart, objectEnd);
+            case RequestInputs.TARGET -> frame.put(slot, bytes, targetStart, targetEnd);
             case RequestInputs.PART -> {
-                if (parted) f.put(slot, part);
+                if (hasPart) frame.put(slot, part);
             }
             case RequestInputs.GROUP -> {
-                if (group >= 0) f.put(slot, group);
+                if (group >= 0) frame.put(slot, group);
             }
             case RequestInputs.SIZE -> {
-                if (sizeKb > 0) f.put(slot, 1000 * sizeKb);
+                if (sizeKb > 0) frame.put(slot, 1000 * sizeKb);
             }
             case RequestInputs.WAIT -> {
-                if (wait >= 0) f.put(slot, wait);
+                if (waitMs >= 0) frame.put(slot, waitMs);
             }
-            case RequestInputs.RETRY -> f.put(slot, repeat ? 1L : 0L);
+            case RequestInputs.RETRY -> frame.put(slot, retry ? 1L : 0L);
             case RequestInputs.CLIENT -> {
-                byte[] a = client.address();
-                f.put(slot, a, 0, a.length);
+                byte[] address = client.address();
+                frame.put(slot, address, 0, address.length);
             }
             default -> { }
         }
     }
 
-    static byte[] addressBytes(java.net.SocketAddress a) {
-        return a instanceof InetSocketAddress i && i.getAddress() != null ? i.getAddress().getAddress() : new byte[4];
+    /** The IP address in network byte order; 0.0.0.0 where there is none. */
+    static byte[] addressBytes(SocketAddress address) {
+        if (address instanceof InetSocketAddress inet && inet.getAddress() != null) {
+            return inet.getAddress().getAddress();
+        }
+        return new byte[4];
     }
 }
--- a/src/main/java/mothcross/net/ServingPermit.java
+++ b/src/main/java/mothcross/net/ServingPermit.java
@@ -1,11 +1,12 @@
 package mothcross.net;
 
 /**
- * Whether this director may decide lookups now, where the fleet agrees on what they are decided by; from any thread.
+ * Whether this director may start lookups now, where the fleet agrees on the policy they are decided by. May be
+ * called from any thread.
  */
 public interface ServingPermit {
     boolean mayStart();
 
-    /** When it is worth coming back, in ms, to one that may not. */
+    /** The delay after which a rejected client should retry, in ms. */
     double retryAfterMs();
 }
--- a/src/main/java/mothcross/net/ShutdownSequence.java
+++ b/src/main/java/mothcross/net/ShutdownSequence.java
@@ -1,34 +1,42 @@
 package mothcross.net;
 
 /**
- * The end of a director's process as states; time is passed in. Owns when each begins; must never end one while an
- * answer is owed and there is time for it.
+ * The shutdown of a director's process as a state machine; the caller passes the time in. No state ends while an
+ * answer is owed and there is time left for it.
  * <pre>
- * state     what holds                                              left
- * SERVING   clients are taken, /-/healthy says ready                told to end: DRAINING
- * DRAINING  /-/healthy says no; what comes is taken and answered,   nothing can come any more (the protocol page's
- *           and every answer ends its connection                    time) and nobody waits to be taken: CLOSING
- * CLOSING   nothing listens; who rests finds our side shut, who     no client is left, or the bound: OUT
- *           has asked is answered; past answeredBy what is open
- *           is given up at once
- * OUT       the process may go: nothing is owed
+ * state       behaviour                                              left when
+ * SERVING     clients are accepted, /-/healthy reports ready         SIGTERM: DRAINING
+ * DRAINING    /-/healthy reports not ready; new requests are         no request can arrive any more (time of the
+ *             answered, and every answer closes its connection       protocol page) and none waits to be accepted:
+ *                                                                    CLOSING
+ * CLOSING     nothing listens; idle connections are closed, open     no client is left, or time is up: TERMINATED
+ *             requests are answered; past answerDeadline they fail
+ *             at once
+ * TERMINATED  the process may exit: no answer is owed
  * </pre>
  */
 final class ShutdownSequence {
     enum State { SERVING, DRAINING, CLOSING, TERMINATED }
 
-    // The protocol page's figures for a planned restart: how long requests may still come, the longest deadline that
-    // is waited for, how long nobody has to have come for none to be waiting. MARGIN: the time of the last answers.
-    static final double LATE_ARRIVALS_MS = 700, MAX_ANSWER_MS = 3000, MARGIN_MS = 150, QUIET_MS = 50;
+    // Times of the protocol page for a planned restart.
+    /** How long requests may still arrive after SIGTERM. */
+    static final double LATE_ARRIVALS_MS = 700;
+    /** The longest client deadline that is waited for. */
+    static final double MAX_ANSWER_MS = 3000;
+    /** Time left for the last answers to be delivered. */
+    static final double MARGIN_MS = 150;
+    /** Without a new client for this long, none is waiting to be accepted. */
+    static final double QUIET_MS = 50;
 
     private State state = State.SERVING;
-    private double toldAt, answerDeadline;
+    private double startedAt;
+    private double answerDeadline;
 
-    /** {@code longestMs}: the longest that a client waits, by the settings. */
+    /** Starts the shutdown; {@code longestMs} is the longest that a client waits, by the settings. */
     void start(double now, double longestMs) {
         if (state != State.SERVING) return;
         state = State.DRAINING;
-        toldAt = now;
+        startedAt = now;
         answerDeadline = now + LATE_ARRIVALS_MS + Math.min(MAX_ANSWER_MS, longestMs) - MARGIN_MS;
     }
 
@@ -36,16 +44,20 @@
         return state;
     }
 
-    /** When what is still open has to be given up, for its answer to arrive. */
+    /** When requests that are still open have to fail for their answers to arrive in time. */
     double answerDeadline() {
         return answerDeadline;
     }
 
-    /** {@code cameAt}: when the last client was taken; {@code clients}: how many connections are not closed yet. */
-    State step(double now, double cameAt, int clients) {
-        boolean nobodyComes = now >= toldAt + LATE_ARRIVALS_MS && (now >= cameAt + QUIET_MS || now >= answerDeadline);
-        if (state == State.DRAINING && nobodyComes) state = State.CLOSING;
-        // Half of what is left: the end comes before the platform's, and the last answers before it.
+    /**
+     * Advances to the state of {@code now}; {@code lastAcceptedAt} is when the last client was accepted, and
+     * {@code clients} the number of connections that are not closed yet.
+     */
+    State step(double now, double lastAcceptedAt, int clients) {
+        boolean quiet = now >= lastAcceptedAt + QUIET_MS || now >= answerDeadline;
+        boolean noMoreArrivals = now >= startedAt + LATE_ARRIVALS_MS && quiet;
+        if (state == State.DRAINING && noMoreArrivals) state = State.CLOSING;
+        // Half of the margin: the process exits before the platform kills it, and after its last answers.
         if (state == State.CLOSING && (clients == 0 || now >= answerDeadline + MARGIN_MS / 2)) state = State.TERMINATED;
         return state;
     }
--- a/src/main/java/mothcross/net/SnapshotFileStore.java
+++ b/src/main/java/mothcross/net/SnapshotFileStore.java
@@ -14,32 +14,36 @@
 import mothcross.membership.SnapshotFormat;
 
 /**
- * A kept list as one file, replaced whole: written beside, synced, renamed, and the folder synced. Owns the file,
- * the one beside it, and the lock that keeps a second director from writing. Must never change the file in place.
+ * Stores the membership snapshot in one file. The file is replaced atomically and never changed in place: the new
+ * content is written to a temporary file, synced and renamed, then the directory is synced. A lock file keeps a
+ * second director from writing.
  */
 public final class SnapshotFileStore implements SnapshotStore {
-    private static final long LARGEST = 256 << 20;
-    private final Path file, beside, lockFile;
-    private final String fleet, director;
-    private FileChannel locked;
+    private static final long MAX_FILE_BYTES = 256 << 20;
+    private final Path file;
+    private final Path temporaryFile;
+    private final Path lockFile;
+    private final String fleet;
+    private final String director;
+    private FileChannel lockChannel;
     private FileLock lock;
 
-    /** {@code fleet}, {@code director} null: for those who only look. */
+    /** With {@code fleet} or {@code director} null, a snapshot of any fleet or director can be read. */
     public SnapshotFileStore(Path file, String fleet, String director) {
         this.file = file.toAbsolutePath();
         this.fleet = fleet;
         this.director = director;
-        this.beside = this.file.resolveSibling(this.file.getFileName() + ".new");
+        this.temporaryFile = this.file.resolveSibling(this.file.getFileName() + ".new");
         this.lockFile = this.file.resolveSibling(this.file.getFileName() + ".lock");
     }
 
-    @Override public SnapshotFormat.Result read(double now, double skew) {
+    @Override public SnapshotFormat.Result read(double now, double skewMs) {
         try {
-            if (Files.size(file) > LARGEST) {
-                return SnapshotFormat.Result.failed(SnapshotFormat.ReadError.NOT_A_LIST, "larger than " + LARGEST
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                return SnapshotFormat.Result.failed(SnapshotFormat.ReadError.NOT_A_LIST, "larger than " + MAX_FILE_BYTES
                     + " bytes");
             }
-            return SnapshotFormat.decode(Files.readAllBytes(file), fleet, director, now, skew);
+            return SnapshotFormat.decode(Files.readAllBytes(file), fleet, director, now, skewMs);
         } catch (NoSuchFileException e) {
             return null;
         } catch (IOException e) {
@@ -51,36 +55,36 @@
     @Override public boolean acquireWriteLock() {
         if (lock != null) return true;
         try {
-            if (locked == null) {
-                locked = FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            if (lockChannel == null) {
+                lockChannel = FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
             }
-            lock = locked.tryLock();
+            lock = lockChannel.tryLock();
         } catch (OverlappingFileLockException e) {
-            return false;                                   // another one in this process
+            return false;                                   // held by another director of this process
         } catch (IOException e) {
-            return true;                                    // a disk that can't be written says so when it is
+            return true;                                    // a disk that can't be written fails at the first write
         }
         return lock != null;
     }
 
-    @Override public void write(MembershipSnapshot list) throws IOException {
-        ByteBuffer bytes = ByteBuffer.wrap(SnapshotFormat.encode(list));
-        try (FileChannel out = FileChannel.open(beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+    @Override public void write(MembershipSnapshot snapshot) throws IOException {
+        ByteBuffer bytes = ByteBuffer.wrap(SnapshotFormat.encode(snapshot));
+        try (FileChannel out = FileChannel.open(temporaryFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
             StandardOpenOption.TRUNCATE_EXISTING)) {
             while (bytes.hasRemaining()) out.write(bytes);
             out.force(true);
         }
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE);
-        try (FileChannel folder = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
-            folder.force(true);
+        Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE);
+        try (FileChannel directory = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
     @Override public void close() {
         try {
-            if (locked != null) locked.close();
+            if (lockChannel != null) lockChannel.close();
         } catch (IOException e) {
-            lock = null;                                    // the system lets go of it with the process
+            lock = null;                                    // the system releases it with the process
         }
     }
 }
--- a/src/main/java/mothcross/net/SnapshotStore.java
+++ b/src/main/java/mothcross/net/SnapshotStore.java
@@ -5,18 +5,20 @@
 import mothcross.membership.SnapshotFormat;
 
 /**
- * Where the kept list rests. Called by one thread at a time and never under the desk's lock; failures to write
- * are thrown, what can't be used when reading is a result with its reason.
+ * Durable storage of the membership snapshot. Called by one thread at a time and never under the dispatcher's lock,
+ * as it may wait for the disk. A failed write is thrown; a snapshot that can't be used is returned as a result with
+ * its error.
  */
 public interface SnapshotStore {
-    /** What rests there; null where there is nothing yet. */
-    SnapshotFormat.Result read(double now, double skew);
+    /** Reads the stored snapshot; null where there is none yet. */
+    SnapshotFormat.Result read(double now, double skewMs);
 
-    /** False where another director writes there; this one then only reads. */
+    /** Acquires the right to write; false where another director has it, in which case this one only reads. */
     boolean acquireWriteLock();
 
-    /** Returns once the list would survive a cut of power. */
-    void write(MembershipSnapshot list) throws IOException;
+    /** Returns once the snapshot would survive a power failure. */
+    void write(MembershipSnapshot snapshot) throws IOException;
 
+    /** Releases the write lock. */
     void close();
 }
