--- a/src/main/java/mothcross/net/PersistentMembership.java
+++ b/src/main/java/mothcross/net/PersistentMembership.java
@@ -24,357 +24,395 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Between discovery, the membership and the desk: carries news and evidence in, what is believed out to the
- * module, the kept list to its keeper by a thread of its own, and each change to the log. Owns that thread and the
- * clock of ages, which goes by elapsed time since the start so that a clock set anew ages nothing. Must never decide
- * what is believed, and never wait for the disk under the desk's lock.
+ * Connects discovery, the membership, the dispatcher and the snapshot store: passes discovery updates and the outcome
+ * of hops to the {@link Membership}, passes its state on to the director, writes the membership snapshot and logs
+ * each change. The membership alone decides the state of a node.
+ *
+ * <p>Runs under the dispatcher's lock, except for the thread that writes snapshots: the disk is never waited for under
+ * the lock. Ages go by the time elapsed since the start, so that a change of the system's clock ages nothing.
  */
 final class PersistentMembership implements DiscoveryListener, HopObserver, Membership.Changes {
     private static final Logger LOG = LoggerFactory.getLogger(PersistentMembership.class);
-    private static final double TICK_MS = 500;
-    private static final int MOST_LINES = 20;               // of single boxes in a second; the rest is summed up
+    private static final double TICK_INTERVAL_MS = 500;
+    /** Changes of single nodes that are logged in one second; further ones are summed up. */
+    private static final int MAX_NODE_LINES_PER_SECOND = 20;
 
-    private record Change(ListedNode entry, NodeState is, double coldSince) { }
+    private record PendingChange(ListedNode entry, NodeState state, double coldSince) { }
 
-    private final Dispatcher desk;
-    private final DirectorSettings opening;
+    private final Dispatcher dispatcher;
+    private final DirectorSettings settings;
     private final Membership membership;
-    private WriteScheduler plan;
-    private final SnapshotStore keeper;
-    private final String fleet, director;
-    private final double skewMs;                        // asked for at the start only
-    private final boolean writes;
+    private WriteScheduler writeScheduler;
+    private final SnapshotStore store;
+    private final String fleet;
+    private final String director;
+    private final double clockSkewMs;                       // used at the start only
+    private final boolean hasWriteLock;
     private final double startedAt;
-    private final long startedNano = System.nanoTime();
-    // What the module is to be told, by id, until the round that is under way ends.
-    private final Map<String, Change> pending = new LinkedHashMap<>();
-    private final Map<String, Integer> summed = new HashMap<>();
-    private final Map<SnapshotFormat.ReadError, Integer> refused = new EnumMap<>(SnapshotFormat.ReadError.class);
+    private final long startedNanos = System.nanoTime();
+    /** Changes for the director by node id, until the current batch ends. */
+    private final Map<String, PendingChange> pendingChanges = new LinkedHashMap<>();
+    private final Map<String, Integer> unloggedChanges = new HashMap<>();
+    private final Map<SnapshotFormat.ReadError, Integer> readErrors = new EnumMap<>(SnapshotFormat.ReadError.class);
     private final Thread writer;
-    private MembershipSnapshot toWrite;                     // guarded by this
+    private MembershipSnapshot snapshotToWrite;             // guarded by this
     private boolean stopped;                                // guarded by this
-    private boolean heardOfDiscovery, silent = true, saidOlder, stayed = true;
-    private int lines, trusted, dropped;
-    private long linesSince;
-    long writesCompleted, writesFailed;
-
-    /** {@code wall} is the system's clock at the start, by which a list from the disk is judged. */
-    PersistentMembership(Dispatcher desk, AgeLimits ages, WriteScheduler plan, SnapshotStore keeper, String fleet,
-                         String director, double wall) {
-        this.desk = desk;
-        this.opening = desk.settings;
-        this.skewMs = ages.clockSkewMs();
-        this.plan = plan;
-        this.keeper = keeper;
+    private boolean discoveryHeard;
+    private boolean discoveryLost = true;
+    private boolean olderReported;
+    private boolean lastWriteSucceeded = true;
+    private int linesInSecond;
+    private long lineSecond;
+    private int trustedCount;
+    private int droppedCount;
+    long writesCompleted;
+    long writesFailed;
+
+    /** {@code startedAt} is the system's clock at the start, Unix ms; the age of a stored snapshot is judged by it. */
+    PersistentMembership(Dispatcher dispatcher, AgeLimits ages, WriteScheduler writeScheduler, SnapshotStore store,
+                         String fleet, String director, double startedAt) {
+        this.dispatcher = dispatcher;
+        this.settings = dispatcher.settings;
+        this.clockSkewMs = ages.clockSkewMs();
+        this.writeScheduler = writeScheduler;
+        this.store = store;
         this.fleet = fleet;
         this.director = director;
-        this.startedAt = wall;
-        this.membership = new Membership(ages, opening.purgeRetentionMs, new SplittableRandom(opening.edgeSeed), this);
-        this.writes = keeper.acquireWriteLock();
-        this.writer = new Thread(this::writeAll, "list");
+        this.startedAt = startedAt;
+        SplittableRandom random = new SplittableRandom(settings.edgeSeed);
+        this.membership = new Membership(ages, settings.purgeRetentionMs, random, this);
+        this.hasWriteLock = store.acquireWriteLock();
+        this.writer = new Thread(this::writeSnapshots, "list");
         writer.setDaemon(true);
         writer.start();
-        if (!writes) {
+        if (!hasWriteLock) {
             LOG.atWarn().addKeyValue("fleet", fleet).addKeyValue("director", director)
                 .log("list: another director writes to this file; this one only reads it");
         }
     }
 
     private double now() {
-        return startedAt + (System.nanoTime() - startedNano) / 1e6;
+        return startedAt + (System.nanoTime() - startedNanos) / 1e6;
     }
 
     Membership membership() {
         return membership;
     }
 
-    // ---- the start ----
+    // ---- start and reload ----
 
-    /** What rests on disk, or what the told file knows ({@code known}, null where it has none), whichever is newer. */
-    void start(MembershipSnapshot known) {
+    /**
+     * Restores the stored snapshot or the configured one, whichever has the higher event number. {@code configured}
+     * is null where the configuration has no list.
+     */
+    void start(MembershipSnapshot configured) {
         double now = now();
-        SnapshotFormat.Result disk = keeper.read(now, skewMs);
-        MembershipSnapshot kept = disk == null ? null : disk.snapshot();
-        if (disk != null && disk.error() != null) {
-            refused.merge(disk.error(), 1, Integer::sum);
-            LOG.atWarn().addKeyValue("reason", disk.error()).log("list: not used: {}", disk.text());
+        SnapshotFormat.Result stored = store.read(now, clockSkewMs);
+        MembershipSnapshot snapshot = stored == null ? null : stored.snapshot();
+        if (stored != null && stored.error() != null) {
+            readErrors.merge(stored.error(), 1, Integer::sum);
+            LOG.atWarn().addKeyValue("reason", stored.error()).log("list: snapshot not used: {}", stored.text());
         }
-        if (known != null && (kept == null || known.lastEvent() > kept.lastEvent())) kept = known;
-        if (kept != null) {
-            membership.restore(kept, now);
-            LOG.atInfo().addKeyValue("from", kept == known ? "told file" : "disk")
-                .addKeyValue("event", kept.lastEvent()).addKeyValue("boxes", kept.entries().size())
-                .addKeyValue("age_s", Math.round((now - kept.confirmedAt()) / 1000))
+        boolean configuredIsNewer = configured != null
+            && (snapshot == null || configured.lastEvent() > snapshot.lastEvent());
+        if (configuredIsNewer) snapshot = configured;
+        if (snapshot != null) {
+            membership.restore(snapshot, now);
+            LOG.atInfo().addKeyValue("from", snapshot == configured ? "configuration" : "disk")
+                .addKeyValue("event", snapshot.lastEvent()).addKeyValue("boxes", snapshot.entries().size())
+                .addKeyValue("age_s", Math.round((now - snapshot.confirmedAt()) / 1000))
                 .addKeyValue("recent", membership.count(NodeState.RECENT))
                 .addKeyValue("old", membership.count(NodeState.OLD))
-                .addKeyValue("too_old", membership.count(NodeState.TOO_OLD)).log("list: read");
+                .addKeyValue("too_old", membership.count(NodeState.TOO_OLD)).log("list: snapshot read");
         } else {
-            LOG.atInfo().log("list: none; all lookups wait for discovery");
+            LOG.atInfo().log("list: no snapshot; all lookups wait for discovery");
         }
-        desk.setHopObserver(this);
-        desk.processBatch(to -> {
+        dispatcher.setHopObserver(this);
+        dispatcher.processBatch(to -> {
             to.listStarted(Director.LIST_RESTORED);
             to.listFinished();
-            flush(to);
-            for (Purge p : membership.purges()) desk.purged(to, p.object(), p.group(), p.at());
+            applyPendingChanges(to);
+            for (Purge purge : membership.purges()) {
+                dispatcher.purged(to, purge.object(), purge.group(), purge.at());
+            }
         });
-        tick();
+        scheduleTick();
     }
 
-    private void tick() {
-        desk.timers.set(new Timers.Timer() {
+    private void scheduleTick() {
+        dispatcher.timers.set(new Timers.Timer() {
             @Override void fire() {
-                desk.processBatch(to -> {
+                dispatcher.processBatch(to -> {
                     membership.tick(now());
-                    flush(to);
+                    applyPendingChanges(to);
                 });
-                tick();
+                scheduleTick();
             }
-        }, desk.clock() + TICK_MS);
+        }, dispatcher.clock() + TICK_INTERVAL_MS);
     }
 
-    /** The operators' figures anew; the file and the fleet stay until the next start. */
-    void reload(AgeLimits anew, WriteScheduler times) {
-        plan = times;
-        plan.changed(false, now());
-        desk.processBatch(to -> {
-            membership.ages(anew, now());
-            flush(to);
+    /** Applies reloaded limits and write delays; file and fleet can change only with a restart. */
+    void reload(AgeLimits ages, WriteScheduler scheduler) {
+        writeScheduler = scheduler;
+        writeScheduler.changed(false, now());
+        dispatcher.processBatch(to -> {
+            membership.ages(ages, now());
+            applyPendingChanges(to);
         });
     }
 
-    // ---- news ----
+    // ---- updates of discovery ----
 
     @Override public long lastEvent() {
         return membership.number();
     }
 
-    @Override public boolean acceptsRepeated(boolean wholeList) {
-        return wholeList || membership.behind();
+    @Override public boolean acceptsRepeated(boolean snapshot) {
+        return snapshot || membership.behind();
     }
 
-    @Override public boolean listStarted(Director to, long number, int news) {
-        Membership.UpdateResult taken = membership.listStarted(number, news != Director.LIST_DELTA, now());
-        switch (taken) {
-            case OLDER -> older(number);
-            case STARTED_OVER -> LOG.atWarn().addKeyValue("event", number)
-                .log("list: discovery is older than what was known, which is too old itself: started over");
+    @Override public boolean listStarted(Director to, long event, int updateKind) {
+        Membership.UpdateResult result = membership.listStarted(event, updateKind != Director.LIST_DELTA, now());
+        switch (result) {
+            case OLDER -> reportOlder(event);
+            case STARTED_OVER -> LOG.atWarn().addKeyValue("event", event)
+                .log("list: discovery is older than the known list, which is too old to use: replaced by discovery's");
             default -> { }
         }
-        return taken == Membership.UpdateResult.APPLIED || taken == Membership.UpdateResult.STARTED_OVER
-            || taken == Membership.UpdateResult.DRAINS_ONLY;
+        return result == Membership.UpdateResult.APPLIED || result == Membership.UpdateResult.STARTED_OVER
+            || result == Membership.UpdateResult.DRAINS_ONLY;
     }
 
-    private void older(long number) {
-        if (saidOlder) return;
-        saidOlder = true;
-        LOG.atWarn().addKeyValue("event", number).addKeyValue("known", membership.number())
-            .log("list: discovery is behind what is known; its list is not taken");
+    private void reportOlder(long event) {
+        if (olderReported) return;
+        olderReported = true;
+        LOG.atWarn().addKeyValue("event", event).addKeyValue("known", membership.number())
+            .log("list: discovery is behind the known list; its list is not applied");
     }
 
-    @Override public void nodeListed(Director to, String id, InetSocketAddress address, int place, int kind, int cell,
-                                 int standing, double units, double startedAt) {
-        membership.nodeListed(id, address.getHostString(), address.getPort(), name(opening.zones, place),
-            name(opening.kinds, kind), cell, standing, units, startedAt, now());
+    @Override public void nodeListed(Director to, String id, InetSocketAddress address, int zone, int kind, int cell,
+                                     int status, double units, double startedAt) {
+        membership.nodeListed(id, address.getHostString(), address.getPort(), name(settings.zones, zone),
+            name(settings.kinds, kind), cell, status, units, startedAt, now());
     }
 
-    private static String name(List<String> names, int at) {
-        return at >= 0 && at < names.size() ? names.get(at) : "?" + at;
+    private static String name(List<String> names, int index) {
+        return index >= 0 && index < names.size() ? names.get(index) : "?" + index;
     }
 
     @Override public void listFinished(Director to) {
-        int before = trusted, lost = dropped;
-        Membership.UpdateResult taken = membership.listFinished(now());
-        if (taken == Membership.UpdateResult.SHRUNK) {
+        int trustedBefore = trustedCount;
+        int droppedBefore = droppedCount;
+        Membership.UpdateResult result = membership.listFinished(now());
+        if (result == Membership.UpdateResult.SHRUNK) {
             LOG.atWarn().addKeyValue("missing", membership.unlistedCount())
-                .log("list: shrank strongly; what is missing gets nothing new and is withheld, not forgotten");
-        } else if (taken == Membership.UpdateResult.EMPTY) {
-            LOG.atWarn().log("list: discovery sent an empty one; what was known stays and ages");
+                .log("list: far fewer nodes than before; the missing ones get no new work but are not removed");
+        } else if (result == Membership.UpdateResult.EMPTY) {
+            LOG.atWarn().log("list: discovery sent an empty one; the known list stays and ages");
+        }
+        if (result != Membership.UpdateResult.EMPTY) {
+            discoveryConfirmed(trustedCount - trustedBefore, droppedCount - droppedBefore);
         }
-        if (taken != Membership.UpdateResult.EMPTY) back(trusted - before, dropped - lost);
-        flush(to);
+        applyPendingChanges(to);
     }
 
-    @Override public void purged(Director to, long number, long object, int group, double at) {
-        membership.purged(number, object, group, at, now());
-        desk.purged(to, object, group, at);
-        flush(to);
+    @Override public void purged(Director to, long event, long object, int group, double at) {
+        membership.purged(event, object, group, at, now());
+        dispatcher.purged(to, object, group, at);
+        applyPendingChanges(to);
     }
 
-    @Override public boolean heartbeat(Director to, long number) {
-        int before = trusted, lost = dropped;
-        if (!membership.confirmUpTo(number, now())) {
-            older(number);
-            return membership.resetIfUnusable(number, now());
+    @Override public boolean heartbeat(Director to, long event) {
+        int trustedBefore = trustedCount;
+        int droppedBefore = droppedCount;
+        if (!membership.confirmUpTo(event, now())) {
+            reportOlder(event);
+            return membership.resetIfUnusable(event, now());
+        }
+        if (event == membership.number()) {
+            discoveryConfirmed(trustedCount - trustedBefore, droppedCount - droppedBefore);
         }
-        if (number == membership.number()) back(trusted - before, dropped - lost);
-        flush(to);
+        applyPendingChanges(to);
         return false;
     }
 
-    @Override public void connectionLost(String why) {
-        if (silent) return;
-        silent = true;
-        LOG.atInfo().addKeyValue("why", why).addKeyValue("event", membership.number())
-            .log("list: discovery is silent; the list ages from now on");
+    @Override public void connectionLost(String reason) {
+        if (discoveryLost) return;
+        discoveryLost = true;
+        LOG.atInfo().addKeyValue("why", reason).addKeyValue("event", membership.number())
+            .log("list: connection to discovery lost; the list ages from now on");
     }
 
-    private void back(int trustedNow, int droppedNow) {
-        saidOlder = false;
-        if (!silent) return;
-        silent = false;
-        LOG.atInfo().addKeyValue("event", membership.number()).addKeyValue("first", !heardOfDiscovery)
-            .addKeyValue("trusted", trustedNow).addKeyValue("dropped", droppedNow).log("list: discovery is back");
-        heardOfDiscovery = true;
+    private void discoveryConfirmed(int newlyTrusted, int newlyDropped) {
+        olderReported = false;
+        if (!discoveryLost) return;
+        discoveryLost = false;
+        LOG.atInfo().addKeyValue("event", membership.number()).addKeyValue("first", !discoveryHeard)
+            .addKeyValue("trusted", newlyTrusted).addKeyValue("dropped", newlyDropped)
+            .log("list: discovery is available");
+        discoveryHeard = true;
     }
 
-    // ---- evidence ----
+    // ---- outcome of hops ----
 
-    @Override public void hopEnded(Hop h) {
-        String source = h.source == h.node ? null : h.source.id;
-        membership.hopEnded(h.node.id, source, h.outcome, h.note, h.node.lastReceivedAt < h.sentAt, now());
+    @Override public void hopEnded(Hop hop) {
+        String sourceId = hop.source == hop.node ? null : hop.source.id;
+        membership.hopEnded(hop.node.id, sourceId, hop.outcome, hop.note, hop.node.lastReceivedAt < hop.sentAt, now());
     }
 
     @Override public void roundFinished(Director to) {
-        flush(to);
+        applyPendingChanges(to);
     }
 
-    // ---- what is believed, to the module ----
+    // ---- changes for the director and the log ----
 
-    @Override public void changed(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
-        pending.put(entry.id(), new Change(entry, is, coldSince));
-        boolean first = was == null;
-        if (is.directorStatus == Director.IN_SERVICE && !first && was.directorStatus != Director.IN_SERVICE) trusted++;
-        if (!is.usable() && !first && was.usable()) dropped++;
-        if (!(first && is != NodeState.TOLD)) say(entry, was, is, why);
+    @Override public void changed(ListedNode entry, NodeState before, NodeState after, double coldSince,
+                                  String reason) {
+        pendingChanges.put(entry.id(), new PendingChange(entry, after, coldSince));
+        boolean first = before == null;
+        boolean nowInService = after.directorStatus == Director.IN_SERVICE;
+        if (nowInService && !first && before.directorStatus != Director.IN_SERVICE) trustedCount++;
+        if (!after.usable() && !first && before.usable()) droppedCount++;
+        if (!(first && after != NodeState.TOLD)) logChange(entry, before, after, reason);
     }
 
-    /** One line for a box; where very many change at once, their number. */
-    private void say(ListedNode entry, NodeState was, NodeState is, String why) {
+    /** Logs one line for a node; where many change within a second, further ones are logged as a count. */
+    private void logChange(ListedNode entry, NodeState before, NodeState after, String reason) {
         long second = System.nanoTime() / 1_000_000_000L;
-        if (second != linesSince) {
-            summed.forEach((what, n) -> LOG.atInfo().addKeyValue("boxes", n).log("list: {}", what));
-            summed.clear();
-            lines = 0;
-            linesSince = second;
+        if (second != lineSecond) {
+            unloggedChanges.forEach((change, count) -> LOG.atInfo().addKeyValue("boxes", count)
+                .log("list: {}", change));
+            unloggedChanges.clear();
+            linesInSecond = 0;
+            lineSecond = second;
         }
-        String what = (was == null ? "new" : was) + " to " + is;
-        if (lines++ >= MOST_LINES) {
-            summed.merge(what, 1, Integer::sum);
+        String change = (before == null ? "new" : before) + " to " + after;
+        if (linesInSecond++ >= MAX_NODE_LINES_PER_SECOND) {
+            unloggedChanges.merge(change, 1, Integer::sum);
             return;
         }
         LOG.atInfo().addKeyValue("box", entry.id()).addKeyValue("address", entry.address())
-            .addKeyValue("why", why).log("list: {}", what);
+            .addKeyValue("why", reason).log("list: {}", change);
     }
 
-    /** Within the module's round: what has changed, as changes of the list; then the disk's turn is set. */
-    private void flush(Director to) {
-        if (!pending.isEmpty()) {
-            List<Change> all = new ArrayList<>(pending.values());
-            pending.clear();
-            desk.listStarted(to, Director.LIST_DELTA);
-            for (Change c : all) {
-                ListedNode t = c.entry;
-                int place = opening.zones.indexOf(t.zone()), kind = opening.kinds.indexOf(t.kind());
-                // A box of a place or kind that the settings no longer have can't be used.
-                int use = place < 0 || kind < 0 ? Director.REMOVED : c.is.directorStatus;
-                desk.nodeListed(to, t.id(), new InetSocketAddress(t.host(), t.port()), place, kind, t.cell(), use,
-                    t.units(), c.coldSince);
+    /** Within a batch: passes pending changes to the director as a list update, then schedules the next write. */
+    private void applyPendingChanges(Director to) {
+        if (!pendingChanges.isEmpty()) {
+            List<PendingChange> changes = new ArrayList<>(pendingChanges.values());
+            pendingChanges.clear();
+            dispatcher.listStarted(to, Director.LIST_DELTA);
+            for (PendingChange change : changes) {
+                ListedNode node = change.entry;
+                int zone = settings.zones.indexOf(node.zone());
+                int kind = settings.kinds.indexOf(node.kind());
+                // A node of a zone or kind that the settings no longer have can't be used.
+                int status = zone < 0 || kind < 0 ? Director.REMOVED : change.state.directorStatus;
+                InetSocketAddress address = new InetSocketAddress(node.host(), node.port());
+                dispatcher.nodeListed(to, node.id(), address, zone, kind, node.cell(), status, node.units(),
+                    change.coldSince);
             }
-            desk.listFinished(to);
+            dispatcher.listFinished(to);
         }
         double now = now();
         boolean urgent = membership.takeUrgent();
-        if (membership.takeDirty() || urgent) plan.changed(urgent, now);
+        if (membership.takeDirty() || urgent) writeScheduler.changed(urgent, now);
         writeWhenDue(now);
     }
 
-    // ---- the disk ----
+    // ---- writing the snapshot ----
 
-    private final Timers.Timer due = new Timers.Timer() {
+    private final Timers.Timer writeTimer = new Timers.Timer() {
         @Override void fire() {
             writeWhenDue(now());
         }
     };
 
     private void writeWhenDue(double now) {
-        double at = plan.due();
-        if (!writes || at == Double.POSITIVE_INFINITY) return;
-        if (at > now) {
-            desk.timers.set(due, desk.clock() + at - now);
+        double dueAt = writeScheduler.due();
+        if (!hasWriteLock || dueAt == Double.POSITIVE_INFINITY) return;
+        if (dueAt > now) {
+            dispatcher.timers.set(writeTimer, dispatcher.clock() + dueAt - now);
             return;
         }
-        desk.timers.cancel(due);
-        plan.begins(now);
-        MembershipSnapshot kept = membership.snapshot(fleet, director, Math.max(now, System.currentTimeMillis()));
+        dispatcher.timers.cancel(writeTimer);
+        writeScheduler.begins(now);
+        MembershipSnapshot snapshot = snapshot(now);
         synchronized (this) {
-            toWrite = kept;
+            snapshotToWrite = snapshot;
             notifyAll();
         }
     }
 
-    private void writeAll() {
+    private MembershipSnapshot snapshot(double now) {
+        return membership.snapshot(fleet, director, Math.max(now, System.currentTimeMillis()));
+    }
+
+    /** The writer thread: writes each snapshot that is handed over, until it is stopped and none is left. */
+    private void writeSnapshots() {
         while (true) {
-            MembershipSnapshot kept;
+            MembershipSnapshot snapshot;
             synchronized (this) {
                 try {
-                    while (toWrite == null && !stopped) wait();
+                    while (snapshotToWrite == null && !stopped) wait();
                 } catch (InterruptedException e) {
                     return;
                 }
-                if (toWrite == null) {
-                    keeper.close();
+                if (snapshotToWrite == null) {
+                    store.close();
                     return;
                 }
-                kept = toWrite;
-                toWrite = null;
+                snapshot = snapshotToWrite;
+                snapshotToWrite = null;
             }
-            String why = null;
+            String problem = null;
             try {
-                keeper.write(kept);
+                store.write(snapshot);
             } catch (IOException | RuntimeException e) {
-                why = e.getClass().getSimpleName() + ": " + e.getMessage();
+                problem = e.getClass().getSimpleName() + ": " + e.getMessage();
             }
-            String failed = why;
-            desk.runLocked(() -> written(failed));
+            String error = problem;
+            dispatcher.runLocked(() -> writeEnded(error));
         }
     }
 
-    private void written(String failed) {
+    /** {@code error} is null where the write succeeded. */
+    private void writeEnded(String error) {
         double now = now();
-        plan.ended(failed == null, now);
-        if (failed == null) {
+        writeScheduler.ended(error == null, now);
+        if (error == null) {
             writesCompleted++;
-            if (!stayed) LOG.atInfo().log("list: written again");
-            stayed = true;
+            if (!lastWriteSucceeded) LOG.atInfo().log("list: snapshot can be written again");
+            lastWriteSucceeded = true;
         } else {
             writesFailed++;
-            if (stayed) LOG.atWarn().addKeyValue("why", failed).log("list: can't be written; what it holds grows old");
-            stayed = false;
+            if (lastWriteSucceeded) {
+                LOG.atWarn().addKeyValue("why", error).log("list: snapshot can't be written; the stored one ages");
+            }
+            lastWriteSucceeded = false;
         }
         writeWhenDue(now);
     }
 
-    /** Writes what is still to be written, then lets go of the file; waits for it no longer than so many ms. */
-    void stop(long patienceMs) throws InterruptedException {
-        desk.runLocked(() -> {
+    /** Writes a last snapshot where there are changes, then releases the file; waits at most {@code timeoutMs}. */
+    void stop(long timeoutMs) throws InterruptedException {
+        dispatcher.runLocked(() -> {
             double now = now();
-            if (membership.takeDirty()) plan.changed(true, now);
-            boolean left = writes && plan.due() != Double.POSITIVE_INFINITY;
+            if (membership.takeDirty()) writeScheduler.changed(true, now);
+            boolean writeLeft = hasWriteLock && writeScheduler.due() != Double.POSITIVE_INFINITY;
             synchronized (this) {
-                if (left) toWrite = membership.snapshot(fleet, director, Math.max(now, System.currentTimeMillis()));
-                if (left) plan.begins(now);
+                if (writeLeft) snapshotToWrite = snapshot(now);
+                if (writeLeft) writeScheduler.begins(now);
                 stopped = true;
                 notifyAll();
             }
         });
-        writer.join(patienceMs);
+        writer.join(timeoutMs);
     }
 
-    /** As if killed: nothing more is written. */
+    /** Stops without a last write, as a kill of the process would. */
     void kill() {
         synchronized (this) {
-            toWrite = null;
+            snapshotToWrite = null;
             stopped = true;
             notifyAll();
         }
@@ -385,23 +423,24 @@
         }
     }
 
-    /** For the line of counters. */
+    /** The membership's part of the line of counters in the log. */
     String counterLine() {
-        StringBuilder s = new StringBuilder("; list:");
-        for (NodeState x : NodeState.values()) {
-            int n = membership.count(x);
-            if (n > 0) s.append(' ').append(x.word()).append(' ').append(n);
+        StringBuilder line = new StringBuilder("; list:");
+        for (NodeState state : NodeState.values()) {
+            int count = membership.count(state);
+            if (count > 0) line.append(' ').append(state.word()).append(' ').append(count);
         }
-        s.append(", event ").append(membership.number()).append(", written ").append(writesCompleted).append(" (failed ")
-            .append(writesFailed).append(')');
-        for (Membership.UpdateResult t : Membership.UpdateResult.values()) {
-            boolean told = t != Membership.UpdateResult.APPLIED && membership.updateCount(t) > 0;
-            if (told) {
-                s.append(", ").append(t.name().toLowerCase(Locale.ROOT)).append(' ').append(membership.updateCount(t));
+        line.append(", event ").append(membership.number()).append(", written ").append(writesCompleted)
+            .append(" (failed ").append(writesFailed).append(')');
+        for (Membership.UpdateResult result : Membership.UpdateResult.values()) {
+            boolean shown = result != Membership.UpdateResult.APPLIED && membership.updateCount(result) > 0;
+            if (shown) {
+                line.append(", ").append(result.name().toLowerCase(Locale.ROOT)).append(' ')
+                    .append(membership.updateCount(result));
             }
         }
-        refused.forEach((r, n) -> s.append(", refused ").append(r.name().toLowerCase(Locale.ROOT)).append(' ')
-            .append(n));
-        return s.toString();
+        readErrors.forEach((error, count) -> line.append(", refused ").append(error.name().toLowerCase(Locale.ROOT))
+            .append(' ').append(count));
+        return line.toString();
     }
 }
