--- a/src/main/java/mothcross/net/DirectorServer.java
+++ b/src/main/java/mothcross/net/DirectorServer.java
@@ -24,36 +24,42 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A director's life: it starts on what it is told, listens, gets ready, serves, and after SIGTERM answers
- * what it has taken and ends. Owns the threads (one for all sockets, one each that accepts and connects, one
- * for timers) and the order of start and end. Must never touch a node before a lookup asks for one, and never
- * say that it is ready before it is.
+ * The process of a director: starts from its configuration, connects to discovery, listens, serves, reloads on SIGHUP
+ * and shuts down on SIGTERM.
+ *
+ * <p>Has one thread for all sockets, one each that accepts and connects, and one for timers. It connects to a node
+ * only when a lookup needs it, and reports ready only once it can serve. State that is shared with the dispatcher is
+ * changed under the dispatcher's lock.
  */
 public final class DirectorServer {
     private static final Logger LOG = LoggerFactory.getLogger("mothcross");
-    private static final double COUNTERS_MS = 10_000;
-    private static final int CLIENT_READ = 16 << 10;
-    private static final long LAST_WRITE_MS = 500;
+    private static final double COUNTERS_INTERVAL_MS = 10_000;
+    private static final int MAX_CLIENT_READ_BYTES = 16 << 10;
+    private static final int ACCEPT_BACKLOG = 512;
+    private static final int WRITE_TIMEOUT_S = 10;
+    private static final long CONNECT_TIMEOUT_MARGIN_MS = 1000;
+    private static final long SHUTDOWN_POLL_MS = 5;
+    private static final long LAST_WRITE_TIMEOUT_MS = 500;
 
     private StartupConfig config;
-    private MembershipSettings remembering;
-    private RouteRules routes;
+    private MembershipSettings membershipSettings;
+    private RouteRules routeRules;
     private final Dispatcher dispatcher;
-    private final DiscoveryWatch watch;
+    private final DiscoveryWatch discoveryWatch;
     private final PersistentMembership persistentMembership;  // null where the operators leave it off
     private final Acceptor acceptor;
     private final NioSocketConnector connector;
     private final IoProcessor<NioSession> processor;
-    private final CountDownLatch over = new CountDownLatch(1);
-    private final ShutdownSequence ending = new ShutdownSequence();
-    private double share = 1;
+    private final CountDownLatch terminated = new CountDownLatch(1);
+    private final ShutdownSequence shutdown = new ShutdownSequence();
+    private double limitScale = 1;
 
-    /** Accepts no faster than clients that have to go make room, so that descriptors never run out. */
+    /** Accepts clients no faster than evicted ones make room, so that file descriptors never run out. */
     private static final class Acceptor extends NioSocketAcceptor {
-        private static final int HELD_UP_MS = 50;
-        volatile int most;
-        volatile double cameAt;
-        private final AtomicInteger held = new AtomicInteger();
+        private static final int MAX_ACCEPT_DELAY_MS = 50;
+        volatile int maxClients;
+        volatile double lastAcceptedAt;
+        private final AtomicInteger openClients = new AtomicInteger();
 
         Acceptor(Executor threads, IoProcessor<NioSession> processor) {
             super(threads, processor);
@@ -61,82 +67,85 @@
 
         @Override protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel from)
             throws Exception {
-            for (int i = 0; held.get() >= most && i < HELD_UP_MS; i++) Thread.sleep(1);
-            NioSession s = held.get() >= most ? null : super.accept(processor, from);
-            if (s == null) return null;
-            cameAt = System.currentTimeMillis();
-            held.incrementAndGet();
-            s.getCloseFuture().addListener(f -> held.decrementAndGet());
-            return s;
+            for (int i = 0; openClients.get() >= maxClients && i < MAX_ACCEPT_DELAY_MS; i++) Thread.sleep(1);
+            NioSession session = openClients.get() >= maxClients ? null : super.accept(processor, from);
+            if (session == null) return null;
+            lastAcceptedAt = System.currentTimeMillis();
+            openClients.incrementAndGet();
+            session.getCloseFuture().addListener(future -> openClients.decrementAndGet());
+            return session;
         }
     }
 
-    private void limits() {
+    private void applyLimits() {
         dispatcher.setLimits(config.sockets, config.memoryMb);
-        acceptor.most = config.sockets * 11 / 16 + 1;
+        acceptor.maxClients = config.sockets * 11 / 16 + 1;
     }
 
-    public DirectorServer(StartupConfig start) {
-        this(start, null);
+    /** A director without persistent membership and without route rules. */
+    public DirectorServer(StartupConfig config) {
+        this(config, null);
     }
 
-    /** {@code remembering} null: only what is told counts, from the file's list on. */
-    public DirectorServer(StartupConfig start, MembershipSettings remembering) {
-        this(start, remembering, remembering == null ? null
-            : new SnapshotFileStore(remembering.file(), remembering.fleet(), start.name));
+    /** With {@code membershipSettings} null, the list is the configured one as updated by discovery. */
+    public DirectorServer(StartupConfig config, MembershipSettings membershipSettings) {
+        this(config, membershipSettings, membershipSettings == null ? null
+            : new SnapshotFileStore(membershipSettings.file(), membershipSettings.fleet(), config.name));
     }
 
-    /** {@code routes} null: every lookup goes as it was asked. */
-    public DirectorServer(StartupConfig start, MembershipSettings remembering, RouteRules routes) {
-        this(start, remembering);
-        this.routes = routes;
+    /** With {@code routeRules} null, no rule applies to any lookup. */
+    public DirectorServer(StartupConfig config, MembershipSettings membershipSettings, RouteRules routeRules) {
+        this(config, membershipSettings);
+        this.routeRules = routeRules;
     }
 
-    DirectorServer(StartupConfig start, MembershipSettings remembering, SnapshotStore keeper) {
-        this.config = start;
-        this.remembering = remembering;
-        Executor threads = Executors.newCachedThreadPool(r -> {
-            Thread t = new Thread(r, "sockets");
-            t.setDaemon(true);
-            return t;
+    DirectorServer(StartupConfig config, MembershipSettings membershipSettings, SnapshotStore store) {
+        this.config = config;
+        this.membershipSettings = membershipSettings;
+        Executor threads = Executors.newCachedThreadPool(task -> {
+            Thread thread = new Thread(task, "sockets");
+            thread.setDaemon(true);
+            return thread;
         });
         processor = new Processor(threads);
         connector = new NioSocketConnector(threads, processor);
         acceptor = new Acceptor(threads, processor);
-        dispatcher = new Dispatcher(start.directorSettings, connector, start.maxHops);
-        limits();
-        persistentMembership = remembering == null ? null : new PersistentMembership(dispatcher, remembering.ages(),
-            new WriteScheduler(remembering.urgentMs(), remembering.gatherMs()),
-            keeper, remembering.fleet(), start.name, System.currentTimeMillis());
-        watch = new DiscoveryWatch(dispatcher, persistentMembership == null ? new DiscoveryListener.Direct(dispatcher) : persistentMembership,
-            start.discovery);
+        dispatcher = new Dispatcher(config.directorSettings, connector, config.maxHops);
+        applyLimits();
+        persistentMembership = membershipSettings == null ? null : new PersistentMembership(dispatcher,
+            membershipSettings.ages(),
+            new WriteScheduler(membershipSettings.urgentMs(), membershipSettings.gatherMs()),
+            store, membershipSettings.fleet(), config.name, System.currentTimeMillis());
+        DiscoveryListener listener = persistentMembership == null ? new DiscoveryListener.Direct(dispatcher)
+            : persistentMembership;
+        discoveryWatch = new DiscoveryWatch(dispatcher, listener, config.discovery);
         connector.setHandler(new Connection.SessionHandler(dispatcher, false));
         acceptor.setHandler(new Connection.SessionHandler(dispatcher, true));
         acceptor.setReuseAddress(true);
-        acceptor.setBacklog(512);
-        acceptor.setCloseOnDeactivation(false);         // another address, or the end, leaves open what is open
-        for (SocketSessionConfig c : List.of(connector.getSessionConfig(), acceptor.getSessionConfig())) {
-            c.setTcpNoDelay(true);
-            c.setWriteTimeout(10);
+        acceptor.setBacklog(ACCEPT_BACKLOG);
+        acceptor.setCloseOnDeactivation(false);         // connections survive another listen address and shutdown
+        for (SocketSessionConfig session : List.of(connector.getSessionConfig(), acceptor.getSessionConfig())) {
+            session.setTcpNoDelay(true);
+            session.setWriteTimeout(WRITE_TIMEOUT_S);
         }
-        acceptor.getSessionConfig().setMaxReadBufferSize(CLIENT_READ);
-        // The desk's timer fires sooner.
-        connector.setConnectTimeoutMillis((long) start.directorSettings.connectMs + 1000);
+        acceptor.getSessionConfig().setMaxReadBufferSize(MAX_CLIENT_READ_BYTES);
+        // The dispatcher's own timer for a connect fires earlier.
+        connector.setConnectTimeoutMillis((long) config.directorSettings.connectMs + CONNECT_TIMEOUT_MARGIN_MS);
     }
 
-    /** Throws where what is known can't be used, or where it can't listen. */
+    /** Starts to serve; throws where the configured list or rules can't be used, or the address can't be bound. */
     public void start() throws IOException, StartupConfig.InvalidConfigException {
-        RouteTable table = table(routes, config, null);
+        RouteTable table = compileRoutes(routeRules, config, null);
         if (table != null) {
             dispatcher.activeRoutes = new ActiveRoutes(config.name);
-            dispatcher.activeRoutes.scaleLimits(share);
+            dispatcher.activeRoutes.scaleLimits(limitScale);
             dispatcher.activeRoutes.activate(null, table, null);
         }
         dispatcher.enter();
         try {
-            if (persistentMembership == null) watch.start(config.known);
-            else persistentMembership.start(config.known == null ? null : DiscoveryWatch.toSnapshot(config.known, remembering.fleet(),
-                config.name, config.writtenAt));
+            if (persistentMembership == null) discoveryWatch.start(config.known);
+            else persistentMembership.start(config.known == null ? null : DiscoveryWatch.toSnapshot(config.known,
+                membershipSettings.fleet(), config.name, config.writtenAt));
         } catch (RuntimeException e) {
             throw new StartupConfig.InvalidConfigException("field known can't be used: " + e.getMessage());
         } finally {
@@ -145,126 +154,143 @@
         Thread timers = new Thread(dispatcher.timers, "timers");
         timers.setDaemon(true);
         timers.start();
-        dispatcher.runLocked(watch::connect);
-        awaitNews();
+        dispatcher.runLocked(discoveryWatch::connect);
+        awaitDiscovery();
         acceptor.bind(config.listen);
         dispatcher.runLocked(() -> {
-            counters();
-            dispatcher.ready = ending.state() == ShutdownSequence.State.SERVING;  // it may have been told to end meanwhile
+            scheduleCounterLine();
+            // A SIGTERM may have arrived meanwhile.
+            dispatcher.ready = shutdown.state() == ShutdownSequence.State.SERVING;
         });
         LOG.info("{} serves on {}", config.name, acceptor.getLocalAddress());
     }
 
     /**
-     * Nobody can ask before it listens, and it listens once discovery has spoken: what was told between the file and
-     * now (a drain, a purge) counts as told, and whoever sees an open port may send. Where it does not speak, the
-     * file's list has to do.
+     * Waits for discovery before the director listens: whoever sees an open port may send, and a drain or purge that
+     * was announced after the configuration was written must already count then. Where discovery does not answer, the
+     * configured list is used.
      */
-    private void awaitNews() {
+    private void awaitDiscovery() {
         try {
-            if (!watch.awaitFirstFrame()) LOG.debug("discovery has not spoken: what the file knows has to do");
+            if (!discoveryWatch.awaitFirstFrame()) LOG.debug("discovery has not answered; using the known list");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The rules compiled for what this director is told; null where there are none. */
-    private static RouteTable table(RouteRules rules, StartupConfig told, RouteTable before)
+    /** Compiles the rules for this configuration; null where there are none. Throws with all errors of the rules. */
+    private static RouteTable compileRoutes(RouteRules rules, StartupConfig config, RouteTable previous)
         throws StartupConfig.InvalidConfigException {
         if (rules == null) return null;
-        List<String> faults = new ArrayList<>();
-        RouteTable t = RouteTable.compile(rules, told.directorSettings.workloads, told.directorSettings.workloadTable,
-            told.directorSettings.directorsInZone, told.maxHops, before, faults);
-        if (t == null) throw new StartupConfig.InvalidConfigException(String.join("; ", faults));
-        for (String n : t.notes()) LOG.atWarn().addKeyValue("note", n).log("routes: a part can never matter");
-        LOG.atInfo().addKeyValue("rules", t.size()).addKeyValue("worst_steps", t.worstCaseSteps())
+        List<String> errors = new ArrayList<>();
+        RouteTable table = compile(rules, config, previous, errors);
+        if (table == null) throw new StartupConfig.InvalidConfigException(String.join("; ", errors));
+        for (String note : table.notes()) {
+            LOG.atWarn().addKeyValue("note", note).log("routes: a part can never have an effect");
+        }
+        LOG.atInfo().addKeyValue("rules", table.size()).addKeyValue("worst_steps", table.worstCaseSteps())
             .log("routes: compiled");
-        return t;
+        return table;
+    }
+
+    private static RouteTable compile(RouteRules rules, StartupConfig config, RouteTable previous,
+                                      List<String> errors) {
+        return RouteTable.compile(rules, config.directorSettings.workloads, config.directorSettings.workloadTable,
+            config.directorSettings.directorsInZone, config.maxHops, previous, errors);
     }
 
-    /** This director's part of each limit, in parts of the fixed one; from any thread. */
-    public void scaleLimits(double times) {
+    /** Sets this director's share of each rate limit, as a factor of the configured limit; from any thread. */
+    public void scaleLimits(double scale) {
         dispatcher.runLocked(() -> {
-            share = times;
-            if (dispatcher.activeRoutes != null) dispatcher.activeRoutes.scaleLimits(times);
+            limitScale = scale;
+            if (dispatcher.activeRoutes != null) dispatcher.activeRoutes.scaleLimits(scale);
         });
     }
 
-    /** Before it begins: somebody else says whether it is up to date, and brings its tables. */
-    public void usePolicy(ServingPermit current, boolean tellsPlan) {
+    /** Before the start: uses the fleet's policy, which supplies the route tables and permits lookups to start. */
+    public void usePolicy(ServingPermit permit, boolean exposePlan) {
         dispatcher.runLocked(() -> {
-            dispatcher.servingPermit = current;
-            dispatcher.exposePlan = tellsPlan;
+            dispatcher.servingPermit = permit;
+            dispatcher.exposePlan = exposePlan;
             dispatcher.activeRoutes = new ActiveRoutes(config.name);
-            dispatcher.activeRoutes.scaleLimits(share);
+            dispatcher.activeRoutes.scaleLimits(limitScale);
         });
     }
 
-    /** Rules made ready for what this director is told; null with their faults. */
-    public RouteTable compilePolicy(RouteRules rules, List<String> faults) {
-        RouteTable[] before = new RouteTable[1];
-        dispatcher.runLocked(() -> before[0] = dispatcher.activeRoutes == null ? null : dispatcher.activeRoutes.table());
-        return RouteTable.compile(rules, config.directorSettings.workloads, config.directorSettings.workloadTable,
-            config.directorSettings.directorsInZone, config.maxHops, before[0], faults);
+    /** Compiles the rules of a policy for this director; null with the errors added where they are invalid. */
+    public RouteTable compilePolicy(RouteRules rules, List<String> errors) {
+        RouteTable[] previous = new RouteTable[1];
+        dispatcher.runLocked(() ->
+            previous[0] = dispatcher.activeRoutes == null ? null : dispatcher.activeRoutes.table());
+        return compile(rules, config, previous[0], errors);
     }
 
-    /** From the next lookup on; those under way keep what they began with. */
+    /** Uses the tables from the next lookup on; lookups that are open keep the outcome of the previous ones. */
     public void activatePolicy(Plan plan, RouteTable main, RouteTable trial) {
         dispatcher.runLocked(() -> dispatcher.activeRoutes.activate(plan, main, trial));
     }
 
-    /** SIGHUP: takes over what another file tells, under load; nothing that is open is touched. */
-    public void reload(StartupConfig anew) {
+    /** SIGHUP: applies a new configuration while serving; open connections stay. */
+    public void reload(StartupConfig newConfig) {
         try {
-            reload(anew, remembering, routes);
+            reload(newConfig, membershipSettings, routeRules);
         } catch (StartupConfig.InvalidConfigException e) {
             reloadFailed(e.getMessage());
         }
     }
 
-    /** The same with the operators' file read anew; what switches a feature on or off waits for the next start. */
-    public void reload(StartupConfig anew, MembershipSettings features, RouteRules rules)
+    /** The same with the operators' file read again; switching a feature on or off takes a restart. */
+    public void reload(StartupConfig newConfig, MembershipSettings newMembershipSettings, RouteRules newRules)
         throws StartupConfig.InvalidConfigException {
-        // All is compiled first; a lookup under way keeps what it came under, the next one meets the new table whole.
-        boolean own = dispatcher.servingPermit == null;                 // else its tables come from the fleet
-        RouteTable table = own ? table(rules, config, dispatcher.activeRoutes == null ? null : dispatcher.activeRoutes.table()) : null;
-        List<InetSocketAddress> old = List.of(config.listen);
-        boolean moves = !anew.listen.equals(config.listen);
-        if (moves) {
+        // Everything is compiled first, so that the next lookup sees the new table as a whole.
+        boolean ownRoutes = dispatcher.servingPermit == null;   // else the tables come from the fleet's policy
+        RouteTable table = ownRoutes ? compileRoutes(newRules, config,
+            dispatcher.activeRoutes == null ? null : dispatcher.activeRoutes.table()) : null;
+        List<InetSocketAddress> oldAddresses = List.of(config.listen);
+        boolean addressChanged = !newConfig.listen.equals(config.listen);
+        if (addressChanged) {
             try {
-                acceptor.bind(anew.listen);
+                acceptor.bind(newConfig.listen);
             } catch (IOException e) {
-                LOG.warn("reload: can't listen on {} ({}); all stays as it was", anew.listen, e.getMessage());
+                LOG.warn("reload: can't listen on {} ({}); all stays as it was", newConfig.listen, e.getMessage());
                 return;
             }
         }
         dispatcher.runLocked(() -> {
-            boolean waits = remembering == null != (features == null) || features != null
-                && !(features.file().equals(remembering.file()) && features.fleet().equals(remembering.fleet()));
-            routes = rules;
-            if (own && table == null) dispatcher.activeRoutes = null;
+            boolean membershipNeedsRestart = needsRestart(newMembershipSettings);
+            routeRules = newRules;
+            if (ownRoutes && table == null) dispatcher.activeRoutes = null;
             if (table != null) {
                 if (dispatcher.activeRoutes == null) dispatcher.activeRoutes = new ActiveRoutes(config.name);
-                dispatcher.activeRoutes.scaleLimits(share);
+                dispatcher.activeRoutes.scaleLimits(limitScale);
                 dispatcher.activeRoutes.activate(null, table, null);
             }
-            boolean others = waits || !anew.settings.equals(config.settings);
-            if (!waits && features != null && !features.equals(remembering)) {
-                persistentMembership.reload(features.ages(), new WriteScheduler(features.urgentMs(), features.gatherMs()));
-                remembering = features;
+            boolean needsRestart = membershipNeedsRestart || !newConfig.settings.equals(config.settings);
+            if (!membershipNeedsRestart && newMembershipSettings != null
+                && !newMembershipSettings.equals(membershipSettings)) {
+                persistentMembership.reload(newMembershipSettings.ages(),
+                    new WriteScheduler(newMembershipSettings.urgentMs(), newMembershipSettings.gatherMs()));
+                membershipSettings = newMembershipSettings;
             }
-            config = anew;
-            limits();
-            watch.moveTo(anew.discovery);
+            config = newConfig;
+            applyLimits();
+            discoveryWatch.moveTo(newConfig.discovery);
             dispatcher.counters.reloads++;
-            LOG.info("reload: the file is read anew{}", others ? "; its settings wait for the next start" : "");
+            LOG.info("reload: the file is read anew{}", needsRestart ? "; its settings wait for the next start" : "");
         });
-        if (moves) acceptor.unbind(old);
+        if (addressChanged) acceptor.unbind(oldAddresses);
+    }
+
+    /** Whether the persistent membership is switched on or off, or has another file or fleet. */
+    private boolean needsRestart(MembershipSettings newSettings) {
+        return membershipSettings == null != (newSettings == null) || newSettings != null
+            && !(newSettings.file().equals(membershipSettings.file())
+                && newSettings.fleet().equals(membershipSettings.fleet()));
     }
 
-    /** The new file can't be used. */
-    public void reloadFailed(String why) {
-        LOG.warn("reload: {}; all stays as it was", why);
+    /** Reports that the reloaded file can't be used. */
+    public void reloadFailed(String reason) {
+        LOG.warn("reload: {}; all stays as it was", reason);
     }
 
     Dispatcher dispatcher() {
@@ -275,85 +301,91 @@
         return persistentMembership;
     }
 
+    /** The port that it listens on. */
     public int port() {
         return acceptor.getLocalAddress().getPort();
     }
 
-    private void counters() {
+    private void scheduleCounterLine() {
         dispatcher.timers.set(new Timers.Timer() {
             @Override void fire() {
-                log();
-                counters();
+                logCounters();
+                scheduleCounterLine();
             }
-        }, dispatcher.clock() + COUNTERS_MS);
+        }, dispatcher.clock() + COUNTERS_INTERVAL_MS);
     }
 
-    private void log() {
-        Runtime r = Runtime.getRuntime();
+    private void logCounters() {
+        Runtime runtime = Runtime.getRuntime();
         LOG.info("{}{}; open {}, clients {}, nodes {}, timers {}, heap {} MB", dispatcher.counters.line(),
-            (persistentMembership == null ? "" : persistentMembership.counterLine()) + (dispatcher.activeRoutes == null ? "" : dispatcher.activeRoutes.line()),
-            dispatcher.openLookupCount(), dispatcher.clientCount(), dispatcher.nodes.size(), dispatcher.timers.size(),
-            (r.totalMemory() - r.freeMemory()) >> 20);
+            (persistentMembership == null ? "" : persistentMembership.counterLine())
+                + (dispatcher.activeRoutes == null ? "" : dispatcher.activeRoutes.line()),
+            dispatcher.openLookupCount(), dispatcher.clientCount(), dispatcher.nodes.size(),
+            dispatcher.timers.size(), (runtime.totalMemory() - runtime.freeMemory()) >> 20);
     }
 
     /**
-     * SIGTERM: serves as long as requests may come, answers all that is open, then returns: {@link ShutdownSequence}.
+     * SIGTERM: serves as long as requests may arrive, answers all that are open, then returns; see
+     * {@link ShutdownSequence}.
      */
     public void stop() throws InterruptedException {
-        double longest = 0;
-        for (Workload w : config.directorSettings.workloadTable) longest = Math.max(longest, w.timeoutMs());
+        double longestMs = 0;
+        for (Workload workload : config.directorSettings.workloadTable) {
+            longestMs = Math.max(longestMs, workload.timeoutMs());
+        }
         dispatcher.enter();
         try {
             dispatcher.ready = false;
             dispatcher.draining = true;
-            ending.start(dispatcher.clock(), longest);
+            shutdown.start(dispatcher.clock(), longestMs);
             dispatcher.timers.set(new Timers.Timer() {
                 @Override void fire() {
                     dispatcher.stopSending();
                 }
-            }, ending.answerDeadline());
+            }, shutdown.answerDeadline());
         } finally {
             dispatcher.leave();
         }
-        LOG.info("told to end: answering what is open");
-        for (boolean listens = true;; Thread.sleep(5)) {
-            ShutdownSequence.State s;
+        LOG.info("shutting down: answering open requests");
+        for (boolean listening = true;; Thread.sleep(SHUTDOWN_POLL_MS)) {
+            ShutdownSequence.State state;
             dispatcher.enter();
             try {
-                s = ending.step(dispatcher.clock(), acceptor.cameAt, dispatcher.clientCount());
+                state = shutdown.step(dispatcher.clock(), acceptor.lastAcceptedAt, dispatcher.clientCount());
             } finally {
                 dispatcher.leave();
             }
-            if (s == ShutdownSequence.State.CLOSING && listens) {
-                listens = false;
+            if (state == ShutdownSequence.State.CLOSING && listening) {
+                listening = false;
                 acceptor.unbind();
                 dispatcher.runLocked(dispatcher::closeIdleClients);
             }
-            if (s == ShutdownSequence.State.TERMINATED) break;
+            if (state == ShutdownSequence.State.TERMINATED) break;
         }
         dispatcher.runLocked(() -> {
-            watch.stop();
-            log();
+            discoveryWatch.stop();
+            logCounters();
         });
-        if (persistentMembership != null) persistentMembership.stop(LAST_WRITE_MS);
+        if (persistentMembership != null) persistentMembership.stop(LAST_WRITE_TIMEOUT_MS);
         dispatcher.runLocked(dispatcher.timers::stop);
-        over.countDown();
+        terminated.countDown();
     }
 
-    /** Lets go of the sockets; for those who start several lives in one process. */
+    /** Closes the sockets at once and without answers, for tests that start several directors in one process. */
     public void release() {
         if (persistentMembership != null) persistentMembership.kill();
         dispatcher.runLocked(() -> {
-            watch.stop();
+            discoveryWatch.stop();
             dispatcher.timers.stop();
         });
         acceptor.dispose(false);
         connector.dispose(false);
         processor.dispose();
-        over.countDown();
+        terminated.countDown();
     }
 
+    /** Waits until the director has shut down. */
     public void await() throws InterruptedException {
-        over.await();
+        terminated.await();
     }
 }
--- a/src/main/java/mothcross/net/StartupConfig.java
+++ b/src/main/java/mothcross/net/StartupConfig.java
@@ -14,9 +14,8 @@
 import mothcross.adapter.FieldMap;
 
 /**
- * What a director is told at its start, read from its file. Owns the way from JSON to the names and values
- * that the module's opening reads; must never supply a value of its own for one that is missing there, and
- * tells what can't be used in one plain line.
+ * A director's configuration, read from its JSON file. Every required value has to be in the file: none has a default
+ * here. A file that can't be used is reported as a message of one line.
  */
 public final class StartupConfig {
     /** The file, or a value in it, can't be used. */
@@ -29,35 +28,40 @@
     }
 
     public final String name;
-    public final InetSocketAddress listen, discovery;
+    public final InetSocketAddress listen;
+    public final InetSocketAddress discovery;
     public final DirectorSettings directorSettings;
-    public final int sockets, maxHops;
+    /** The number of file descriptors that may be used for sockets. */
+    public final int sockets;
+    public final int maxHops;
     public final double memoryMb;
-    final JsonObject known, settings;
-    /** When the file was written, Unix ms: as old as what it knows. */
+    /** The list and purges as of the file; null where it has none. */
+    final JsonObject known;
+    final JsonObject settings;
+    /** When the file was written, Unix ms; taken as the age of {@link #known}. */
     final double writtenAt;
 
-    private StartupConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, DirectorSettings opening,
-                  int sockets, double memoryMb, int mostHops, JsonObject known, double writtenAt,
-                  JsonObject settings) {
+    private StartupConfig(String name, InetSocketAddress listen, InetSocketAddress discovery,
+                          DirectorSettings directorSettings, int sockets, double memoryMb, int maxHops,
+                          JsonObject known, double writtenAt, JsonObject settings) {
         this.name = name;
         this.listen = listen;
         this.discovery = discovery;
-        this.directorSettings = opening;
+        this.directorSettings = directorSettings;
         this.sockets = sockets;
         this.memoryMb = memoryMb;
-        this.maxHops = mostHops;
+        this.maxHops = maxHops;
         this.known = known;
         this.writtenAt = writtenAt;
         this.settings = settings;
     }
 
-    /** {@code listen}, where given, stands before the file's. */
+    /** Reads a file that must have a list; {@code listen}, where not null, overrides the file's address. */
     public static StartupConfig read(Path file, String listen) throws InvalidConfigException {
         return read(file, listen, true);
     }
 
-    /** {@code needsKnown} false: the director may start without any list. */
+    /** With {@code needsKnown} false, the file may come without a list. */
     public static StartupConfig read(Path file, String listen, boolean needsKnown) throws InvalidConfigException {
         String text;
         double writtenAt;
@@ -76,51 +80,55 @@
         }
     }
 
-    static StartupConfig parse(JsonObject all, String listen, boolean needsKnown, double writtenAt) {
-        JsonObject settings = need(all, "settings").getAsJsonObject();
-        boolean has = needsKnown || all.has("known") && !all.get("known").isJsonNull();
-        JsonObject known = has ? need(all, "known").getAsJsonObject() : null;
-        FieldMap flat = new FieldMap("settings");
-        flatten(flat, "", settings);
-        long seed = new BigInteger(need(all, "seed").getAsString(), 16).longValue();
-        if (has) {
-            need(known, "items").getAsJsonArray();
-            need(known, "no").getAsLong();
+    static StartupConfig parse(JsonObject root, String listen, boolean needsKnown, double writtenAt) {
+        JsonObject settings = required(root, "settings").getAsJsonObject();
+        boolean hasKnown = needsKnown || root.has("known") && !root.get("known").isJsonNull();
+        JsonObject known = hasKnown ? required(root, "known").getAsJsonObject() : null;
+        FieldMap fields = new FieldMap("settings");
+        flatten(fields, "", settings);
+        long seed = new BigInteger(required(root, "seed").getAsString(), 16).longValue();
+        if (hasKnown) {
+            required(known, "items").getAsJsonArray();
+            required(known, "no").getAsLong();
         }
-        JsonObject limits = need(all, "limits").getAsJsonObject();
-        return new StartupConfig(all.has("name") ? all.get("name").getAsString() : "",
-            DiscoveryWatch.parseAddress(listen != null ? listen : need(all, "listen").getAsString()),
-            DiscoveryWatch.parseAddress(need(all, "bulletin").getAsString()), new DirectorSettings(flat, seed),
-            need(limits, "sockets").getAsInt(), need(limits, "memory_mb").getAsDouble(),
-            flat.intValue("Caps.MaxAttempts"), known, writtenAt, settings);
+        JsonObject limits = required(root, "limits").getAsJsonObject();
+        return new StartupConfig(root.has("name") ? root.get("name").getAsString() : "",
+            DiscoveryWatch.parseAddress(listen != null ? listen : required(root, "listen").getAsString()),
+            DiscoveryWatch.parseAddress(required(root, "bulletin").getAsString()), new DirectorSettings(fields, seed),
+            required(limits, "sockets").getAsInt(), required(limits, "memory_mb").getAsDouble(),
+            fields.intValue("Caps.MaxAttempts"), known, writtenAt, settings);
     }
 
-    private static JsonElement need(JsonObject in, String field) {
-        JsonElement e = in.get(field);
-        if (e == null) throw new IllegalArgumentException("field " + field + " is missing");
-        return e;
+    private static JsonElement required(JsonObject object, String field) {
+        JsonElement value = object.get(field);
+        if (value == null) throw new IllegalArgumentException("field " + field + " is missing");
+        return value;
     }
 
-    /** As the simulator's first message has it: paths with dots, plain lists with commas, others counted. */
-    private static void flatten(FieldMap into, String path, JsonElement e) {
-        if (e.isJsonObject()) {
-            for (var f : e.getAsJsonObject().entrySet()) {
-                flatten(into, path.isEmpty() ? f.getKey() : path + "." + f.getKey(), f.getValue());
+    /**
+     * Flattens JSON to the fields of the simulator's first message: paths with dots, arrays of plain values joined by
+     * commas, and for other arrays a count and one path for each index.
+     */
+    private static void flatten(FieldMap fields, String path, JsonElement element) {
+        if (element.isJsonObject()) {
+            for (var entry : element.getAsJsonObject().entrySet()) {
+                String entryPath = path.isEmpty() ? entry.getKey() : path + "." + entry.getKey();
+                flatten(fields, entryPath, entry.getValue());
             }
-        } else if (e.isJsonArray()) {
-            JsonArray all = e.getAsJsonArray();
+        } else if (element.isJsonArray()) {
+            JsonArray array = element.getAsJsonArray();
             boolean plain = true;
-            for (JsonElement x : all) plain &= x.isJsonPrimitive();
+            for (JsonElement item : array) plain &= item.isJsonPrimitive();
             if (plain) {
-                StringBuilder s = new StringBuilder();
-                for (JsonElement x : all) s.append(s.length() > 0 ? "," : "").append(x.getAsString());
-                into.add(path, s.toString());
+                StringBuilder joined = new StringBuilder();
+                for (JsonElement item : array) joined.append(joined.length() > 0 ? "," : "").append(item.getAsString());
+                fields.add(path, joined.toString());
                 return;
             }
-            into.add(path + ".count", Integer.toString(all.size()));
-            for (int i = 0; i < all.size(); i++) flatten(into, path + "." + i, all.get(i));
-        } else if (e.isJsonPrimitive()) {
-            into.add(path, e.getAsString());
+            fields.add(path + ".count", Integer.toString(array.size()));
+            for (int i = 0; i < array.size(); i++) flatten(fields, path + "." + i, array.get(i));
+        } else if (element.isJsonPrimitive()) {
+            fields.add(path, element.getAsString());
         }
     }
 }
