--- a/src/test/java/mothcross/net/RoutesTest.java
+++ b/src/test/java/mothcross/net/RoutesTest.java
@@ -70,12 +70,23 @@
             assertTrue(ask(d.port(), "/api/v2/books/01", "").startsWith("HTTP/1.1 200 "));
             FakeNode first = f.caches.get(0).arrivalCount() > 0 ? f.caches.get(0) : f.caches.get(1);
             first.stop();
+            long hopsBefore = hops(d);
             String answer = ask(d.port(), "/api/v2/books/01", "");
             assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
+            assertEquals(hops(d) - hopsBefore, 1, "hops made for the second request");
             assertEquals(f.caches.get(0).arrivalCount() + f.caches.get(1).arrivalCount(), 1);
         }
     }
 
+    private static long hops(DirectorServer d) {
+        d.dispatcher().enter();
+        try {
+            return d.dispatcher().counters.hops;
+        } finally {
+            d.dispatcher().leave();
+        }
+    }
+
     /**
      * A hundred tables, valid and refused in turn, under load: one final answer each, served by the one table and
      * refused by the other, never by a rule that neither reaches. That no lookup meets two tables rests on the one
--- a/src/test/java/mothcross/standin/FakeNode.java
+++ b/src/test/java/mothcross/standin/FakeNode.java
@@ -63,6 +63,10 @@
                     Socket c = s.accept();
                     c.setTcpNoDelay(true);
                     synchronized (this) {
+                        if (s.isClosed()) {
+                            reset(c);                       // accepted while stop() closed the listening socket
+                            return;
+                        }
                         open.add(c);
                     }
                     FakeDiscovery.start(() -> talk(c));
@@ -102,18 +106,20 @@
     /** Its process has ended: connections are reset, new ones refused. */
     public synchronized FakeNode stop() throws IOException {
         server.close();
-        for (Socket s : open) {
-            try {
-                s.setSoLinger(true, 0);
-            } catch (SocketException e) {
-                continue;                                   // its own end came first
-            }
-            s.close();
-        }
+        for (Socket s : open) reset(s);
         open.clear();
         return this;
     }
 
+    private static void reset(Socket s) throws IOException {
+        try {
+            s.setSoLinger(true, 0);
+        } catch (SocketException e) {
+            return;                                         // its own end came first
+        }
+        s.close();
+    }
+
     /** Its machine is cut off: connections never come up. */
     public synchronized FakeNode stopAnsweringConnects() throws IOException {
         stop();
@@ -176,6 +182,7 @@
                 if (!l.startsWith("want ")) continue;
                 in.skipNBytes(Integer.parseInt(l.substring(l.lastIndexOf(' ') + 1)) + 2);
                 synchronized (this) {
+                    if (!open.contains(s)) return;          // read while stop() closed the socket
                     arrivals.add(new Arrival(System.nanoTime(), System.currentTimeMillis(), l));
                     pushed();
                     if (overloaded) return;
