--- a/src/test/java/mothcross/net/Fleet.java
+++ b/src/test/java/mothcross/net/Fleet.java
@@ -19,23 +19,29 @@
 import mothcross.standin.FakeNode;
 import org.pcollections.HashTreePMap;
 
-/** A small fleet on loopback for tests: stand-in boxes and discovery, and directors that start on kept lists. */
+/** A small fleet on loopback for tests: stand-in nodes and discovery, and directors that start from snapshots. */
 final class Fleet implements AutoCloseable {
+    static final double MINUTE_MS = 60_000;
+    static final double DAY_MS = 86_400_000;
+    /** Entries are recent for ten minutes and old for a day; short delays where a test has to wait. */
+    static final AgeLimits AGES = new AgeLimits(10 * MINUTE_MS, DAY_MS, 30_000, 3, 200, 1000, 0.5, 30_000, 5000);
+    private static final long AWAIT_TIMEOUT_NS = 10_000_000_000L;
+
     final FakeDiscovery discovery = new FakeDiscovery();
     final List<FakeNode> caches = new ArrayList<>();
-    final FakeNode parent = new FakeNode(900, FakeNode.PARENT), origin = new FakeNode(901, FakeNode.ORIGIN);
+    final FakeNode parent = new FakeNode(900, FakeNode.PARENT);
+    final FakeNode origin = new FakeNode(901, FakeNode.ORIGIN);
     final Path directory = Files.createTempDirectory("mothcross");
+    /** Values for the placeholders of told.json. */
     final Map<String, String> configParameters = new TreeMap<>(Map.of("straight", "false"));
     final List<DirectorServer> directors = new ArrayList<>();
-    private final List<FakeNode> others = new ArrayList<>();
-    static final double MINUTE = 60_000, DAY = 86_400_000;
-    /** Recent is ten minutes, old a day; what waits in tests waits briefly. */
-    static final AgeLimits AGES = new AgeLimits(10 * MINUTE, DAY, 30_000, 3, 200, 1000, 0.5, 30_000, 5000);
+    private final List<FakeNode> otherNodes = new ArrayList<>();
 
-    Fleet(int caches) throws Exception {
-        for (int i = 0; i < caches; i++) this.caches.add(new FakeNode(i + 1, FakeNode.CACHE));
+    Fleet(int cacheCount) throws Exception {
+        for (int i = 0; i < cacheCount; i++) caches.add(new FakeNode(i + 1, FakeNode.CACHE));
     }
 
+    /** The caches, the parent and the origin. */
     FakeNode[] all() {
         List<FakeNode> all = new ArrayList<>(caches);
         all.add(parent);
@@ -43,46 +49,48 @@
         return all.toArray(FakeNode[]::new);
     }
 
-    /** One more box that is closed with the fleet. */
-    FakeNode closeWithFleet(FakeNode b) {
-        others.add(b);
-        return b;
+    /** Closes one more node with the fleet; returns it. */
+    FakeNode closeWithFleet(FakeNode node) {
+        otherNodes.add(node);
+        return node;
     }
 
-    /** What {@code name} kept, as told so long ago; boxes in {@code old} longer. */
-    Path writeSnapshot(String name, double ageMs, double oldMs, List<FakeNode> old, FakeNode... boxes) throws Exception {
+    /** Writes a director's snapshot of these nodes, confirmed {@code ageMs} ago, those in {@code old} longer ago. */
+    Path writeSnapshot(String name, double ageMs, double oldAgeMs, List<FakeNode> old, FakeNode... nodes)
+        throws Exception {
         double now = System.currentTimeMillis();
-        Map<String, ListedNode> told = new HashMap<>();
-        for (FakeNode b : boxes) {
-            double at = now - (old.contains(b) ? oldMs : ageMs);
-            told.put(b.id(), new ListedNode(b.id(), "127.0.0.1", b.port(), "here", List.of("cache", "parent", "origin")
-                .get(b.kind()), 0, Director.IN_SERVICE, b.units(), 0, at, 0, false));
+        Map<String, ListedNode> entries = new HashMap<>();
+        for (FakeNode node : nodes) {
+            double confirmedAt = now - (old.contains(node) ? oldAgeMs : ageMs);
+            String kind = List.of("cache", "parent", "origin").get(node.kind());
+            entries.put(node.id(), new ListedNode(node.id(), "127.0.0.1", node.port(), "here", kind, 0,
+                Director.IN_SERVICE, node.units(), 0, confirmedAt, 0, false));
         }
-        return writeSnapshot(name, new MembershipSnapshot("fleet", name, now - ageMs, 10, now - ageMs, HashTreePMap.from(told),
-            List.<Purge>of()));
+        return writeSnapshot(name, new MembershipSnapshot("fleet", name, now - ageMs, 10, now - ageMs,
+            HashTreePMap.from(entries), List.<Purge>of()));
     }
 
-    Path writeSnapshot(String name, MembershipSnapshot kept) throws Exception {
-        return Files.write(snapshotFile(name), SnapshotFormat.encode(kept));
+    Path writeSnapshot(String name, MembershipSnapshot snapshot) throws Exception {
+        return Files.write(snapshotFile(name), SnapshotFormat.encode(snapshot));
     }
 
     Path snapshotFile(String name) {
         return directory.resolve(name + ".list");
     }
 
-    /** What a director is told, without any list. */
+    /** The configuration file of a director, without a list. */
     String startupConfigText(String name) throws Exception {
-        Map<String, String> all = new LinkedHashMap<>(configParameters);
-        all.put("list", "");
-        all.put("sockets", "400");
-        all.put("bulletin", Integer.toString(discovery.port()));
+        Map<String, String> parameters = new LinkedHashMap<>(configParameters);
+        parameters.put("list", "");
+        parameters.put("sockets", "400");
+        parameters.put("bulletin", Integer.toString(discovery.port()));
         String text = Files.readString(Path.of(Fleet.class.getResource("/told.json").toURI()));
         String json = Pattern.compile("\\$\\{(\\w+)=?([^}]*)}").matcher(text)
-            .replaceAll(m -> all.getOrDefault(m.group(1), m.group(2)));
-        JsonObject o = JsonParser.parseString(json).getAsJsonObject();
-        o.remove("known");
-        o.addProperty("name", name);
-        return o.toString();
+            .replaceAll(match -> parameters.getOrDefault(match.group(1), match.group(2)));
+        JsonObject config = JsonParser.parseString(json).getAsJsonObject();
+        config.remove("known");
+        config.addProperty("name", name);
+        return config.toString();
     }
 
     StartupConfig startupConfig(String name) throws Exception {
@@ -93,59 +101,62 @@
         return new MembershipSettings(snapshotFile(name), "fleet", ages, 100, 1000);
     }
 
+    /** Starts a director. */
     DirectorServer director(String name) throws Exception {
         return director(name, membershipSettings(name, AGES));
     }
 
-    DirectorServer director(String name, MembershipSettings r) throws Exception {
-        DirectorServer l = new DirectorServer(startupConfig(name), r);
-        directors.add(l);
-        l.start();
-        return l;
+    DirectorServer director(String name, MembershipSettings settings) throws Exception {
+        DirectorServer director = new DirectorServer(startupConfig(name), settings);
+        directors.add(director);
+        director.start();
+        return director;
     }
 
-    /** One that is told the list by discovery, with these rules. */
+    /** Starts a director with these rules, and waits until it has the list of all nodes from discovery. */
     DirectorServer directorWithRoutes(String name, RouteRules rules) throws Exception {
-        DirectorServer l = new DirectorServer(startupConfig(name), membershipSettings(name, AGES), rules);
-        directors.add(l);
-        l.start();
+        DirectorServer director = new DirectorServer(startupConfig(name), membershipSettings(name, AGES), rules);
+        directors.add(director);
+        director.start();
         long event = discovery.sendSnapshot(all());
         discovery.startListening();
-        awaitTrue("told", () -> lastEvent(l) == event);
-        return l;
+        awaitTrue("told", () -> lastEvent(director) == event);
+        return director;
     }
 
-    /** Waits, without sleeping, until it holds; fails after some seconds. */
-    static void awaitTrue(String what, BooleanSupplier holds) {
-        long end = System.nanoTime() + 10_000_000_000L;
-        while (!holds.getAsBoolean()) {
-            if (System.nanoTime() > end) throw new AssertionError("not within 10 s: " + what);
+    /** Waits, without sleeping, until the condition holds; fails after 10 s. */
+    static void awaitTrue(String what, BooleanSupplier condition) {
+        long deadline = System.nanoTime() + AWAIT_TIMEOUT_NS;
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() > deadline) throw new AssertionError("not within 10 s: " + what);
             Thread.onSpinWait();
         }
     }
 
-    static long lastEvent(DirectorServer l) {
-        l.dispatcher().enter();
+    /** The last event of discovery that a director has applied. */
+    static long lastEvent(DirectorServer director) {
+        director.dispatcher().enter();
         try {
-            return l.persistentMembership().lastEvent();
+            return director.persistentMembership().lastEvent();
         } finally {
-            l.dispatcher().leave();
+            director.dispatcher().leave();
         }
     }
 
-    static String status(DirectorServer l, FakeNode b) {
-        l.dispatcher().enter();
+    /** The state in which a director has a node. */
+    static String status(DirectorServer director, FakeNode node) {
+        director.dispatcher().enter();
         try {
-            return String.valueOf(l.persistentMembership().membership().stateOf(b.id()));
+            return String.valueOf(director.persistentMembership().membership().stateOf(node.id()));
         } finally {
-            l.dispatcher().leave();
+            director.dispatcher().leave();
         }
     }
 
     @Override public void close() throws java.io.IOException {
-        for (DirectorServer l : directors) l.release();
+        for (DirectorServer director : directors) director.release();
         discovery.close();
-        for (FakeNode b : all()) b.close();
-        for (FakeNode b : others) b.close();
+        for (FakeNode node : all()) node.close();
+        for (FakeNode node : otherNodes) node.close();
     }
 }
--- a/src/test/java/mothcross/net/MeasureMembership.java
+++ b/src/test/java/mothcross/net/MeasureMembership.java
@@ -23,7 +23,7 @@
  */
 public final class MeasureMembership {
     private static final double HOUR = 3_600_000;
-    private static final AgeLimits BELIEVES_ALL = new AgeLimits(3650 * Fleet.DAY, 3650 * Fleet.DAY, 30_000, 1_000_000,
+    private static final AgeLimits BELIEVES_ALL = new AgeLimits(3650 * Fleet.DAY_MS, 3650 * Fleet.DAY_MS, 30_000, 1_000_000,
         200, 1000, 0.5, 30_000, 5000);
 
     private MeasureMembership() { }
--- a/src/test/java/mothcross/net/RememberedTest.java
+++ b/src/test/java/mothcross/net/RememberedTest.java
@@ -180,7 +180,7 @@
      * That the stand-in does fall is shown by directors that believe every entry.
      */
     @Test public void threeDirectorsSpareAColdBox() throws Exception {
-        assertTrue(pushed(new AgeLimits(3650 * Fleet.DAY, 3650 * Fleet.DAY, 30_000, 1000, 200, 1000, 0.5, 30_000,
+        assertTrue(pushed(new AgeLimits(3650 * Fleet.DAY_MS, 3650 * Fleet.DAY_MS, 30_000, 1000, 200, 1000, 0.5, 30_000,
             5000)) > 1, "believing all pushes it over");
         double most = pushed(Fleet.AGES);
         assertTrue(most > 0 && most <= 1, "of what it bears: " + most);
--- a/src/test/java/mothcross/standin/FakeClients.java
+++ b/src/test/java/mothcross/standin/FakeClients.java
@@ -9,63 +9,70 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stand-ins for a director's clients: each asks again as soon as it has its answer, or after a pause, and counts
- * how it was answered. Must never ask twice on one connection before the answer.
+ * Test clients of a director. Each sends its next request as soon as it has the answer, or after a pause, and counts
+ * the answers; there is at most one open request on a connection.
  */
 public final class FakeClients implements AutoCloseable {
-    private static final AtomicLong IDS = new AtomicLong(0x1000);
-    public final AtomicInteger asked = new AtomicInteger(), handled = new AtomicInteger(),
-        refused = new AtomicInteger(),
-        failed = new AtomicInteger();
-    private volatile boolean over;
-    private final Thread[] all;
+    private static final AtomicLong REQUEST_IDS = new AtomicLong(0x1000);
+    private static final int GROUP = 3;
+    private static final long AWAIT_TIMEOUT_NS = 20_000_000_000L;
+    public final AtomicInteger asked = new AtomicInteger();
+    public final AtomicInteger handled = new AtomicInteger();
+    /** Answers 429 and 503. */
+    public final AtomicInteger refused = new AtomicInteger();
+    public final AtomicInteger failed = new AtomicInteger();
+    private volatile boolean closed;
+    private final Thread[] threads;
 
-    /** So many clients, each pausing so long; objects are numbered on from {@code objects} upwards, so all differ. */
-    public FakeClients(int port, int number, int pauseMs, int kb, int objects) {
-        AtomicInteger next = new AtomicInteger(objects);
-        all = new Thread[number];
-        for (int i = 0; i < number; i++) {
-            all[i] = new Thread(() -> ask(port, pauseMs, kb, next), "client");
-            all[i].setDaemon(true);
-            all[i].start();
+    /** Starts {@code count} clients; the objects they ask for are numbered upwards from {@code firstObject}. */
+    public FakeClients(int port, int count, int pauseMs, int kb, int firstObject) {
+        AtomicInteger nextObject = new AtomicInteger(firstObject);
+        threads = new Thread[count];
+        for (int i = 0; i < count; i++) {
+            threads[i] = new Thread(() -> sendRequests(port, pauseMs, kb, nextObject), "client");
+            threads[i].setDaemon(true);
+            threads[i].start();
         }
     }
 
-    private void ask(int port, int pauseMs, int kb, AtomicInteger next) {
-        while (!over) {
-            try (Client c = new Client(port)) {
-                while (!over) {
+    private void sendRequests(int port, int pauseMs, int kb, AtomicInteger nextObject) {
+        while (!closed) {
+            try (Client client = new Client(port)) {
+                while (!closed) {
                     asked.incrementAndGet();
-                    int status = c.status(next.getAndIncrement(), kb, 3);
+                    int status = client.status(nextObject.getAndIncrement(), kb, GROUP);
                     (status == 200 ? handled : status == 503 || status == 429 ? refused : failed).incrementAndGet();
-                    if (pauseMs > 0) Thread.sleep(pauseMs);  // a client's think time, which no check waits for
+                    if (pauseMs > 0) Thread.sleep(pauseMs);  // a client's think time; no check waits for it
                 }
             } catch (IOException e) {
-                if (!over) failed.incrementAndGet();
+                if (!closed) failed.incrementAndGet();
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    public void awaitHandled(int n) {
-        long until = System.nanoTime() + 20_000_000_000L;
-        while (handled.get() < n) {
-            if (System.nanoTime() > until) throw new AssertionError("only " + handled + " of " + n + " handled");
+    /** Waits until so many requests have been handled since the start; fails after 20 s. */
+    public void awaitHandled(int count) {
+        long deadline = System.nanoTime() + AWAIT_TIMEOUT_NS;
+        while (handled.get() < count) {
+            if (System.nanoTime() > deadline) {
+                throw new AssertionError("only " + handled + " of " + count + " handled");
+            }
             Thread.onSpinWait();
         }
     }
 
     @Override public void close() {
-        over = true;
-        for (Thread t : all) t.interrupt();
+        closed = true;
+        for (Thread thread : threads) thread.interrupt();
     }
 
-    /** One connection. */
+    /** A client with one connection. */
     public static final class Client implements AutoCloseable {
         private final Socket socket;
         private final InputStream in;
-        /** Whole lines that go with each request. */
+        /** Header lines sent with each request, each with its line end. */
         public String header = "";
 
         public Client(int port) throws IOException {
@@ -75,28 +82,34 @@
             in = new BufferedInputStream(socket.getInputStream());
         }
 
+        /** Sends a request without reading the answer. */
         public void send(int object, int kb, int group) throws IOException {
-            socket.getOutputStream().write(String.format("GET /api/v2/books/%08x HTTP/1.1\r\nHost: o\r\nReq-Id: "
-                + "%016x\r\nReq-Wait-Ms: 2900\r\nReq-Kb: %d\r\nX-Lot: %d\r\n%s\r\n", object, IDS.incrementAndGet(), kb,
-                group, header)
-                .getBytes(StandardCharsets.US_ASCII));
+            String request = String.format("GET /api/v2/books/%08x HTTP/1.1\r\nHost: o\r\nReq-Id: %016x\r\n"
+                + "Req-Wait-Ms: 2900\r\nReq-Kb: %d\r\nX-Lot: %d\r\n%s\r\n", object, REQUEST_IDS.incrementAndGet(), kb,
+                group, header);
+            socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
         }
 
+        /** Sends a request; returns the status of its answer. */
         public int status(int object, int kb, int group) throws IOException {
             send(object, kb, group);
             return status();
         }
 
+        /** Reads one answer and returns its status. */
         public int status() throws IOException {
-            StringBuilder s = new StringBuilder();
-            while (s.indexOf("\r\n\r\n") < 0) {
-                int b = in.read();
-                if (b < 0) throw new IOException("ended");
-                s.append((char) b);
+            StringBuilder head = new StringBuilder();
+            while (head.indexOf("\r\n\r\n") < 0) {
+                int next = in.read();
+                if (next < 0) throw new IOException("connection ended before the answer");
+                head.append((char) next);
+            }
+            int lengthAt = head.indexOf("Content-Length: ");
+            if (lengthAt >= 0) {
+                int lineEnd = head.indexOf("\r\n", lengthAt);
+                in.skipNBytes(Integer.parseInt(head.substring(lengthAt + "Content-Length: ".length(), lineEnd)));
             }
-            int at = s.indexOf("Content-Length: ");
-            if (at >= 0) in.skipNBytes(Integer.parseInt(s.substring(at + 16, s.indexOf("\r\n", at))));
-            return Integer.parseInt(s.substring(9, 12));
+            return Integer.parseInt(head.substring(9, 12));
         }
 
         @Override public void close() throws IOException {
--- a/src/test/java/mothcross/standin/FakeDiscovery.java
+++ b/src/test/java/mothcross/standin/FakeDiscovery.java
@@ -9,29 +9,32 @@
 import java.util.*;
 
 /**
- * A stand-in for discovery: speaks the bulletin's frames to any number of directors, from what it was scripted to
- * tell. It can be withheld (nothing listens), cut, silent, start anew with older numbers, and tell in bursts. Owns its
- * socket and threads; must never tell an event twice by itself, nor tell what the script did not.
+ * A service discovery for tests: sends frames to any number of directors as the test's script calls for. It can stop
+ * listening, close its connections, become unresponsive, and go back to older event numbers. By itself it sends
+ * heartbeats only, and never an event twice on one connection.
  */
 public final class FakeDiscovery implements AutoCloseable {
-    /** Standing as the frames have it. */
-    public static final int READY = 0, DRAINING = 1, REMOVED = 2;
-    private static final int PULSE_MS = 50;
-
-    private final ReservedPort held;
+    /** Status of a node, as in the frames. */
+    public static final int READY = 0;
+    public static final int DRAINING = 1;
+    public static final int REMOVED = 2;
+    private static final int HEARTBEAT_INTERVAL_MS = 50;
+    private static final int RECORD_BYTES = 27;
+
+    private final ReservedPort reservedPort;
     private final int port;
     private ServerSocket server;
-    private final List<Socket> feeds = new ArrayList<>();
+    private final List<Socket> connections = new ArrayList<>();
     private final TreeMap<Long, byte[]> events = new TreeMap<>();
-    private final Map<String, ByteBuffer> list = new LinkedHashMap<>();     // by id: the record as it stands
-    private long last;
+    private final Map<String, ByteBuffer> currentRecords = new LinkedHashMap<>();     // by node id
+    private long lastEvent;
     private boolean unresponsive;
-    /** When each event had been written to every director that was there, by System.nanoTime. */
+    /** When each event had been written to every connected director, by System.nanoTime. */
     public final Map<Long, Long> sentAtNanos = new TreeMap<>();
 
     public FakeDiscovery() throws IOException {
-        held = new ReservedPort(0);
-        port = held.port;
+        reservedPort = new ReservedPort(0);
+        port = reservedPort.port;
     }
 
     public int port() {
@@ -40,15 +43,15 @@
 
     // ---- the script ----
 
-    /** From now on it listens; a director that asks from a number it no longer has gets the whole list. */
+    /** Starts to listen; a director that asks for events which are no longer kept gets a snapshot. */
     public synchronized void startListening() throws IOException {
         if (server != null) return;
-        ServerSocket s = held.listen(50);
-        server = s;
-        start(() -> accept(s));
+        ServerSocket newServer = reservedPort.listen(50);
+        server = newServer;
+        start(() -> accept(newServer));
     }
 
-    /** Ends all connections and listens no more. */
+    /** Stops listening and closes all connections. */
     public synchronized void stopListening() throws IOException {
         if (server != null) server.close();
         server = null;
@@ -56,67 +59,69 @@
     }
 
     public synchronized void closeConnections() throws IOException {
-        for (Socket f : feeds) f.close();
-        feeds.clear();
+        for (Socket connection : connections) connection.close();
+        connections.clear();
     }
 
-    /** Connections stay open and say nothing. */
+    /** While on, connections stay open and nothing is sent on them. */
     public synchronized void setUnresponsive(boolean on) {
         unresponsive = on;
     }
 
-    /** As after a restore from an older backup: its numbers and its list are those of {@code number}. */
+    /** Goes back to event {@code number}, as after a restore from an older backup. */
     public synchronized void revertTo(long number) {
         events.tailMap(number, false).clear();
-        last = number;
+        lastEvent = number;
     }
 
-    /** The next event under this number; what came before is forgotten, as by a log that was cut. */
+    /** The next event gets this number; earlier events are dropped, as by a truncated log. */
     public synchronized void restartNumbering(long number) {
         events.clear();
-        last = number - 1;
+        lastEvent = number - 1;
     }
 
-    public synchronized long sendSnapshot(FakeNode... boxes) throws IOException {
-        list.clear();
-        return records(1, READY, boxes);
+    /** Sends a list of these nodes, all ready; returns the event's number. */
+    public synchronized long sendSnapshot(FakeNode... nodes) throws IOException {
+        currentRecords.clear();
+        return records(1, READY, nodes);
     }
 
-    /** So many boxes take on this standing; the list of later whole ones follows. */
-    public synchronized long sendChanges(int standing, FakeNode... boxes) throws IOException {
-        return records(2, standing, boxes);
+    /** Sends a new status of these nodes, which later snapshots include; returns the event's number. */
+    public synchronized long sendChanges(int status, FakeNode... nodes) throws IOException {
+        return records(2, status, nodes);
     }
 
-    private long records(int kind, int standing, FakeNode... boxes) throws IOException {
-        ByteBuffer all = ByteBuffer.allocate(27 * boxes.length);
-        for (FakeNode b : boxes) {
-            ByteBuffer r = record(b, standing);
-            all.put(r.duplicate());
-            if (standing == REMOVED) list.remove(b.id());
-            else list.put(b.id(), r);
+    private long records(int kind, int status, FakeNode... nodes) throws IOException {
+        ByteBuffer payload = ByteBuffer.allocate(RECORD_BYTES * nodes.length);
+        for (FakeNode node : nodes) {
+            ByteBuffer nodeRecord = record(node, status);
+            payload.put(nodeRecord.duplicate());
+            if (status == REMOVED) currentRecords.remove(node.id());
+            else currentRecords.put(node.id(), nodeRecord);
         }
-        return tell(kind, all.array());
+        return send(kind, payload.array());
     }
 
-    private static ByteBuffer record(FakeNode b, int standing) {
-        ByteBuffer r = ByteBuffer.allocate(27);
-        r.putInt(b.number()).put(new byte[] {127, 0, 0, 1}).putShort((short) b.port()).put((byte) standing);
-        r.put((byte) 0).put((byte) b.kind()).putShort((short) 0).putInt((int) (b.units() * 1000));
-        return r.putLong(b.listedStart()).flip();
+    private static ByteBuffer record(FakeNode node, int status) {
+        ByteBuffer record = ByteBuffer.allocate(RECORD_BYTES);
+        record.putInt(node.number()).put(new byte[] {127, 0, 0, 1}).putShort((short) node.port()).put((byte) status);
+        record.put((byte) 0).put((byte) node.kind()).putShort((short) 0).putInt((int) (node.units() * 1000));
+        return record.putLong(node.listedStart()).flip();
     }
 
+    /** Sends the purge of a group issued at {@code at}, Unix ms; returns the event's number. */
     public synchronized long sendPurge(int group, long at) throws IOException {
-        return tell(4, ByteBuffer.allocate(10).putShort((short) group).putLong(at).array());
+        return send(4, ByteBuffer.allocate(10).putShort((short) group).putLong(at).array());
     }
 
-    private long tell(int kind, byte[] payload) throws IOException {
-        events.put(++last, frame(last, kind, payload));
-        for (Socket f : List.copyOf(feeds)) write(f, events.get(last));
-        sentAtNanos.put(last, System.nanoTime());
-        return last;
+    private long send(int kind, byte[] payload) throws IOException {
+        events.put(++lastEvent, frame(lastEvent, kind, payload));
+        for (Socket connection : List.copyOf(connections)) write(connection, events.get(lastEvent));
+        sentAtNanos.put(lastEvent, System.nanoTime());
+        return lastEvent;
     }
 
-    // ---- the wire ----
+    // ---- the protocol ----
 
     private static byte[] frame(long number, int kind, byte[] payload) {
         return ByteBuffer.allocate(13 + payload.length).putInt(9 + payload.length).putLong(number).put((byte) kind)
@@ -130,58 +135,58 @@
             out.write(bytes);
             out.flush();
         } catch (IOException e) {
-            feeds.remove(to);
+            connections.remove(to);
         }
     }
 
-    private void accept(ServerSocket at) {
-        while (!at.isClosed()) {
+    private void accept(ServerSocket from) {
+        while (!from.isClosed()) {
             try {
-                Socket s = at.accept();
-                start(() -> feed(s));
+                Socket connection = from.accept();
+                start(() -> serve(connection));
             } catch (IOException e) {
                 return;
             }
         }
     }
 
-    private void feed(Socket s) {
+    private void serve(Socket connection) {
         try {
-            s.setTcpNoDelay(true);
-            long from = new DataInputStream(s.getInputStream()).readLong();
+            connection.setTcpNoDelay(true);
+            long after = new DataInputStream(connection.getInputStream()).readLong();
             synchronized (this) {
-                if (from < last && !events.containsKey(from + 1)) {
-                    ByteBuffer all = ByteBuffer.allocate(27 * list.size());
-                    for (ByteBuffer r : list.values()) all.put(r.duplicate());
-                    write(s, frame(last, 1, all.array()));
+                if (after < lastEvent && !events.containsKey(after + 1)) {
+                    ByteBuffer records = ByteBuffer.allocate(RECORD_BYTES * currentRecords.size());
+                    for (ByteBuffer record : currentRecords.values()) records.put(record.duplicate());
+                    write(connection, frame(lastEvent, 1, records.array()));
                 } else {
-                    for (byte[] e : events.tailMap(from, false).values()) write(s, e);
+                    for (byte[] event : events.tailMap(after, false).values()) write(connection, event);
                 }
-                feeds.add(s);
+                connections.add(connection);
             }
-            while (!s.isClosed()) {
+            while (!connection.isClosed()) {
                 synchronized (this) {
-                    if (!feeds.contains(s)) break;
-                    write(s, frame(last, 0, new byte[0]));
+                    if (!connections.contains(connection)) break;
+                    write(connection, frame(lastEvent, 0, new byte[0]));
                 }
-                Thread.sleep(PULSE_MS);                     // the pulse of the wire, which no check waits for
+                Thread.sleep(HEARTBEAT_INTERVAL_MS);         // no check waits for it
             }
-            s.close();
+            connection.close();
         } catch (IOException | InterruptedException e) {
             synchronized (this) {
-                feeds.remove(s);
+                connections.remove(connection);
             }
         }
     }
 
-    static void start(Runnable r) {
-        Thread t = new Thread(r, "stand-in");
-        t.setDaemon(true);
-        t.start();
+    static void start(Runnable task) {
+        Thread thread = new Thread(task, "stand-in");
+        thread.setDaemon(true);
+        thread.start();
     }
 
     @Override public void close() throws IOException {
         stopListening();
-        held.close();
+        reservedPort.close();
     }
 }
--- a/src/test/java/mothcross/standin/FakeNode.java
+++ b/src/test/java/mothcross/standin/FakeNode.java
@@ -12,64 +12,85 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A stand-in for a cache, a parent or the origin: answers every lookup from what it holds, counts what arrives and
- * when, and can be gone (refused), vanished (never comes up), mute, back cold, and fall over when pushed. Owns its
- * socket and threads.
+ * A cache, parent or origin for tests: answers every lookup as a hit and records what arrives and when. It can be
+ * stopped (connections are refused), stop answering connects, become unresponsive, come back with a cold cache, and
+ * fail under load while cold.
  */
 public final class FakeNode implements AutoCloseable {
-    public static final int CACHE = 0, PARENT = 1, ORIGIN = 2;
-    /** What the settings of the test's directors say of cold starts: share at first, ms to warm, factor, ms. */
-    private static final double FLOOR = 0.15, WARM_MS = 14_000, BREAKS_AT = 3, SPAN_MS = 1500;
+    public static final int CACHE = 0;
+    public static final int PARENT = 1;
+    public static final int ORIGIN = 2;
+    // Cold starts, as in the settings of the test's directors.
+    /** The share of its full load that a node bears right after its start. */
+    private static final double COLD_SHARE = 0.15;
+    private static final double WARM_UP_MS = 14_000;
+    /** A node fails at this multiple of the load it is rated for, measured over the window. */
+    private static final double FAILURE_FACTOR = 3;
+    private static final double LOAD_WINDOW_MS = 1500;
+    private static final double SEND_RATE_KB_PER_MS = 9;
+    private static final int BACKLOG = 50;
 
-    /** One lookup that came: when by System.nanoTime, by Unix ms, and its line. */
+    /** A lookup that arrived: the time by System.nanoTime and in Unix ms, and its request line. */
     public record Arrival(long nano, double at, String line) { }
 
-    private final int number, kind;
-    private final double units, startedAt;
+    /** The cost of a lookup in ms of sending, and when it arrived. */
+    private record Work(double at, double costMs) { }
+
+    private final int number;
+    private final int kind;
+    private final double units;
+    private final double startedAt;
     private final long listedStart;
-    private final ReservedPort held;                                // its address stays its own while it is gone
+    private final ReservedPort reservedPort;                // keeps the address while the node is stopped
     private final int port;
     private ServerSocket server;
-    private final List<Socket> crowd = new ArrayList<>();   // fills the queue of one that has vanished
-    private final List<Socket> open = new ArrayList<>();
+    private final List<Socket> backlogFillers = new ArrayList<>();
+    private final List<Socket> connections = new ArrayList<>();
     private final List<Arrival> arrivals = new ArrayList<>();
-    private final ArrayDeque<double[]> work = new ArrayDeque<>();
-    private double lately, maxLoadShare;
-    private boolean unresponsive, overloaded;
-    private double gapNs, freeAt, lookupKb = 1000;
-
-    /** A box that runs since {@code startedAt} (Unix ms,
-        0: for long); {@code listedStart}: what discovery says of that. */
-    public FakeNode(int number, int kind, double units, double startedAt, long toldStart, int atPort) throws IOException {
+    private final ArrayDeque<Work> recentWork = new ArrayDeque<>();
+    private double recentWorkMs;
+    private double maxLoadShare;
+    private boolean unresponsive;
+    private boolean overloaded;
+    private double lookupIntervalNs;
+    private double freeAtNanos;
+    private double lookupKb = 1000;
+
+    /**
+     * {@code startedAt} is when its cache was empty, Unix ms, or 0 for a warm one; {@code listedStart} is the start
+     * that discovery reports. {@code requestedPort} 0 is any port.
+     */
+    public FakeNode(int number, int kind, double units, double startedAt, long listedStart, int requestedPort)
+        throws IOException {
         this.number = number;
         this.kind = kind;
         this.units = units;
         this.startedAt = startedAt;
-        this.listedStart = toldStart;
-        held = new ReservedPort(atPort);
-        port = held.port;
-        serve(held.listen(50));
+        this.listedStart = listedStart;
+        reservedPort = new ReservedPort(requestedPort);
+        port = reservedPort.port;
+        serve(reservedPort.listen(BACKLOG));
     }
 
     public FakeNode(int number, int kind) throws IOException {
         this(number, kind, 4, 0, 0, 0);
     }
 
-    private void serve(ServerSocket s) {
-        server = s;
+    private void serve(ServerSocket listener) {
+        server = listener;
         FakeDiscovery.start(() -> {
-            while (!s.isClosed()) {
+            while (!listener.isClosed()) {
                 try {
-                    Socket c = s.accept();
-                    c.setTcpNoDelay(true);
+                    Socket connection = listener.accept();
+                    connection.setTcpNoDelay(true);
                     synchronized (this) {
-                        if (s.isClosed()) {
-                            reset(c);                       // accepted while stop() closed the listening socket
+                        if (listener.isClosed()) {
+                            reset(connection);              // accepted while stop() closed the listening socket
                             return;
                         }
-                        open.add(c);
+                        connections.add(connection);
                     }
-                    FakeDiscovery.start(() -> talk(c));
+                    FakeDiscovery.start(() -> answerLookups(connection));
                 } catch (IOException e) {
                     return;
                 }
@@ -103,47 +124,48 @@
 
     // ---- the script ----
 
-    /** Its process has ended: connections are reset, new ones refused. */
+    /** Ends its process: connections are reset, and new ones refused. */
     public synchronized FakeNode stop() throws IOException {
         server.close();
-        for (Socket s : open) reset(s);
-        open.clear();
+        for (Socket connection : connections) reset(connection);
+        connections.clear();
         return this;
     }
 
-    private static void reset(Socket s) throws IOException {
+    private static void reset(Socket connection) throws IOException {
         try {
-            s.setSoLinger(true, 0);
+            connection.setSoLinger(true, 0);
         } catch (SocketException e) {
-            return;                                         // its own end came first
+            return;                                         // it has already been closed
         }
-        s.close();
+        connection.close();
     }
 
-    /** Its machine is cut off: connections never come up. */
+    /** Cuts its machine off: connections are not established. */
     public synchronized FakeNode stopAnsweringConnects() throws IOException {
         stop();
-        server = held.listen(1);
-        for (int i = 0; i < 2; i++) crowd.add(new Socket(server.getInetAddress(), port));
+        server = reservedPort.listen(1);
+        for (int i = 0; i < 2; i++) backlogFillers.add(new Socket(server.getInetAddress(), port));
         return this;
     }
 
-    /** Another box takes over the address of this one, which has gone. */
-    public FakeNode replacedBy(int otherNumber, double started, long told) throws IOException {
+    /** Stops this node and starts another one at its address. */
+    public FakeNode replacedBy(int otherNumber, double otherStartedAt, long otherListedStart) throws IOException {
         stop();
-        return new FakeNode(otherNumber, kind, units, started, told, port);
+        return new FakeNode(otherNumber, kind, units, otherStartedAt, otherListedStart, port);
     }
 
+    /** While on, lookups arrive but are not answered. */
     public synchronized void setUnresponsive(boolean on) {
         unresponsive = on;
     }
 
-    /** From now on so many lookups a second are answered, the others wait their turn. */
-    public synchronized void limitRate(double perS) {
-        gapNs = 1e9 / perS;
+    /** Answers at most so many lookups a second; others wait. */
+    public synchronized void limitRate(double lookupsPerSecond) {
+        lookupIntervalNs = 1e9 / lookupsPerSecond;
     }
 
-    /** How much each of the test's lookups is, for what a cold box bears; 1,000 KB unless told. */
+    /** The size of each of the test's lookups, from which the load on a cold node is computed; 1,000 KB by default. */
     public synchronized FakeNode setLookupSize(double kb) {
         lookupKb = kb;
         return this;
@@ -157,70 +179,78 @@
         return arrivals.size();
     }
 
+    /** Whether it has failed under load while cold. */
     public synchronized boolean overloaded() {
         return overloaded;
     }
 
-    /** The most that came within a span, as a share of what it takes to fall over. */
+    /** The highest load within a window, as a share of the load at which it fails. */
     public synchronized double maxLoadShare() {
         return maxLoadShare;
     }
 
-    // ---- the wire ----
+    // ---- the protocol ----
 
-    private void talk(Socket s) {
-        try (s; InputStream in = new BufferedInputStream(s.getInputStream())) {
-            OutputStream out = s.getOutputStream();
-            StringBuilder line = new StringBuilder();
-            for (int b; (b = in.read()) >= 0;) {
-                if (b != '\n') {
-                    line.append((char) b);
+    private void answerLookups(Socket connection) {
+        try (connection; InputStream in = new BufferedInputStream(connection.getInputStream())) {
+            OutputStream out = connection.getOutputStream();
+            StringBuilder buffer = new StringBuilder();
+            for (int next; (next = in.read()) >= 0;) {
+                if (next != '\n') {
+                    buffer.append((char) next);
                     continue;
                 }
-                String l = line.toString().strip();
-                line.setLength(0);
-                if (!l.startsWith("want ")) continue;
-                in.skipNBytes(Integer.parseInt(l.substring(l.lastIndexOf(' ') + 1)) + 2);
+                String line = buffer.toString().strip();
+                buffer.setLength(0);
+                if (!line.startsWith("want ")) continue;
+                in.skipNBytes(Integer.parseInt(line.substring(line.lastIndexOf(' ') + 1)) + 2);
                 synchronized (this) {
-                    if (!open.contains(s)) return;          // read while stop() closed the socket
-                    arrivals.add(new Arrival(System.nanoTime(), System.currentTimeMillis(), l));
-                    pushed();
+                    if (!connections.contains(connection)) return;  // read while stop() closed the socket
+                    arrivals.add(new Arrival(System.nanoTime(), System.currentTimeMillis(), line));
+                    addLoad();
                     if (overloaded) return;
                     if (unresponsive) continue;
                 }
-                double turn;
-                synchronized (this) {
-                    turn = freeAt = Math.max(freeAt, System.nanoTime()) + gapNs;
-                }
-                long wait = gapNs == 0 ? 0 : (long) (turn - System.nanoTime());
-                if (wait > 0) LockSupport.parkNanos(wait);
+                awaitTurn();
                 String source = kind == ORIGIN ? "origin" : "mem";
-                out.write((l.split(" ")[1] + " DONE n=" + source
+                out.write((line.split(" ")[1] + " DONE n=" + source
                     + ",minted=1 2\r\nok\r\n").getBytes(StandardCharsets.US_ASCII));
                 out.flush();
             }
         } catch (IOException e) {
             synchronized (this) {
-                open.remove(s);
+                connections.remove(connection);
             }
         }
     }
 
-    /** A lookup costs its sending at 9,000 KB/s; a cold box that gets too much in a span falls over. */
-    private void pushed() {
-        double now = System.currentTimeMillis(), cost = lookupKb / 9;
+    /** Waits until the rate limit allows the next answer. */
+    private void awaitTurn() {
+        double turnNanos;
+        synchronized (this) {
+            turnNanos = freeAtNanos = Math.max(freeAtNanos, System.nanoTime()) + lookupIntervalNs;
+        }
+        long waitNs = lookupIntervalNs == 0 ? 0 : (long) (turnNanos - System.nanoTime());
+        if (waitNs > 0) LockSupport.parkNanos(waitNs);
+    }
+
+    /** Adds the cost of a lookup, the time to send it; a cold node with too much of it in a window fails. */
+    private void addLoad() {
+        double now = System.currentTimeMillis();
+        double costMs = lookupKb / SEND_RATE_KB_PER_MS;
         if (startedAt == 0 || kind == ORIGIN) return;
-        work.add(new double[] {now, cost});
-        lately += cost;
-        while (work.peek()[0] < now - SPAN_MS) lately -= work.poll()[1];
-        double share = Math.min(1, FLOOR + (1 - FLOOR) * Math.max(0, now - startedAt) / WARM_MS);
-        maxLoadShare = Math.max(maxLoadShare, lately / (BREAKS_AT * units * share * SPAN_MS));
+        recentWork.add(new Work(now, costMs));
+        recentWorkMs += costMs;
+        while (recentWork.peek().at < now - LOAD_WINDOW_MS) recentWorkMs -= recentWork.poll().costMs;
+        double warmth = Math.min(1, COLD_SHARE + (1 - COLD_SHARE) * Math.max(0, now - startedAt) / WARM_UP_MS);
+        double failureLoadMs = FAILURE_FACTOR * units * warmth * LOAD_WINDOW_MS;
+        maxLoadShare = Math.max(maxLoadShare, recentWorkMs / failureLoadMs);
         overloaded |= maxLoadShare > 1;
     }
 
     @Override public synchronized void close() throws IOException {
         stop();
-        for (Socket s : crowd) s.close();
-        held.close();
+        for (Socket filler : backlogFillers) filler.close();
+        reservedPort.close();
     }
 }
--- a/src/test/java/mothcross/standin/ReservedPort.java
+++ b/src/test/java/mothcross/standin/ReservedPort.java
@@ -8,43 +8,45 @@
 import java.net.StandardSocketOptions;
 import java.nio.channels.SocketChannel;
 
-/** A loopback port that stays ours while nothing listens there, so that no other socket gets it meanwhile. */
+/** A loopback port that stays bound while nothing listens on it, so that no other socket gets it meanwhile. */
 final class ReservedPort implements AutoCloseable {
-    private static final long PATIENCE_NS = 5_000_000_000L;
-    private final SocketChannel holder = SocketChannel.open();
+    private static final long BIND_TIMEOUT_NS = 5_000_000_000L;
+    private final SocketChannel reservation = SocketChannel.open();
     final int port;
 
-    /** 0: any port. */
-    ReservedPort(int at) throws IOException {
-        holder.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        again(() -> holder.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), at)));
-        port = ((InetSocketAddress) holder.getLocalAddress()).getPort();
+    /** Reserves {@code requestedPort}, or any free port for 0. */
+    ReservedPort(int requestedPort) throws IOException {
+        reservation.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+        retryBind(() -> reservation.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), requestedPort)));
+        port = ((InetSocketAddress) reservation.getLocalAddress()).getPort();
     }
 
-    private interface Binds {
+    private interface BindAction {
         void bind() throws IOException;
     }
 
-    /** An address given up a moment ago is free only when the thread that accepted there has noticed. */
-    private static void again(Binds b) throws IOException {
-        for (long until = System.nanoTime() + PATIENCE_NS;;) {
+    /** Retries, as a closed listening socket keeps its address until the thread that accepts on it has noticed. */
+    private static void retryBind(BindAction action) throws IOException {
+        long deadline = System.nanoTime() + BIND_TIMEOUT_NS;
+        while (true) {
             try {
-                b.bind();
+                action.bind();
                 return;
             } catch (BindException e) {
-                if (System.nanoTime() > until) throw e;
+                if (System.nanoTime() > deadline) throw e;
             }
         }
     }
 
+    /** Listens on the port. */
     ServerSocket listen(int backlog) throws IOException {
-        ServerSocket s = new ServerSocket();
-        s.setReuseAddress(true);
-        again(() -> s.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), backlog));
-        return s;
+        ServerSocket server = new ServerSocket();
+        server.setReuseAddress(true);
+        retryBind(() -> server.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), backlog));
+        return server;
     }
 
     @Override public void close() throws IOException {
-        holder.close();
+        reservation.close();
     }
 }
