--- a/src/test/java/mothcross/net/MeasureRoutes.java
+++ b/src/test/java/mothcross/net/MeasureRoutes.java
@@ -214,8 +214,8 @@
                 slowest = i < 10 ? 0 : Math.max(slowest, ns);
             }
             System.out.printf(Locale.ROOT, "| `%s` | %d | %d | %.2f | %.0f | %.2f |%n", text.replace("|", "\\|"),
-                e.cost(), most,
-                most / (double) e.cost(), slowest, slowest / e.cost());
+                e.worstCaseSteps(), most,
+                most / (double) e.worstCaseSteps(), slowest, slowest / e.worstCaseSteps());
         }
     }
 }
--- a/src/test/java/mothcross/net/RememberedTest.java
+++ b/src/test/java/mothcross/net/RememberedTest.java
@@ -415,7 +415,7 @@
     private static boolean behind(DirectorServer d) {
         d.dispatcher().enter();
         try {
-            return d.persistentMembership().membership().behind();
+            return d.persistentMembership().membership().discoveryBehind();
         } finally {
             d.dispatcher().leave();
         }
