--- a/src/main/java/mothcross/net/Dispatcher.java
+++ b/src/main/java/mothcross/net/Dispatcher.java
@@ -127,7 +127,9 @@
     /** Unix time in ms; unlike the system clock it never runs backwards. */
     double clock() {
         Instant systemTime = Instant.now();
-        return now = Math.max(now, systemTime.getEpochSecond() * 1e3 + systemTime.getNano() / 1e6);
+        double time = Math.max(now, systemTime.getEpochSecond() * 1e3 + systemTime.getNano() / 1e6);
+        now = time;
+        return time;
     }
 
     /** Has the director process a batch of events; must not be called while it is processing another. */
@@ -170,7 +172,8 @@
         if (openLookups.putIfAbsent(lookup.id, lookup) != null) return false;
         counters.lookups++;
         readAheadBytes += lookup.body.length;
-        int index = lookup.index = lookupIndices.allocate();
+        int index = lookupIndices.allocate();
+        lookup.index = index;
         lookup.workload = workload;
         if (index >= lookups.length) lookups = Arrays.copyOf(lookups, 2 * lookups.length);
         lookups[index] = lookup;
--- a/src/main/java/mothcross/net/Nodes.java
+++ b/src/main/java/mothcross/net/Nodes.java
@@ -43,7 +43,8 @@
         Node node = byId.get(id);
         if (node == null) {
             if (status == Director.REMOVED) return;
-            byId.put(id, node = new Node(allocateIndex(), id));
+            node = new Node(allocateIndex(), id);
+            byId.put(id, node);
             all.set(node.index, node);
         }
         removed.remove(node);
--- a/src/main/java/mothcross/route/RouteTable.java
+++ b/src/main/java/mothcross/route/RouteTable.java
@@ -147,7 +147,7 @@
             faults.add(at + ".workload = \"" + r.workload() + "\" is not in the settings: " + workloads.keySet());
             return -1;
         }
-        List<String> only = match == null ? null : Dispatch.admitted(match, "workload");
+        List<String> only = match == null ? null : Dispatch.exactValues(match, "workload");
         for (Map.Entry<String, Integer> w : workloads.entrySet()) {
             if (only != null && !only.contains(w.getKey())) continue;
             Workload a = all[w.getValue()], b = all[to];
