--- a/src/test/java/mothcross/net/RememberedTest.java
+++ b/src/test/java/mothcross/net/RememberedTest.java
@@ -131,9 +131,7 @@
             for (FakeNode.Arrival a : mute.arrivals()) assertTrue(a.nano() < told, "sent after the drain: " + a.line());
             List<FakeNode.Arrival> after = well.arrivals().stream().filter(a -> a.nano() > told).toList();
             assertTrue(after.size() >= 40);
-            for (FakeNode.Arrival a : after) {
-                assertTrue(a.line().contains(",fresh="), "a purge bounds ages: " + a.line());
-            }
+            for (FakeNode.Arrival a : after) assertTrue(a.line().contains(",fresh="), "a purge bounds ages: " + a.line());
             for (FakeClients.Client c : open) c.close();
         }
     }
@@ -182,7 +180,7 @@
      * That the stand-in does fall is shown by directors that believe every entry.
      */
     @Test public void threeDirectorsSpareAColdBox() throws Exception {
-        assertTrue(pushed(new AgeLimits(3650 * Fleet.DAY, 3650 * Fleet.DAY, 30_000, 1000, 200, 1000, 0.5, 30_000,
+        assertTrue(pushed(new AgeLimits(3650 * Fleet.DAY_MS, 3650 * Fleet.DAY_MS, 30_000, 1000, 200, 1000, 0.5, 30_000,
             5000)) > 1, "believing all pushes it over");
         double most = pushed(Fleet.AGES);
         assertTrue(most > 0 && most <= 1, "of what it bears: " + most);
@@ -404,8 +402,8 @@
             f.discovery.revertTo(1);
             f.discovery.closeConnections();
             Fleet.awaitTrue("is behind", () -> behind(d));
-            f.discovery.sendChanges(FakeDiscovery.READY, f.caches.get(0));      // event 2, which was another one here
-            f.discovery.sendChanges(FakeDiscovery.DRAINING, f.caches.get(1));   // event 3
+            f.discovery.sendChanges(FakeDiscovery.READY, f.caches.get(0));          // event 2, which was another one here
+            f.discovery.sendChanges(FakeDiscovery.DRAINING, f.caches.get(1));       // event 3
             Fleet.awaitTrue("drained", () -> Fleet.status(d, f.caches.get(1)).equals("DRAINING"));
             assertEquals(Fleet.status(d, f.caches.get(0)), "DRAINING");
             long event = f.discovery.sendChanges(FakeDiscovery.READY, f.caches.get(0));
