--- a/src/main/java/mothcross/net/PersistentMembership.java
+++ b/src/main/java/mothcross/net/PersistentMembership.java
@@ -56,13 +56,13 @@
     private boolean heardOfDiscovery, silent = true, saidOlder, stayed = true;
     private int lines, trusted, dropped;
     private long linesSince;
-    long writesDone, writesFailed;
+    long writesCompleted, writesFailed;
 
     /** {@code wall} is the system's clock at the start, by which a list from the disk is judged. */
     PersistentMembership(Dispatcher desk, AgeLimits ages, WriteScheduler plan, SnapshotStore keeper, String fleet,
                          String director, double wall) {
         this.desk = desk;
-        this.opening = desk.opening;
+        this.opening = desk.settings;
         this.skewMs = ages.clockSkewMs();
         this.plan = plan;
         this.keeper = keeper;
@@ -70,7 +70,7 @@
         this.director = director;
         this.startedAt = wall;
         this.membership = new Membership(ages, opening.purgeRetentionMs, new SplittableRandom(opening.edgeSeed), this);
-        this.writes = keeper.mayWrite();
+        this.writes = keeper.acquireWriteLock();
         this.writer = new Thread(this::writeAll, "list");
         writer.setDaemon(true);
         writer.start();
@@ -91,7 +91,7 @@
     // ---- the start ----
 
     /** What rests on disk, or what the told file knows ({@code known}, null where it has none), whichever is newer. */
-    void begin(MembershipSnapshot known) {
+    void start(MembershipSnapshot known) {
         double now = now();
         SnapshotFormat.Result disk = keeper.read(now, skewMs);
         MembershipSnapshot kept = disk == null ? null : disk.snapshot();
@@ -111,8 +111,8 @@
         } else {
             LOG.atInfo().log("list: none; all lookups wait for discovery");
         }
-        desk.witness(this);
-        desk.round(to -> {
+        desk.setHopObserver(this);
+        desk.processBatch(to -> {
             to.listStarted(Director.LIST_RESTORED);
             to.listFinished();
             flush(to);
@@ -124,7 +124,7 @@
     private void tick() {
         desk.timers.set(new Timers.Timer() {
             @Override void fire() {
-                desk.round(to -> {
+                desk.processBatch(to -> {
                     membership.tick(now());
                     flush(to);
                 });
@@ -134,10 +134,10 @@
     }
 
     /** The operators' figures anew; the file and the fleet stay until the next start. */
-    void takes(AgeLimits anew, WriteScheduler times) {
+    void reload(AgeLimits anew, WriteScheduler times) {
         plan = times;
         plan.changed(false, now());
-        desk.round(to -> {
+        desk.processBatch(to -> {
             membership.ages(anew, now());
             flush(to);
         });
@@ -145,15 +145,15 @@
 
     // ---- news ----
 
-    @Override public long last() {
+    @Override public long lastEvent() {
         return membership.number();
     }
 
-    @Override public boolean hearsAgain(boolean wholeList) {
+    @Override public boolean acceptsRepeated(boolean wholeList) {
         return wholeList || membership.behind();
     }
 
-    @Override public boolean begins(Director to, long number, int news) {
+    @Override public boolean listStarted(Director to, long number, int news) {
         Membership.UpdateResult taken = membership.listStarted(number, news != Director.LIST_DELTA, now());
         switch (taken) {
             case OLDER -> older(number);
@@ -172,7 +172,7 @@
             .log("list: discovery is behind what is known; its list is not taken");
     }
 
-    @Override public void listed(Director to, String id, InetSocketAddress address, int place, int kind, int cell,
+    @Override public void nodeListed(Director to, String id, InetSocketAddress address, int place, int kind, int cell,
                                  int standing, double units, double startedAt) {
         membership.nodeListed(id, address.getHostString(), address.getPort(), name(opening.zones, place),
             name(opening.kinds, kind), cell, standing, units, startedAt, now());
@@ -182,7 +182,7 @@
         return at >= 0 && at < names.size() ? names.get(at) : "?" + at;
     }
 
-    @Override public void ends(Director to) {
+    @Override public void listFinished(Director to) {
         int before = trusted, lost = dropped;
         Membership.UpdateResult taken = membership.listFinished(now());
         if (taken == Membership.UpdateResult.SHRUNK) {
@@ -201,7 +201,7 @@
         flush(to);
     }
 
-    @Override public boolean nothingNew(Director to, long number) {
+    @Override public boolean heartbeat(Director to, long number) {
         int before = trusted, lost = dropped;
         if (!membership.confirmUpTo(number, now())) {
             older(number);
@@ -212,7 +212,7 @@
         return false;
     }
 
-    @Override public void silent(String why) {
+    @Override public void connectionLost(String why) {
         if (silent) return;
         silent = true;
         LOG.atInfo().addKeyValue("why", why).addKeyValue("event", membership.number())
@@ -230,12 +230,12 @@
 
     // ---- evidence ----
 
-    @Override public void saw(Hop h) {
+    @Override public void hopEnded(Hop h) {
         String source = h.source == h.node ? null : h.source.id;
-        membership.hopEnded(h.node.id, source, h.outcome, h.note, h.node.heardAt < h.sentAt, now());
+        membership.hopEnded(h.node.id, source, h.outcome, h.note, h.node.lastReceivedAt < h.sentAt, now());
     }
 
-    @Override public void roundEnds(Director to) {
+    @Override public void roundFinished(Director to) {
         flush(to);
     }
 
@@ -272,16 +272,16 @@
         if (!pending.isEmpty()) {
             List<Change> all = new ArrayList<>(pending.values());
             pending.clear();
-            desk.listBegins(to, Director.LIST_DELTA);
+            desk.listStarted(to, Director.LIST_DELTA);
             for (Change c : all) {
                 ListedNode t = c.entry;
                 int place = opening.zones.indexOf(t.zone()), kind = opening.kinds.indexOf(t.kind());
                 // A box of a place or kind that the settings no longer have can't be used.
                 int use = place < 0 || kind < 0 ? Director.REMOVED : c.is.directorStatus;
-                desk.listed(to, t.id(), new InetSocketAddress(t.host(), t.port()), place, kind, t.cell(), use,
+                desk.nodeListed(to, t.id(), new InetSocketAddress(t.host(), t.port()), place, kind, t.cell(), use,
                     t.units(), c.coldSince);
             }
-            desk.listEnds(to);
+            desk.listFinished(to);
         }
         double now = now();
         boolean urgent = membership.takeUrgent();
@@ -336,7 +336,7 @@
                 why = e.getClass().getSimpleName() + ": " + e.getMessage();
             }
             String failed = why;
-            desk.locked(() -> written(failed));
+            desk.runLocked(() -> written(failed));
         }
     }
 
@@ -344,7 +344,7 @@
         double now = now();
         plan.ended(failed == null, now);
         if (failed == null) {
-            writesDone++;
+            writesCompleted++;
             if (!stayed) LOG.atInfo().log("list: written again");
             stayed = true;
         } else {
@@ -356,8 +356,8 @@
     }
 
     /** Writes what is still to be written, then lets go of the file; waits for it no longer than so many ms. */
-    void end(long patienceMs) throws InterruptedException {
-        desk.locked(() -> {
+    void stop(long patienceMs) throws InterruptedException {
+        desk.runLocked(() -> {
             double now = now();
             if (membership.takeDirty()) plan.changed(true, now);
             boolean left = writes && plan.due() != Double.POSITIVE_INFINITY;
@@ -386,13 +386,13 @@
     }
 
     /** For the line of counters. */
-    String line() {
+    String counterLine() {
         StringBuilder s = new StringBuilder("; list:");
         for (NodeState x : NodeState.values()) {
             int n = membership.count(x);
             if (n > 0) s.append(' ').append(x.word()).append(' ').append(n);
         }
-        s.append(", event ").append(membership.number()).append(", written ").append(writesDone).append(" (failed ")
+        s.append(", event ").append(membership.number()).append(", written ").append(writesCompleted).append(" (failed ")
             .append(writesFailed).append(')');
         for (Membership.UpdateResult t : Membership.UpdateResult.values()) {
             boolean told = t != Membership.UpdateResult.APPLIED && membership.updateCount(t) > 0;
