--- a/src/test/java/mothcross/net/KilledTest.java
+++ b/src/test/java/mothcross/net/KilledTest.java
@@ -19,95 +19,98 @@
 import org.testng.annotations.Test;
 
 /**
- * Directors in processes of their own, killed outright at random moments while news comes. What was told longer than
- * the stated delay before the kill must be on disk, and what is on disk must be the list as it stood after some event.
- * {@code -Dkills=200} plays them all; without it a few, for CI.
+ * Kills directors in processes of their own at random moments while events arrive. Every event sent longer than the
+ * write delay before the kill must be in the stored snapshot, and the snapshot must be the list after some event.
+ * {@code -Dkills=200} sets the number of kills.
  */
 public class KilledTest {
-    /** The stated delay; the usual 100 ms would blame a busy machine's scheduler. */
-    private static final double STATED_MS = 400;
+    /** The delay within which an event is stored; with the default of 100 ms a busy scheduler would fail the test. */
+    private static final double WRITE_DELAY_MS = 400;
+    private static final double CLOCK_SKEW_MS = 5000;
 
-    /** The director that is killed: ROUTER-less, told by the fleet of the test. */
-    public static final class Victim {
-        private Victim() { }
+    /** The main class of the process that is killed: serves with a configuration and a snapshot file. */
+    public static final class KilledDirector {
+        private KilledDirector() { }
 
         public static void main(String[] args) throws Exception {
-            StartupConfig start = StartupConfig.read(Path.of(args[0]), null, false);
-            new DirectorServer(start, new MembershipSettings(Path.of(args[1]), "fleet", Fleet.AGES, STATED_MS,
+            StartupConfig config = StartupConfig.read(Path.of(args[0]), null, false);
+            new DirectorServer(config, new MembershipSettings(Path.of(args[1]), "fleet", Fleet.AGES, WRITE_DELAY_MS,
                 1000)).start();
             Thread.currentThread().join();
         }
     }
 
-    @Test(timeOut = 600_000) public void nothingToldLongerAgoIsForgotten() throws Exception {
+    @Test(timeOut = 600_000) public void eventsBeforeTheWriteDelaySurviveAKill() throws Exception {
         int kills = Integer.getInteger("kills", 16);
-        ExecutorService some = Executors.newFixedThreadPool(4);
-        int checked = 0;
+        ExecutorService executor = Executors.newFixedThreadPool(4);
+        int checkedEvents = 0;
         try {
-            List<Future<Integer>> all = new ArrayList<>();
-            for (int seed = 1; seed <= kills; seed++) {
-                int s = seed;
-                all.add(some.submit(() -> kill(s)));
+            List<Future<Integer>> results = new ArrayList<>();
+            for (int i = 1; i <= kills; i++) {
+                int seed = i;
+                results.add(executor.submit(() -> killAndCheck(seed)));
             }
-            for (Future<Integer> f : all) checked += f.get();
+            for (Future<Integer> result : results) checkedEvents += result.get();
         } finally {
-            some.shutdownNow();
+            executor.shutdownNow();
         }
-        System.out.println("killed " + kills + " times, " + checked + " events were due on disk and there");
-        assertTrue(checked > kills, "events checked: " + checked);
+        System.out.println("killed " + kills + " times, " + checkedEvents + " events were due on disk and there");
+        assertTrue(checkedEvents > kills, "events checked: " + checkedEvents);
     }
 
-    private static int kill(int seed) throws Exception {
-        SplittableRandom chance = new SplittableRandom(seed);
-        try (Fleet f = new Fleet(5)) {
-            Path told = Files.writeString(f.directory.resolve("told.json"), f.startupConfigText("d1"));
-            List<Map<String, Integer>> after = new ArrayList<>(List.of(new TreeMap<>()));   // by event: the list
-            f.discovery.sendSnapshot(f.all());
+    /** Kills one director and checks its snapshot; returns the number of events that had to be in it. */
+    private static int killAndCheck(int seed) throws Exception {
+        SplittableRandom random = new SplittableRandom(seed);
+        try (Fleet fleet = new Fleet(5)) {
+            Path config = Files.writeString(fleet.directory.resolve("told.json"), fleet.startupConfigText("d1"));
+            List<Map<String, Integer>> listAfterEvent = new ArrayList<>(List.of(new TreeMap<>()));
+            fleet.discovery.sendSnapshot(fleet.all());
             Map<String, Integer> list = new TreeMap<>();
-            for (FakeNode b : f.all()) list.put(b.id(), Director.IN_SERVICE);
-            after.add(new TreeMap<>(list));
-            f.discovery.startListening();
+            for (FakeNode node : fleet.all()) list.put(node.id(), Director.IN_SERVICE);
+            listAfterEvent.add(new TreeMap<>(list));
+            fleet.discovery.startListening();
             String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-            Process p = new ProcessBuilder(java, "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-cp",
-                System.getProperty("java.class.path"), Victim.class.getName(), told.toString(),
-                f.snapshotFile("d1").toString()).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
-            long killed;
-            try (var err = p.errorReader()) {
-                for (String l; !(l = err.readLine()).contains(" serves on ");) assertTrue(l != null);
-                long until = System.nanoTime() + (long) ((STATED_MS + 100 + chance.nextInt(600)) * 1e6);
-                while (System.nanoTime() < until) {
-                    FakeNode b = f.caches.get(chance.nextInt(5));
-                    int standing = chance.nextInt(3);
-                    if (standing == FakeDiscovery.REMOVED && !list.containsKey(b.id())) continue;
-                    f.discovery.sendChanges(standing, b);
-                    if (standing == FakeDiscovery.REMOVED) list.remove(b.id());
-                    else list.put(b.id(), standing);
-                    after.add(new TreeMap<>(list));
-                    long next = System.nanoTime() + chance.nextInt(30) * 1_000_000L;
-                    while (System.nanoTime() < next) Thread.onSpinWait();
+            Process process = new ProcessBuilder(java, "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-cp",
+                System.getProperty("java.class.path"), KilledDirector.class.getName(), config.toString(),
+                fleet.snapshotFile("d1").toString()).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+            long killedAt;
+            try (var log = process.errorReader()) {
+                for (String line; !(line = log.readLine()).contains(" serves on ");) assertTrue(line != null);
+                long killAt = System.nanoTime() + (long) ((WRITE_DELAY_MS + 100 + random.nextInt(600)) * 1e6);
+                while (System.nanoTime() < killAt) {
+                    FakeNode node = fleet.caches.get(random.nextInt(5));
+                    int status = random.nextInt(3);
+                    if (status == FakeDiscovery.REMOVED && !list.containsKey(node.id())) continue;
+                    fleet.discovery.sendChanges(status, node);
+                    if (status == FakeDiscovery.REMOVED) list.remove(node.id());
+                    else list.put(node.id(), status);
+                    listAfterEvent.add(new TreeMap<>(list));
+                    long nextEventAt = System.nanoTime() + random.nextInt(30) * 1_000_000L;
+                    while (System.nanoTime() < nextEventAt) Thread.onSpinWait();
                 }
-                killed = System.nanoTime();
+                killedAt = System.nanoTime();
             } finally {
-                p.destroyForcibly().waitFor();
+                process.destroyForcibly().waitFor();
             }
-            SnapshotFormat.Result r = new SnapshotFileStore(f.snapshotFile("d1"), "fleet", "d1")
-                .read(System.currentTimeMillis(), 5000);
-            assertTrue(r != null && r.snapshot() != null, "seed " + seed + ": " + r);
-            MembershipSnapshot k = r.snapshot();
-            int due = 0;
-            for (Map.Entry<Long, Long> e : f.discovery.sentAtNanos.entrySet()) {
-                if (killed - e.getValue() <= STATED_MS * 1e6) continue;
-                due++;
-                assertTrue(k.lastEvent() >= e.getKey(), "seed " + seed + ": event " + e.getKey() + ", told "
-                    + (killed - e.getValue()) / 1e6 + " ms before the kill, is not on disk; the last is "
-                    + k.lastEvent());
+            SnapshotFormat.Result result = new SnapshotFileStore(fleet.snapshotFile("d1"), "fleet", "d1")
+                .read(System.currentTimeMillis(), CLOCK_SKEW_MS);
+            assertTrue(result != null && result.snapshot() != null, "seed " + seed + ": " + result);
+            MembershipSnapshot snapshot = result.snapshot();
+            int dueEvents = 0;
+            for (Map.Entry<Long, Long> sent : fleet.discovery.sentAtNanos.entrySet()) {
+                if (killedAt - sent.getValue() <= WRITE_DELAY_MS * 1e6) continue;
+                dueEvents++;
+                assertTrue(snapshot.lastEvent() >= sent.getKey(), "seed " + seed + ": event " + sent.getKey()
+                    + ", sent " + (killedAt - sent.getValue()) / 1e6 + " ms before the kill, is not on disk; the last is "
+                    + snapshot.lastEvent());
             }
-            Map<String, Integer> onDisk = new TreeMap<>();
-            for (ListedNode t : k.entries().values()) if (t.status() != Director.REMOVED) onDisk.put(t.id(),
-                t.status());
-            assertEquals(onDisk, after.get((int) k.lastEvent()), "seed " + seed + ": the list after event "
-                + k.lastEvent());
-            return due;
+            Map<String, Integer> stored = new TreeMap<>();
+            for (ListedNode node : snapshot.entries().values()) {
+                if (node.status() != Director.REMOVED) stored.put(node.id(), node.status());
+            }
+            assertEquals(stored, listAfterEvent.get((int) snapshot.lastEvent()), "seed " + seed
+                + ": the list after event " + snapshot.lastEvent());
+            return dueEvents;
         }
     }
 }
--- a/src/test/java/mothcross/net/RememberedTest.java
+++ b/src/test/java/mothcross/net/RememberedTest.java
@@ -21,76 +21,85 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Directors on sockets that start while discovery is down, and what follows when it is back. */
+/** Starts directors on sockets while discovery is unavailable, and checks what follows when it is back. */
 @Test(timeOut = 60_000)
 public class RememberedTest {
-    private static final double HOUR = 3_600_000;
+    private static final double HOUR_MS = 3_600_000;
+    private static final double CLOCK_SKEW_MS = 5000;
 
-    /** Age of the list, whether lookups are handled while discovery is withheld,
-        and the standing before and after one. */
+    /**
+     * Age of the snapshot, whether lookups are handled while discovery is unavailable, and the node's state before and
+     * after the first lookup.
+     */
     @DataProvider public Object[][] ages() {
-        return new Object[][] {{60_000.0, true, "RECENT", "RECENT"}, {HOUR, true, "OLD", "PROVEN"},
-            {48 * HOUR, false, "TOO_OLD", "TOO_OLD"}};
+        return new Object[][] {{60_000.0, true, "RECENT", "RECENT"}, {HOUR_MS, true, "OLD", "PROVEN"},
+            {48 * HOUR_MS, false, "TOO_OLD", "TOO_OLD"}};
     }
 
     @Test(dataProvider = "ages")
-    public void startsWithWhatIsStillBelieved(double age, boolean handles, String before,
+    public void usesSnapshotEntriesByTheirAge(double age, boolean handles, String before,
         String after) throws Exception {
-        try (Fleet f = new Fleet(1)) {
-            f.writeSnapshot("d1", age, 0, List.of(), f.all());
-            DirectorServer d = f.director("d1");
-            FakeNode b = f.caches.get(0);
-            assertEquals(Fleet.status(d, b), before);
-            try (FakeClients.Client c = new FakeClients.Client(d.port())) {
-                assertEquals(c.status(1, 10, 3), handles ? 200 : 503);
-                assertEquals(b.arrivalCount(), handles ? 1 : 0);
-                Fleet.awaitTrue(after, () -> Fleet.status(d, b).equals(after));
-                f.discovery.restartNumbering(11);
-                f.discovery.sendSnapshot(f.all());
-                f.discovery.startListening();
-                Fleet.awaitTrue("told", () -> Fleet.status(d, b).equals("TOLD"));
-                assertEquals(c.status(2, 10, 3), 200);
+        try (Fleet fleet = new Fleet(1)) {
+            fleet.writeSnapshot("d1", age, 0, List.of(), fleet.all());
+            DirectorServer director = fleet.director("d1");
+            FakeNode node = fleet.caches.get(0);
+            assertEquals(Fleet.status(director, node), before);
+            try (FakeClients.Client client = new FakeClients.Client(director.port())) {
+                assertEquals(client.status(1, 10, 3), handles ? 200 : 503);
+                assertEquals(node.arrivalCount(), handles ? 1 : 0);
+                Fleet.awaitTrue(after, () -> Fleet.status(director, node).equals(after));
+                fleet.discovery.restartNumbering(11);
+                fleet.discovery.sendSnapshot(fleet.all());
+                fleet.discovery.startListening();
+                Fleet.awaitTrue("the node is listed", () -> Fleet.status(director, node).equals("TOLD"));
+                assertEquals(client.status(2, 10, 3), 200);
             }
         }
     }
 
-    /** No list at all: every lookup is turned away at once until discovery tells; then the list is kept. */
-    @Test public void startsWithNothing() throws Exception {
-        try (Fleet f = new Fleet(1)) {
-            DirectorServer d = f.director("d1");
-            try (FakeClients.Client c = new FakeClients.Client(d.port())) {
-                assertEquals(c.status(1, 10, 3), 503);
-                f.discovery.sendSnapshot(f.all());
-                f.discovery.startListening();
-                Fleet.awaitTrue("event 1", () -> Fleet.lastEvent(d) == 1);
-                assertEquals(c.status(2, 10, 3), 200);
-                Fleet.awaitTrue("kept", () -> kept(f, "d1") != null && kept(f, "d1").lastEvent() == 1);
-                assertEquals(kept(f, "d1").entries().size(), 3);
+    /** Without a snapshot, lookups are rejected at once until discovery sends a list, which is then stored. */
+    @Test public void rejectsLookupsUntilDiscoveryAnswers() throws Exception {
+        try (Fleet fleet = new Fleet(1)) {
+            DirectorServer director = fleet.director("d1");
+            try (FakeClients.Client client = new FakeClients.Client(director.port())) {
+                assertEquals(client.status(1, 10, 3), 503);
+                fleet.discovery.sendSnapshot(fleet.all());
+                fleet.discovery.startListening();
+                Fleet.awaitTrue("event 1", () -> Fleet.lastEvent(director) == 1);
+                assertEquals(client.status(2, 10, 3), 200);
+                Fleet.awaitTrue("stored", () -> storedEvent(fleet, "d1") == 1);
+                assertEquals(storedSnapshot(fleet, "d1").entries().size(), 3);
             }
         }
     }
 
-    private static MembershipSnapshot kept(Fleet f, String name) {
-        SnapshotFormat.Result r = new SnapshotFileStore(f.snapshotFile(name), "fleet", name).read(System.currentTimeMillis(),
-            5000);
-        return r == null ? null : r.snapshot();
+    private static MembershipSnapshot storedSnapshot(Fleet fleet, String name) {
+        SnapshotFileStore store = new SnapshotFileStore(fleet.snapshotFile(name), "fleet", name);
+        SnapshotFormat.Result result = store.read(System.currentTimeMillis(), CLOCK_SKEW_MS);
+        return result == null ? null : result.snapshot();
     }
 
-    /** Comes and goes every few hundred ms, mostly with nothing new: no event is lost, nothing is believed twice. */
-    @Test public void discoveryFlaps() throws Exception {
-        try (Fleet f = new Fleet(2)) {
-            f.writeSnapshot("d1", 60_000, 0, List.of(), f.all());
-            DirectorServer d = f.director("d1");
-            f.discovery.restartNumbering(11);
-            f.discovery.sendSnapshot(f.all());
-            try (FakeClients load = new FakeClients(d.port(), 2, 5, 10, 100)) {
+    /** The last event of the stored snapshot; -1 where there is none. */
+    private static long storedEvent(Fleet fleet, String name) {
+        MembershipSnapshot snapshot = storedSnapshot(fleet, name);
+        return snapshot == null ? -1 : snapshot.lastEvent();
+    }
+
+    /** Discovery comes and goes, mostly with heartbeats only: every event is applied, and no lookup fails. */
+    @Test public void losesNoEventWhenDiscoveryFlaps() throws Exception {
+        try (Fleet fleet = new Fleet(2)) {
+            fleet.writeSnapshot("d1", 60_000, 0, List.of(), fleet.all());
+            DirectorServer director = fleet.director("d1");
+            fleet.discovery.restartNumbering(11);
+            fleet.discovery.sendSnapshot(fleet.all());
+            try (FakeClients load = new FakeClients(director.port(), 2, 5, 10, 100)) {
                 for (int i = 0; i < 8; i++) {
                     int drains = i % 2;
-                    f.discovery.startListening();
-                    long event = f.discovery.sendChanges(drains, f.caches.get(1));
-                    Fleet.awaitTrue("event " + event, () -> Fleet.lastEvent(d) == event);
-                    assertEquals(Fleet.status(d, f.caches.get(1)), drains == 1 ? "DRAINING" : "TOLD");
-                    f.discovery.stopListening();
+                    fleet.discovery.startListening();
+                    long event = fleet.discovery.sendChanges(drains, fleet.caches.get(1));
+                    Fleet.awaitTrue("event " + event, () -> Fleet.lastEvent(director) == event);
+                    assertEquals(Fleet.status(director, fleet.caches.get(1)), drains == 1 ? "DRAINING" : "TOLD");
+                    fleet.discovery.stopListening();
                     load.awaitHandled(load.handled.get() + 5);
                 }
                 assertEquals(load.failed.get(), 0);
@@ -98,167 +107,180 @@
         }
     }
 
-    /** A drain and a purge at once, with a hop out at one box and others waiting for a connection to the second. */
-    @Test public void backWithADrainAndAPurge() throws Exception {
-        try (Fleet f = new Fleet(3)) {
-            f.configParameters.put("connect", "8");
-            f.writeSnapshot("d1", 60_000, 0, List.of(), f.all());
-            FakeNode mute = f.caches.get(0), away = f.caches.get(1), well = f.caches.get(2);
-            mute.setUnresponsive(true);
-            away.stopAnsweringConnects();
-            DirectorServer d = f.director("d1");
+    /** A drain and a purge arrive while a hop is open at one node and others wait for a connection to a second one. */
+    @Test public void appliesDrainAndPurgeAfterReconnect() throws Exception {
+        try (Fleet fleet = new Fleet(3)) {
+            fleet.configParameters.put("connect", "8");
+            fleet.writeSnapshot("d1", 60_000, 0, List.of(), fleet.all());
+            FakeNode unresponsive = fleet.caches.get(0);
+            FakeNode cutOff = fleet.caches.get(1);
+            FakeNode healthy = fleet.caches.get(2);
+            unresponsive.setUnresponsive(true);
+            cutOff.stopAnsweringConnects();
+            DirectorServer director = fleet.director("d1");
             List<FakeClients.Client> open = new ArrayList<>();
             for (int i = 0; i < 24; i++) {
-                open.add(new FakeClients.Client(d.port()));
+                open.add(new FakeClients.Client(director.port()));
                 open.get(i).send(i, 10, 17);
             }
-            Fleet.awaitTrue("hops out and waiting", () -> mute.arrivalCount() > 0 && well.arrivalCount() > 0
-                && counted(d, c -> c.hops) == 24);
-            f.discovery.restartNumbering(11);
-            f.discovery.sendSnapshot(f.all());
+            Fleet.awaitTrue("hops out and waiting", () -> unresponsive.arrivalCount() > 0 && healthy.arrivalCount() > 0
+                && counter(director, counters -> counters.hops) == 24);
+            fleet.discovery.restartNumbering(11);
+            fleet.discovery.sendSnapshot(fleet.all());
             long at = System.currentTimeMillis();
-            f.discovery.sendChanges(FakeDiscovery.DRAINING, mute, away);
-            long event = f.discovery.sendPurge(17, at);
-            f.discovery.startListening();
-            Fleet.awaitTrue("event " + event, () -> Fleet.lastEvent(d) == event);
-            long told = System.nanoTime();
-            // What waited for a connection that never came up was taken back and went elsewhere.
-            Fleet.awaitTrue("taken back", () -> counted(d, c -> c.outcomes[Director.NOT_SENT]) >= 1);
-            mute.setUnresponsive(false);
-            try (FakeClients.Client c = new FakeClients.Client(d.port())) {
-                for (int i = 0; i < 40; i++) assertEquals(c.status(100 + i, 10, 17), 200);
+            fleet.discovery.sendChanges(FakeDiscovery.DRAINING, unresponsive, cutOff);
+            long event = fleet.discovery.sendPurge(17, at);
+            fleet.discovery.startListening();
+            Fleet.awaitTrue("event " + event, () -> Fleet.lastEvent(director) == event);
+            long drainedAt = System.nanoTime();
+            // Hops that waited for a connection to the second node were withdrawn and went elsewhere.
+            Fleet.awaitTrue("a hop is withdrawn",
+                () -> counter(director, counters -> counters.outcomes[Director.NOT_SENT]) >= 1);
+            unresponsive.setUnresponsive(false);
+            try (FakeClients.Client client = new FakeClients.Client(director.port())) {
+                for (int i = 0; i < 40; i++) assertEquals(client.status(100 + i, 10, 17), 200);
+            }
+            for (FakeNode.Arrival arrival : unresponsive.arrivals()) {
+                assertTrue(arrival.nano() < drainedAt, "sent after the drain: " + arrival.line());
             }
-            for (FakeNode.Arrival a : mute.arrivals()) assertTrue(a.nano() < told, "sent after the drain: " + a.line());
-            List<FakeNode.Arrival> after = well.arrivals().stream().filter(a -> a.nano() > told).toList();
+            List<FakeNode.Arrival> after = healthy.arrivals().stream().filter(a -> a.nano() > drainedAt).toList();
             assertTrue(after.size() >= 40);
-            for (FakeNode.Arrival a : after) assertTrue(a.line().contains(",fresh="), "a purge bounds ages: " + a.line());
-            for (FakeClients.Client c : open) c.close();
+            for (FakeNode.Arrival arrival : after) {
+                assertTrue(arrival.line().contains(",fresh="), "a purge bounds ages: " + arrival.line());
+            }
+            for (FakeClients.Client client : open) client.close();
         }
     }
 
-    private interface Counted {
-        long of(Counters c);
+    private interface CounterReader {
+        long of(Counters counters);
     }
 
-    private static int counted(DirectorServer d, Counted what) {
-        d.dispatcher().enter();
+    private static int counter(DirectorServer director, CounterReader what) {
+        director.dispatcher().enter();
         try {
-            return (int) what.of(d.dispatcher().counters);
+            return (int) what.of(director.dispatcher().counters);
         } finally {
-            d.dispatcher().leave();
+            director.dispatcher().leave();
         }
     }
 
-    /** One listed box is gone, another's address is answered by a box of another id: discovery then tells which. */
-    @Test public void aListedBoxIsGoneAnotherReplaced() throws Exception {
-        try (Fleet f = new Fleet(3)) {
-            f.writeSnapshot("d1", HOUR, 0, List.of(), f.all());
-            FakeNode gone = f.caches.get(0).stop(), was = f.caches.get(1);
-            FakeNode other = f.closeWithFleet(was.replacedBy(77, System.currentTimeMillis(), System.currentTimeMillis()));
-            DirectorServer d = f.director("d1");
-            try (FakeClients load = new FakeClients(d.port(), 3, 1, 10, 0)) {
-                Fleet.awaitTrue("refused", () -> Fleet.status(d, gone).equals("REFUSED"));
-                Fleet.awaitTrue("answers", () -> Fleet.status(d, was).equals("PROVEN"));
-                Fleet.awaitTrue("tried again", () -> Fleet.status(d, gone).equals("OLD"));
+    /** One listed node is stopped, and another one's address is answered by a node of another id. */
+    @Test public void detectsStoppedAndReplacedNodes() throws Exception {
+        try (Fleet fleet = new Fleet(3)) {
+            fleet.writeSnapshot("d1", HOUR_MS, 0, List.of(), fleet.all());
+            FakeNode stopped = fleet.caches.get(0).stop();
+            FakeNode replaced = fleet.caches.get(1);
+            long startedAt = System.currentTimeMillis();
+            FakeNode replacement = fleet.closeWithFleet(replaced.replacedBy(77, startedAt, startedAt));
+            DirectorServer director = fleet.director("d1");
+            try (FakeClients load = new FakeClients(director.port(), 3, 1, 10, 0)) {
+                Fleet.awaitTrue("refused", () -> Fleet.status(director, stopped).equals("REFUSED"));
+                Fleet.awaitTrue("the replacement answers", () -> Fleet.status(director, replaced).equals("PROVEN"));
+                Fleet.awaitTrue("the stopped node is retried", () -> Fleet.status(director, stopped).equals("OLD"));
                 load.awaitHandled(50);
-                f.discovery.restartNumbering(11);
-                f.discovery.sendSnapshot(f.caches.get(2), other, f.parent, f.origin);
-                f.discovery.startListening();
-                Fleet.awaitTrue("back", () -> Fleet.lastEvent(d) == 11);
-                assertEquals(Fleet.status(d, gone) + Fleet.status(d, was) + Fleet.status(d, other),
-                    "GONEGONETOLD");
-                int before = other.arrivalCount();
-                Fleet.awaitTrue("the new one is used", () -> other.arrivalCount() > before);
+                fleet.discovery.restartNumbering(11);
+                fleet.discovery.sendSnapshot(fleet.caches.get(2), replacement, fleet.parent, fleet.origin);
+                fleet.discovery.startListening();
+                Fleet.awaitTrue("event 11", () -> Fleet.lastEvent(director) == 11);
+                assertEquals(Fleet.status(director, stopped) + Fleet.status(director, replaced)
+                    + Fleet.status(director, replacement), "GONEGONETOLD");
+                int before = replacement.arrivalCount();
+                Fleet.awaitTrue("the replacement is used", () -> replacement.arrivalCount() > before);
                 assertEquals(load.failed.get(), 0);
             }
         }
     }
 
     /**
-     * A box is back cold and would fall over at full traffic; three directors start together, each from its own old
-     * list.
-     * That the stand-in does fall is shown by directors that believe every entry.
+     * A node is back with a cold cache and would fail under full load, while three directors start from old snapshots.
+     * Directors that trust every entry show that the stand-in does fail.
      */
-    @Test public void threeDirectorsSpareAColdBox() throws Exception {
-        assertTrue(pushed(new AgeLimits(3650 * Fleet.DAY_MS, 3650 * Fleet.DAY_MS, 30_000, 1000, 200, 1000, 0.5, 30_000,
-            5000)) > 1, "believing all pushes it over");
-        double most = pushed(Fleet.AGES);
-        assertTrue(most > 0 && most <= 1, "of what it bears: " + most);
+    @Test public void threeDirectorsDoNotOverloadAColdNode() throws Exception {
+        AgeLimits trustEverything = new AgeLimits(3650 * Fleet.DAY_MS, 3650 * Fleet.DAY_MS, 30_000, 1000, 200, 1000,
+            0.5, 30_000, 5000);
+        assertTrue(maxLoadOfColdNode(trustEverything) > 1, "trusting every entry overloads it");
+        double maxLoad = maxLoadOfColdNode(Fleet.AGES);
+        assertTrue(maxLoad > 0 && maxLoad <= 1, "share of the load at which it fails: " + maxLoad);
     }
 
-    private static double pushed(AgeLimits ages) throws Exception {
-        try (Fleet f = new Fleet(2)) {
-            f.configParameters.put("directors", "3");
-            for (String name : List.of("d1", "d2", "d3")) f.writeSnapshot(name, HOUR, 0, List.of(), f.all());
-            FakeNode cold = f.closeWithFleet(f.caches.get(0).replacedBy(1, System.currentTimeMillis(), 0));
+    private static double maxLoadOfColdNode(AgeLimits ages) throws Exception {
+        try (Fleet fleet = new Fleet(2)) {
+            fleet.configParameters.put("directors", "3");
+            for (String name : List.of("d1", "d2", "d3")) fleet.writeSnapshot(name, HOUR_MS, 0, List.of(), fleet.all());
+            FakeNode cold = fleet.closeWithFleet(fleet.caches.get(0).replacedBy(1, System.currentTimeMillis(), 0));
             List<FakeClients> load = new ArrayList<>();
             for (String name : List.of("d1", "d2", "d3")) {
-                load.add(new FakeClients(f.director(name, f.membershipSettings(name, ages)).port(), 4, 2, 1000,
+                load.add(new FakeClients(fleet.director(name, fleet.membershipSettings(name, ages)).port(), 4, 2, 1000,
                     1000 * load.size()));
             }
-            for (FakeClients c : load) c.awaitHandled(20);
-            long until = System.nanoTime() + 3_000_000_000L;        // two spans of the rule
-            while (System.nanoTime() < until && !cold.overloaded()) Thread.onSpinWait();
-            for (FakeClients c : load) c.close();
+            for (FakeClients clients : load) clients.awaitHandled(20);
+            long deadline = System.nanoTime() + 3_000_000_000L;     // two windows of the stand-in's load rule
+            while (System.nanoTime() < deadline && !cold.overloaded()) Thread.onSpinWait();
+            for (FakeClients clients : load) clients.close();
             return cold.maxLoadShare();
         }
     }
 
-    /** Two directors with one file: the second says so, and serves without writing. */
-    @Test public void theSecondDoesNotWrite() throws Exception {
-        try (Fleet f = new Fleet(1)) {
-            f.discovery.sendSnapshot(f.all());
-            f.discovery.startListening();
-            DirectorServer first = f.director("d1");
-            Fleet.awaitTrue("kept", () -> kept(f, "d1") != null);
-            DirectorServer second = f.director("d1");
-            Fleet.awaitTrue("told", () -> Fleet.lastEvent(second) == 1 && Fleet.lastEvent(first) == 1);
-            long event = f.discovery.sendChanges(FakeDiscovery.DRAINING, f.caches.get(0));
-            Fleet.awaitTrue("both", () -> Fleet.lastEvent(second) == event && kept(f, "d1").lastEvent() == event);
+    /** Two directors share a file: the second one serves without writing it. */
+    @Test public void secondDirectorDoesNotWriteTheFile() throws Exception {
+        try (Fleet fleet = new Fleet(1)) {
+            fleet.discovery.sendSnapshot(fleet.all());
+            fleet.discovery.startListening();
+            DirectorServer first = fleet.director("d1");
+            Fleet.awaitTrue("stored", () -> storedSnapshot(fleet, "d1") != null);
+            DirectorServer second = fleet.director("d1");
+            Fleet.awaitTrue("event 1", () -> Fleet.lastEvent(second) == 1 && Fleet.lastEvent(first) == 1);
+            long event = fleet.discovery.sendChanges(FakeDiscovery.DRAINING, fleet.caches.get(0));
+            Fleet.awaitTrue("both have the event",
+                () -> Fleet.lastEvent(second) == event && storedEvent(fleet, "d1") == event);
             assertEquals(second.persistentMembership().writesCompleted, 0);
             assertTrue(first.persistentMembership().writesCompleted > 0);
         }
     }
 
-    /** Where nothing can be written, and where what rests there can't be used, it serves all the same and says so. */
-    @Test public void aFileOfNoUseNeverStopsIt() throws Exception {
-        try (Fleet f = new Fleet(1)) {
-            f.discovery.sendSnapshot(f.all());
-            f.discovery.startListening();
-            Path whole = f.writeSnapshot("d0", 60_000, 0, List.of(), f.all());
+    /** A director serves and counts the failure where its snapshot can't be read or written. */
+    @Test public void servesWithAnUnusableSnapshotFile() throws Exception {
+        try (Fleet fleet = new Fleet(1)) {
+            fleet.discovery.sendSnapshot(fleet.all());
+            fleet.discovery.startListening();
+            Path whole = fleet.writeSnapshot("d0", 60_000, 0, List.of(), fleet.all());
             byte[] torn = java.util.Arrays.copyOf(Files.readAllBytes(whole), 90);
             Object[][] cases = {{"torn", torn}, {"empty", new byte[0]}, {"other_director", Files.readAllBytes(whole)},
                 {"not_a_list", "no list, but some text".repeat(3).getBytes()}};
             for (int i = 0; i < cases.length; i++) {
                 String name = "d" + (10 + i);
-                Files.write(f.snapshotFile(name), (byte[]) cases[i][1]);
-                DirectorServer d = f.director(name);
-                assertTrue(d.persistentMembership().counterLine().contains(", refused " + cases[i][0] + " 1"), d.persistentMembership().counterLine());
-                Fleet.awaitTrue("told", () -> Fleet.lastEvent(d) == 1);
-                Fleet.awaitTrue("written anew", () -> kept(f, name) != null);
+                Files.write(fleet.snapshotFile(name), (byte[]) cases[i][1]);
+                DirectorServer director = fleet.director(name);
+                String line = director.persistentMembership().counterLine();
+                assertTrue(line.contains(", refused " + cases[i][0] + " 1"), line);
+                Fleet.awaitTrue("event 1", () -> Fleet.lastEvent(director) == 1);
+                Fleet.awaitTrue("the snapshot is replaced", () -> storedSnapshot(fleet, name) != null);
             }
-            Files.createDirectory(f.snapshotFile("d2"));
-            DirectorServer folder = f.director("d2");
-            assertTrue(folder.persistentMembership().counterLine().contains(", refused unreadable 1"), folder.persistentMembership().counterLine());
-            DirectorServer nowhere = f.director("d3", new MembershipSettings(f.directory.resolve("none").resolve("list"),
-                "fleet", Fleet.AGES, 100, 1000));
-            for (DirectorServer d : List.of(folder, nowhere)) {
-                Fleet.awaitTrue("told", () -> Fleet.lastEvent(d) == 1);
-                Fleet.awaitTrue("says so", () -> d.persistentMembership().writesFailed > 0);
-                try (FakeClients.Client c = new FakeClients.Client(d.port())) {
-                    assertEquals(c.status(1, 10, 3), 200);
+            Files.createDirectory(fleet.snapshotFile("d2"));
+            DirectorServer overDirectory = fleet.director("d2");
+            String directoryLine = overDirectory.persistentMembership().counterLine();
+            assertTrue(directoryLine.contains(", refused unreadable 1"), directoryLine);
+            Path unwritable = fleet.directory.resolve("none").resolve("list");
+            DirectorServer withoutDirectory = fleet.director("d3",
+                new MembershipSettings(unwritable, "fleet", Fleet.AGES, 100, 1000));
+            for (DirectorServer director : List.of(overDirectory, withoutDirectory)) {
+                Fleet.awaitTrue("event 1", () -> Fleet.lastEvent(director) == 1);
+                Fleet.awaitTrue("the failed write is counted", () -> director.persistentMembership().writesFailed > 0);
+                try (FakeClients.Client client = new FakeClients.Client(director.port())) {
+                    assertEquals(client.status(1, 10, 3), 200);
                 }
             }
         }
     }
 
-    /** A full disk: nothing is lost but the newest writes, and it is written again when there is room. */
-    @Test public void aFullDiskIsTriedAgain() throws Exception {
-        try (Fleet f = new Fleet(1)) {
-            f.discovery.sendSnapshot(f.all());
-            f.discovery.startListening();
+    /** Writes that fail on a full disk are counted and repeated until there is room. */
+    @Test public void retriesWritesOnAFullDisk() throws Exception {
+        try (Fleet fleet = new Fleet(1)) {
+            fleet.discovery.sendSnapshot(fleet.all());
+            fleet.discovery.startListening();
             AtomicInteger tries = new AtomicInteger();
-            SnapshotFileStore disk = new SnapshotFileStore(f.snapshotFile("d1"), "fleet", "d1");
+            SnapshotFileStore disk = new SnapshotFileStore(fleet.snapshotFile("d1"), "fleet", "d1");
             SnapshotStore full = new SnapshotStore() {
                 @Override public SnapshotFormat.Result read(double now, double skew) {
                     return disk.read(now, skew);
@@ -277,162 +299,175 @@
                     disk.close();
                 }
             };
-            DirectorServer d = new DirectorServer(f.startupConfig("d1"), f.membershipSettings("d1", Fleet.AGES), full);
-            f.directors.add(d);
-            d.start();
-            Fleet.awaitTrue("written at last", () -> kept(f, "d1") != null && d.persistentMembership().writesCompleted > 0);
-            assertEquals(d.persistentMembership().writesFailed, 2);
-            assertEquals(tries.get(), 2 + (int) d.persistentMembership().writesCompleted);
+            DirectorServer director = new DirectorServer(fleet.startupConfig("d1"),
+                fleet.membershipSettings("d1", Fleet.AGES), full);
+            fleet.directors.add(director);
+            director.start();
+            Fleet.awaitTrue("a write succeeds", () -> storedSnapshot(fleet, "d1") != null
+                && director.persistentMembership().writesCompleted > 0);
+            assertEquals(director.persistentMembership().writesFailed, 2);
+            assertEquals(tries.get(), 2 + (int) director.persistentMembership().writesCompleted);
         }
     }
 
-    /** Killed and started anew: the drain and the purge it was told of still hold, with discovery away. */
-    @Test public void whatWasToldOutlivesTheKill() throws Exception {
-        try (Fleet f = new Fleet(2)) {
-            f.discovery.sendSnapshot(f.all());
-            f.discovery.startListening();
-            DirectorServer d = f.director("d1");
-            Fleet.awaitTrue("told", () -> Fleet.lastEvent(d) == 1);
+    /** A director that is killed and restarted without discovery still applies the drain and the purge. */
+    @Test public void drainAndPurgeSurviveAKill() throws Exception {
+        try (Fleet fleet = new Fleet(2)) {
+            fleet.discovery.sendSnapshot(fleet.all());
+            fleet.discovery.startListening();
+            DirectorServer director = fleet.director("d1");
+            Fleet.awaitTrue("event 1", () -> Fleet.lastEvent(director) == 1);
             long now = System.currentTimeMillis();
-            f.discovery.sendChanges(FakeDiscovery.DRAINING, f.caches.get(0));
-            long event = f.discovery.sendPurge(17, now);
-            long told = System.nanoTime();
-            Fleet.awaitTrue("on disk", () -> kept(f, "d1") != null && kept(f, "d1").lastEvent() == event);
-            double took = (System.nanoTime() - told) / 1e6;
-            f.discovery.stopListening();
-            f.directors.remove(d);
-            d.release();
-            DirectorServer again = f.director("d1");
-            assertEquals(Fleet.status(again, f.caches.get(0)), "DRAINING");
-            try (FakeClients.Client c = new FakeClients.Client(again.port())) {
-                for (int i = 0; i < 20; i++) assertEquals(c.status(i, 10, 17), 200);
+            fleet.discovery.sendChanges(FakeDiscovery.DRAINING, fleet.caches.get(0));
+            long event = fleet.discovery.sendPurge(17, now);
+            long purgedAt = System.nanoTime();
+            Fleet.awaitTrue("on disk", () -> storedEvent(fleet, "d1") == event);
+            double tookMs = (System.nanoTime() - purgedAt) / 1e6;
+            fleet.discovery.stopListening();
+            fleet.directors.remove(director);
+            director.release();
+            DirectorServer again = fleet.director("d1");
+            assertEquals(Fleet.status(again, fleet.caches.get(0)), "DRAINING");
+            try (FakeClients.Client client = new FakeClients.Client(again.port())) {
+                for (int i = 0; i < 20; i++) assertEquals(client.status(i, 10, 17), 200);
+            }
+            assertEquals(fleet.caches.get(0).arrivalCount(), 0);
+            for (FakeNode.Arrival arrival : fleet.caches.get(1).arrivals()) {
+                assertTrue(arrival.line().contains(",fresh="), arrival.line());
             }
-            assertEquals(f.caches.get(0).arrivalCount(), 0);
-            for (FakeNode.Arrival a : f.caches.get(1).arrivals()) assertTrue(a.line().contains(",fresh="), a.line());
-            assertTrue(took < 1000, "on disk after " + took);
+            assertTrue(tookMs < 1000, "on disk after ms: " + tookMs);
         }
     }
 
-    /** An end by SIGTERM leaves the newest state; a list that rested long is used cautiously, one hop at a time. */
-    @Test public void anUnsureBoxGetsOneHopAtATime() throws Exception {
-        try (Fleet f = new Fleet(1)) {
-            f.writeSnapshot("d1", HOUR, 0, List.of(), f.all());
-            FakeNode b = f.caches.get(0);
-            b.setUnresponsive(true);
-            DirectorServer d = f.director("d1");
+    /** A node from an old snapshot that has not answered yet gets one hop at a time; other lookups are rejected. */
+    @Test public void oldNodeGetsOneHopAtATime() throws Exception {
+        try (Fleet fleet = new Fleet(1)) {
+            fleet.writeSnapshot("d1", HOUR_MS, 0, List.of(), fleet.all());
+            FakeNode node = fleet.caches.get(0);
+            node.setUnresponsive(true);
+            DirectorServer director = fleet.director("d1");
             List<FakeClients.Client> open = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                open.add(new FakeClients.Client(d.port()));
+                open.add(new FakeClients.Client(director.port()));
                 open.get(i).send(i, 10, 3);
             }
-            for (int i = 1; i < 10; i++) assertEquals(open.get(i).status(), 503, "turned away at once");
-            Fleet.awaitTrue("the one", () -> b.arrivalCount() > 0);
-            assertEquals(b.arrivalCount(), 1);
-            for (FakeClients.Client c : open) c.close();
+            for (int i = 1; i < 10; i++) assertEquals(open.get(i).status(), 503, "rejected at once");
+            Fleet.awaitTrue("one arrival", () -> node.arrivalCount() > 0);
+            assertEquals(node.arrivalCount(), 1);
+            for (FakeClients.Client client : open) client.close();
         }
     }
 
-    /** With recent ones there, an old one is not asked at all. */
-    @Test public void oldOnesStandBehindRecentOnes() throws Exception {
-        try (Fleet f = new Fleet(2)) {
-            FakeNode old = f.caches.get(0);
-            f.writeSnapshot("d1", 60_000, HOUR, List.of(old), f.all());
-            DirectorServer d = f.director("d1");
-            assertEquals(Fleet.status(d, old), "OLD");
-            try (FakeClients.Client c = new FakeClients.Client(d.port())) {
-                for (int i = 0; i < 40; i++) assertEquals(c.status(i, 10, 3), 200);
+    /** While recent nodes are available, an old one gets no lookups. */
+    @Test public void prefersRecentNodesToOldOnes() throws Exception {
+        try (Fleet fleet = new Fleet(2)) {
+            FakeNode old = fleet.caches.get(0);
+            fleet.writeSnapshot("d1", 60_000, HOUR_MS, List.of(old), fleet.all());
+            DirectorServer director = fleet.director("d1");
+            assertEquals(Fleet.status(director, old), "OLD");
+            try (FakeClients.Client client = new FakeClients.Client(director.port())) {
+                for (int i = 0; i < 40; i++) assertEquals(client.status(i, 10, 3), 200);
             }
             assertEquals(old.arrivalCount(), 0);
-            assertFalse(f.caches.get(1).arrivals().isEmpty());
+            assertFalse(fleet.caches.get(1).arrivals().isEmpty());
         }
     }
 
-    /** The program: SIGHUP takes both files or neither, and the list commands say by their exit what could be used. */
-    public void theProgramTakesBothFilesOrNeither() throws Exception {
-        try (Fleet f = new Fleet(1)) {
-            f.discovery.sendSnapshot(f.all());
-            f.discovery.startListening();
-            Path told = Files.writeString(f.directory.resolve("told.json"), f.startupConfigText("d1"));
-            String list = f.snapshotFile("d1").toString(), part = "{membership: {file: '" + list + "', fleet: 'fleet'%s}}";
-            Path own = Files.writeString(f.directory.resolve("own.jsonnet"), String.format(part, ""));
-            Process p = ServeTest.Outside.program("serve", "--config", told.toString(), "--operators", own.toString());
-            try (var err = p.errorReader()) {
+    /** On SIGHUP the program applies both files or neither; list commands report usable entries by exit status. */
+    public void reloadAppliesBothFilesOrNeither() throws Exception {
+        try (Fleet fleet = new Fleet(1)) {
+            fleet.discovery.sendSnapshot(fleet.all());
+            fleet.discovery.startListening();
+            Path config = Files.writeString(fleet.directory.resolve("told.json"), fleet.startupConfigText("d1"));
+            String list = fleet.snapshotFile("d1").toString();
+            String operators = "{membership: {file: '" + list + "', fleet: 'fleet'%s}}";
+            Path operatorsFile = fleet.directory.resolve("own.jsonnet");
+            Files.writeString(operatorsFile, String.format(operators, ""));
+            Process process = ServeTest.Outside.program("serve", "--config", config.toString(), "--operators",
+                operatorsFile.toString());
+            try (var err = process.errorReader()) {
                 ServeTest.awaitLine(err, ".* serves on .*");
-                Files.writeString(own, String.format(part, ", recent: 5"));
-                ServeTest.hangUp(p, err, "reload: .*recent = 5 is not known; did you mean recent_s.*as it was");
-                Files.writeString(own, String.format(part, ", recent_s: 1, old_s: 100000"));
-                Files.writeString(told, "no json");
-                ServeTest.hangUp(p, err, "reload: .*told.json.*; all stays as it was");
-                Files.writeString(told, f.startupConfigText("d1"));
-                ServeTest.hangUp(p, err, "reload: the file is read anew");
-                f.discovery.setUnresponsive(true);
+                Files.writeString(operatorsFile, String.format(operators, ", recent: 5"));
+                ServeTest.hangUp(process, err, "reload: .*recent = 5 is not known; did you mean recent_s.*as it was");
+                Files.writeString(operatorsFile, String.format(operators, ", recent_s: 1, old_s: 100000"));
+                Files.writeString(config, "no json");
+                ServeTest.hangUp(process, err, "reload: .*told.json.*; all stays as it was");
+                Files.writeString(config, fleet.startupConfigText("d1"));
+                ServeTest.hangUp(process, err, "reload: the file is read anew");
+                fleet.discovery.setUnresponsive(true);
                 ServeTest.awaitLine(err, ".*list: TOLD to OLD.*");
-                Fleet.awaitTrue("kept", () -> kept(f, "d1") != null && kept(f, "d1").lastEvent() == 1);
-                p.destroy();
-                assertEquals(p.waitFor(), 0);
+                Fleet.awaitTrue("stored", () -> storedEvent(fleet, "d1") == 1);
+                process.destroy();
+                assertEquals(process.waitFor(), 0);
             } finally {
-                p.destroyForcibly();
+                process.destroyForcibly();
             }
-            Path old = f.writeSnapshot("d2", 48 * HOUR, 0, List.of(), f.all()), none = f.directory.resolve("none");
-            Path flipped = Files.write(f.directory.resolve("flipped"), "no list, no list, no list".getBytes());
+            Path old = fleet.writeSnapshot("d2", 48 * HOUR_MS, 0, List.of(), fleet.all());
+            Path none = fleet.directory.resolve("none");
+            Path damaged = Files.write(fleet.directory.resolve("flipped"), "no list, no list, no list".getBytes());
             Object[][] cases = {{"verify", list, 0, "usable: recent 3"}, {"verify", old, 1,
                 "nothing usable: too_old 3"},
-                {"verify", none, 3, ""}, {"verify", flipped, 3, ""}, {"show", list, 0,
+                {"verify", none, 3, ""}, {"verify", damaged, 3, ""}, {"show", list, 0,
                     "s-00000001 .* recent .* not long ago"}};
-            for (Object[] c : cases) {
-                ProcessBuilder b = ServeTest.Outside.builder("list", (String) c[0], c[1].toString());
-                Process q = b.redirectOutput(ProcessBuilder.Redirect.PIPE).start();
-                String said = new String(q.getInputStream().readAllBytes());
-                assertEquals(q.waitFor(), c[2], said);
-                assertTrue(said.replace('\n', ' ').matches(".*" + c[3] + ".*"), said);
+            for (Object[] example : cases) {
+                ProcessBuilder builder = ServeTest.Outside.builder("list", (String) example[0], example[1].toString());
+                Process command = builder.redirectOutput(ProcessBuilder.Redirect.PIPE).start();
+                String output = new String(command.getInputStream().readAllBytes());
+                assertEquals(command.waitFor(), example[2], output);
+                assertTrue(output.replace('\n', ' ').matches(".*" + example[3] + ".*"), output);
             }
         }
     }
 
-    /** Restored from an older state, discovery reuses numbers: what was told stays,
-        a drain under a known number still counts. */
-    public void anOlderDiscoveryUndoesNothing() throws Exception {
-        try (Fleet f = new Fleet(3)) {
-            f.discovery.sendSnapshot(f.all());
-            f.discovery.startListening();
-            DirectorServer d = f.director("d1");
-            f.discovery.sendChanges(FakeDiscovery.DRAINING, f.caches.get(0));
-            f.discovery.sendChanges(FakeDiscovery.READY, f.caches.get(2));
-            Fleet.awaitTrue("event 3", () -> Fleet.lastEvent(d) == 3);
-            f.discovery.revertTo(1);
-            f.discovery.closeConnections();
-            Fleet.awaitTrue("is behind", () -> behind(d));
-            f.discovery.sendChanges(FakeDiscovery.READY, f.caches.get(0));          // event 2, which was another one here
-            f.discovery.sendChanges(FakeDiscovery.DRAINING, f.caches.get(1));       // event 3
-            Fleet.awaitTrue("drained", () -> Fleet.status(d, f.caches.get(1)).equals("DRAINING"));
-            assertEquals(Fleet.status(d, f.caches.get(0)), "DRAINING");
-            long event = f.discovery.sendChanges(FakeDiscovery.READY, f.caches.get(0));
-            Fleet.awaitTrue("event 4", () -> Fleet.lastEvent(d) == event);
-            assertEquals(Fleet.status(d, f.caches.get(0)), "TOLD");
+    /**
+     * Discovery restored from an older backup reuses event numbers: known events stay in effect, and a drain under a
+     * number that is already known is still applied.
+     */
+    public void revertedDiscoveryUndoesNothing() throws Exception {
+        try (Fleet fleet = new Fleet(3)) {
+            fleet.discovery.sendSnapshot(fleet.all());
+            fleet.discovery.startListening();
+            DirectorServer director = fleet.director("d1");
+            fleet.discovery.sendChanges(FakeDiscovery.DRAINING, fleet.caches.get(0));
+            fleet.discovery.sendChanges(FakeDiscovery.READY, fleet.caches.get(2));
+            Fleet.awaitTrue("event 3", () -> Fleet.lastEvent(director) == 3);
+            fleet.discovery.revertTo(1);
+            fleet.discovery.closeConnections();
+            Fleet.awaitTrue("discovery is behind", () -> behind(director));
+            // Events 2 and 3, under the numbers of other events that the director knows.
+            fleet.discovery.sendChanges(FakeDiscovery.READY, fleet.caches.get(0));
+            fleet.discovery.sendChanges(FakeDiscovery.DRAINING, fleet.caches.get(1));
+            Fleet.awaitTrue("the drain is applied",
+                () -> Fleet.status(director, fleet.caches.get(1)).equals("DRAINING"));
+            assertEquals(Fleet.status(director, fleet.caches.get(0)), "DRAINING");
+            long event = fleet.discovery.sendChanges(FakeDiscovery.READY, fleet.caches.get(0));
+            Fleet.awaitTrue("event 4", () -> Fleet.lastEvent(director) == event);
+            assertEquals(Fleet.status(director, fleet.caches.get(0)), "TOLD");
         }
     }
 
-    private static boolean behind(DirectorServer d) {
-        d.dispatcher().enter();
+    private static boolean behind(DirectorServer director) {
+        director.dispatcher().enter();
         try {
-            return d.persistentMembership().membership().behind();
+            return director.persistentMembership().membership().behind();
         } finally {
-            d.dispatcher().leave();
+            director.dispatcher().leave();
         }
     }
 
-    /** An empty whole list tells of no drain: all go on being used. */
-    public void anEmptyListTellsNothing() throws Exception {
-        try (Fleet f = new Fleet(2)) {
-            f.discovery.sendSnapshot(f.all());
-            f.discovery.startListening();
-            DirectorServer d = f.director("d1");
-            Fleet.awaitTrue("event 1", () -> Fleet.lastEvent(d) == 1);
-            f.discovery.sendSnapshot();
-            Fleet.awaitTrue("event 2", () -> Fleet.lastEvent(d) == 2);
-            assertTrue(d.persistentMembership().counterLine().contains(", empty 1"), d.persistentMembership().counterLine());
-            try (FakeClients.Client c = new FakeClients.Client(d.port())) {
-                for (int i = 0; i < 10; i++) assertEquals(c.status(i, 10, 3), 200);
+    /** An empty snapshot of discovery drains no node: all remain in use. */
+    public void emptySnapshotRemovesNoNode() throws Exception {
+        try (Fleet fleet = new Fleet(2)) {
+            fleet.discovery.sendSnapshot(fleet.all());
+            fleet.discovery.startListening();
+            DirectorServer director = fleet.director("d1");
+            Fleet.awaitTrue("event 1", () -> Fleet.lastEvent(director) == 1);
+            fleet.discovery.sendSnapshot();
+            Fleet.awaitTrue("event 2", () -> Fleet.lastEvent(director) == 2);
+            String line = director.persistentMembership().counterLine();
+            assertTrue(line.contains(", empty 1"), line);
+            try (FakeClients.Client client = new FakeClients.Client(director.port())) {
+                for (int i = 0; i < 10; i++) assertEquals(client.status(i, 10, 3), 200);
             }
         }
     }
--- a/src/test/java/mothcross/net/RoutesTest.java
+++ b/src/test/java/mothcross/net/RoutesTest.java
@@ -10,7 +10,7 @@
 import mothcross.standin.FakeNode;
 import org.testng.annotations.Test;
 
-/** Routes in a real director on sockets: what clients get, where lookups go, and tables exchanged under load. */
+/** Routing rules in a director on sockets: answers to clients, placement of lookups, and reloads under load. */
 @Test(timeOut = 60_000)
 public class RoutesTest {
     private static RouteRules rules(RouteRules.Rule... all) {
@@ -25,114 +25,123 @@
 
     /** The answer's head to a request with these header lines. */
     private static String ask(int port, String target, String headers) throws Exception {
-        try (java.net.Socket s = new java.net.Socket("127.0.0.1", port)) {
-            s.setSoTimeout(8000);
-            s.getOutputStream().write(("GET " + target + " HTTP/1.1\r\nReq-Id: " + String.format("%016x",
+        try (java.net.Socket socket = new java.net.Socket("127.0.0.1", port)) {
+            socket.setSoTimeout(8000);
+            socket.getOutputStream().write(("GET " + target + " HTTP/1.1\r\nReq-Id: " + String.format("%016x",
                 System.nanoTime())
                 + "\r\n" + headers + "Connection: close\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
-            return new String(s.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         }
     }
 
-    public void clientsGetWhatTheRulesSay() throws Exception {
-        try (Fleet f = new Fleet(3)) {
-            DirectorServer d = f.directorWithRoutes("d1", rules(rule("shut", "starts(object, 'ff')", null, -1, 403, null),
+    public void appliesRulesToRequests() throws Exception {
+        try (Fleet fleet = new Fleet(3)) {
+            DirectorServer director = fleet.directorWithRoutes("d1", rules(
+                rule("shut", "starts(object, 'ff')", null, -1, 403, null),
                 rule("one", "starts(object, 'aa')", "first(object, 2)", -1, 0, null),
                 rule("held", "(header('X-Office') ?? '') != ''", null, -1, 0,
                     new RouteRules.RateLimit("header('X-Office') ?? ''", 0.5, 2, 64))));
-            assertTrue(ask(d.port(), "/api/v2/books/ff01", "").startsWith("HTTP/1.1 403 "));
-            for (int i = 0; i < 12; i++) assertTrue(ask(d.port(), "/api/v2/books/aa" + i,
+            assertTrue(ask(director.port(), "/api/v2/books/ff01", "").startsWith("HTTP/1.1 403 "));
+            for (int i = 0; i < 12; i++) assertTrue(ask(director.port(), "/api/v2/books/aa" + i,
                 "").startsWith("HTTP/1.1 200 "));
-            Set<String> asked = new HashSet<>();
-            for (FakeNode b : f.caches) for (FakeNode.Arrival a : b.arrivals()) asked.add(b.id() + " "
-                + a.line().replaceAll(".*via=|,tier.*", ""));
-            assertEquals(asked.size(), 1, "twelve objects of one key, one cache and one parent: " + asked);
-            for (FakeNode b : f.caches) for (FakeNode.Arrival a : b.arrivals()) assertTrue(a.line().contains("asset=aa"),
-                "sent unchanged");
-            for (int i = 0; i < 2; i++) assertTrue(ask(d.port(), "/api/v2/books/01",
+            Set<String> placements = new HashSet<>();
+            for (FakeNode node : fleet.caches) {
+                for (FakeNode.Arrival arrival : node.arrivals()) {
+                    placements.add(node.id() + " " + arrival.line().replaceAll(".*via=|,tier.*", ""));
+                }
+            }
+            assertEquals(placements.size(), 1, "twelve objects of one key, one cache and one parent: " + placements);
+            for (FakeNode node : fleet.caches) {
+                for (FakeNode.Arrival arrival : node.arrivals()) {
+                    assertTrue(arrival.line().contains("asset=aa"), "sent unchanged");
+                }
+            }
+            for (int i = 0; i < 2; i++) assertTrue(ask(director.port(), "/api/v2/books/01",
                 "X-Office: muc\r\n").startsWith("HTTP/1.1 200 "));
-            String held = ask(d.port(), "/api/v2/books/01", "x-office: muc\r\n");
-            assertTrue(held.startsWith("HTTP/1.1 429 ") && held.contains("Srv-Wait-Ms: 1000\r\n"), held);
-            assertTrue(ask(d.port(), "/api/v2/books/01", "X-Office: lech\r\n").startsWith("HTTP/1.1 200 "));
-            assertTrue(ask(d.port(), "/api/v2/books/01", "X-Office: " + "x".repeat(17)
+            String limited = ask(director.port(), "/api/v2/books/01", "x-office: muc\r\n");
+            assertTrue(limited.startsWith("HTTP/1.1 429 ") && limited.contains("Srv-Wait-Ms: 1000\r\n"), limited);
+            assertTrue(ask(director.port(), "/api/v2/books/01", "X-Office: lech\r\n").startsWith("HTTP/1.1 200 "));
+            assertTrue(ask(director.port(), "/api/v2/books/01", "X-Office: " + "x".repeat(17)
                 + "\r\n").startsWith("HTTP/1.1 431 "));
-            assertTrue(ask(d.port(), "/api/v2/books/01",
+            assertTrue(ask(director.port(), "/api/v2/books/01",
                 "X-Office: muc\r\nX-Office: lech\r\n").startsWith("HTTP/1.1 429 "),
                 "the first of two counts");
-            assertTrue(ask(d.port(), "/api/v2/books/01", "X-Office: \u00ff\t\u0080\r\n").startsWith("HTTP/1.1 200 "));
+            assertTrue(ask(director.port(), "/api/v2/books/01", "X-Office: \u00ff\t\u0080\r\n")
+                .startsWith("HTTP/1.1 200 "));
         }
     }
 
-    /** No further hop where a rule takes them all: the failure of the first is the end. */
-    public void furtherHopsAreNarrowed() throws Exception {
-        try (Fleet f = new Fleet(2)) {
-            DirectorServer d = f.directorWithRoutes("d1", rules(rule("none", "true", "'x'", 0, 0, null)));
-            assertTrue(ask(d.port(), "/api/v2/books/01", "").startsWith("HTTP/1.1 200 "));
-            FakeNode first = f.caches.get(0).arrivalCount() > 0 ? f.caches.get(0) : f.caches.get(1);
+    /** A rule without further hops: the lookup fails with its first hop. */
+    public void failsWithTheFirstHopWhereARuleAllowsNoOther() throws Exception {
+        try (Fleet fleet = new Fleet(2)) {
+            DirectorServer director = fleet.directorWithRoutes("d1", rules(rule("none", "true", "'x'", 0, 0, null)));
+            assertTrue(ask(director.port(), "/api/v2/books/01", "").startsWith("HTTP/1.1 200 "));
+            boolean firstWasAsked = fleet.caches.get(0).arrivalCount() > 0;
+            FakeNode first = firstWasAsked ? fleet.caches.get(0) : fleet.caches.get(1);
             first.stop();
-            long hopsBefore = hops(d);
-            String answer = ask(d.port(), "/api/v2/books/01", "");
+            long hopsBefore = hops(director);
+            String answer = ask(director.port(), "/api/v2/books/01", "");
             assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
-            assertEquals(hops(d) - hopsBefore, 1, "hops made for the second request");
-            assertEquals(f.caches.get(0).arrivalCount() + f.caches.get(1).arrivalCount(), 1);
+            assertEquals(hops(director) - hopsBefore, 1, "hops made for the second request");
+            assertEquals(fleet.caches.get(0).arrivalCount() + fleet.caches.get(1).arrivalCount(), 1);
         }
     }
 
-    private static long hops(DirectorServer d) {
-        d.dispatcher().enter();
+    private static long hops(DirectorServer director) {
+        director.dispatcher().enter();
         try {
-            return d.dispatcher().counters.hops;
+            return director.dispatcher().counters.hops;
         } finally {
-            d.dispatcher().leave();
+            director.dispatcher().leave();
         }
     }
 
     /**
-     * A hundred tables, valid and refused in turn, under load: one final answer each, served by the one table and
-     * refused by the other, never by a rule that neither reaches. That no lookup meets two tables rests on the one
-     * reference that is exchanged under the desk's lock; not every table half exchanged would show here.
+     * A hundred reloads under load, with valid and invalid tables in turn: each request gets one final answer, is
+     * served under one table and rejected under the other, and never by a rule that neither table reaches. A table
+     * is swapped as one reference under the dispatcher's lock; this test would not show every partial swap.
      */
-    public void tablesAreExchangedUnderLoad() throws Exception {
-        try (Fleet f = new Fleet(2)) {
-            RouteRules a = rules(rule("even", "starts(object, '0000')", null, -1, 403, null),
+    public void reloadsTablesUnderLoad() throws Exception {
+        try (Fleet fleet = new Fleet(2)) {
+            RouteRules rejectsEven = rules(rule("even", "starts(object, '0000')", null, -1, 403, null),
                 rule("odd", "true", "'k'", 1, 0, null));
-            RouteRules b = rules(rule("even", "starts(object, '0000')", null, -1, 0, null),
+            RouteRules servesEven = rules(rule("even", "starts(object, '0000')", null, -1, 0, null),
                 rule("odd", "true", null, -1, 404, null));
-            RouteRules bad = rules(rule("even", "starts(object, 7)", null, -1, 0, null), rule("odd",
+            RouteRules invalid = rules(rule("even", "starts(object, 7)", null, -1, 0, null), rule("odd",
                 "contains(target, 'x')", null, -1, 0, null));
-            DirectorServer d = f.directorWithRoutes("d1", a);
-            StartupConfig told = f.startupConfig("d1");
-            try (FakeClients load = new FakeClients(d.port(), 6, 0, 10, 0)) {
+            DirectorServer director = fleet.directorWithRoutes("d1", rejectsEven);
+            StartupConfig config = fleet.startupConfig("d1");
+            try (FakeClients load = new FakeClients(director.port(), 6, 0, 10, 0)) {
                 load.awaitHandled(0);
                 Fleet.awaitTrue("asked", () -> load.asked.get() > 100);
                 for (int i = 0; i < 100; i++) {
-                    RouteRules next = i % 3 == 2 ? bad : i % 3 == 1 ? b : a;
-                    String fault = "";
+                    RouteRules next = i % 3 == 2 ? invalid : i % 3 == 1 ? servesEven : rejectsEven;
+                    String error = "";
                     try {
-                        d.reload(told, f.membershipSettings("d1", Fleet.AGES), next);
+                        director.reload(config, fleet.membershipSettings("d1", Fleet.AGES), next);
                     } catch (StartupConfig.InvalidConfigException e) {
-                        fault = e.getMessage();
+                        error = e.getMessage();
                     }
-                    assertEquals(fault.contains("rules[0].match") && fault.contains("rules[1].match"), next == bad,
-                        "all faults: " + fault);
+                    assertEquals(error.contains("rules[0].match") && error.contains("rules[1].match"), next == invalid,
+                        "all errors: " + error);
                     int asked = load.asked.get();
                     Fleet.awaitTrue("more are asked", () -> load.asked.get() >= asked + 20);
                 }
                 // Objects are numbered from 0 in eight digits, so all begin with 0000 until 65,536 were asked.
-                assertEquals(load.refused.get(), 0, "neither table turns anything away for load");
+                assertEquals(load.refused.get(), 0, "neither table rejects for load");
                 assertTrue(load.handled.get() > 100 && load.failed.get() > 100, load.handled + " " + load.failed);
-                String line = d.dispatcher().activeRoutes.line();
+                String line = director.dispatcher().activeRoutes.line();
                 assertTrue(line.contains("even ") && !line.contains("odd "), line);
             }
-            for (String c : List.of("faults", "broken", "unanswered")) {
-                assertEquals(Counters.class.getDeclaredField(c).getLong(d.dispatcher().counters), 0, c);
+            for (String counter : List.of("faults", "broken", "unanswered")) {
+                long value = Counters.class.getDeclaredField(counter).getLong(director.dispatcher().counters);
+                assertEquals(value, 0, counter);
             }
         }
     }
 
-    /** The program: a table with its costs, faults with carets, what takes a request,
-        and the shell on its own loader. */
-    public void theProgramExplains() throws Exception {
+    /** The expr commands: costs of a table, errors with carets, the rule of a request, and the shell's class loader. */
+    public void exprCommandsExplainRulesAndErrors() throws Exception {
         java.nio.file.Path dir = java.nio.file.Files.createTempDirectory("mothcross");
         String good = "{routes: {rules: [{name: 'a', match: \"starts(object, '0a')\", "
             + "key: 'first(object, 1)', hops: 1}]}}";
@@ -154,16 +163,16 @@
                 "1 + 2\nheader('X') == 'a'\n:header X: 7\nheader('X') ?? ''\n:quit\n",
                 List.of("expr", "shell")},
         };
-        for (Object[] c : cases) {
-            List<?> args = (List<?>) c[3];
-            Process p = ServeTest.Outside.builder(args.toArray(String[]::new)).redirectErrorStream(true)
+        for (Object[] example : cases) {
+            List<?> args = (List<?>) example[3];
+            Process process = ServeTest.Outside.builder(args.toArray(String[]::new)).redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.PIPE).start();
-            try (java.io.OutputStream in = p.getOutputStream()) {
-                in.write(((String) c[2]).getBytes(StandardCharsets.UTF_8));
+            try (java.io.OutputStream in = process.getOutputStream()) {
+                in.write(((String) example[2]).getBytes(StandardCharsets.UTF_8));
             }
-            String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertEquals(p.waitFor(), c[0], args + said);
-            assertTrue(said.replace('\n', ' ').matches((String) c[1]), args + said);
+            String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            assertEquals(process.waitFor(), example[0], args + output);
+            assertTrue(output.replace('\n', ' ').matches((String) example[1]), args + output);
         }
     }
 }
