--- a/src/test/java/mothcross/net/KilledTest.java
+++ b/src/test/java/mothcross/net/KilledTest.java
@@ -100,8 +100,9 @@
             for (Map.Entry<Long, Long> sent : fleet.discovery.sentAtNanos.entrySet()) {
                 if (killedAt - sent.getValue() <= WRITE_DELAY_MS * 1e6) continue;
                 dueEvents++;
+                double sentBeforeMs = (killedAt - sent.getValue()) / 1e6;
                 assertTrue(snapshot.lastEvent() >= sent.getKey(), "seed " + seed + ": event " + sent.getKey()
-                    + ", sent " + (killedAt - sent.getValue()) / 1e6 + " ms before the kill, is not on disk; the last is "
+                    + ", sent " + sentBeforeMs + " ms before the kill, is not on disk; the last is "
                     + snapshot.lastEvent());
             }
             Map<String, Integer> stored = new TreeMap<>();
--- a/src/test/java/mothcross/net/MeasureMembership.java
+++ b/src/test/java/mothcross/net/MeasureMembership.java
@@ -1,5 +1,7 @@
 package mothcross.net;
 
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParser;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.*;
@@ -18,13 +20,13 @@
 import org.pcollections.HashTreePMap;
 
 /**
- * The measurements of starting while discovery is down, on loopback and stand-ins: {@code share}, {@code drains},
- * {@code lists}, {@code start [JAR-BEFORE]}. Prints the tables of docs/measured/membership.md. Never part of CI.
+ * Measures starts while discovery is unavailable, on loopback with stand-ins: {@code share}, {@code drains},
+ * {@code lists}, {@code start [JAR-BEFORE]}. Prints the tables of docs/measured/membership.md; not run by CI.
  */
 public final class MeasureMembership {
-    private static final double HOUR = 3_600_000;
-    private static final AgeLimits BELIEVES_ALL = new AgeLimits(3650 * Fleet.DAY_MS, 3650 * Fleet.DAY_MS, 30_000, 1_000_000,
-        200, 1000, 0.5, 30_000, 5000);
+    private static final double HOUR_MS = 3_600_000;
+    private static final AgeLimits TRUST_EVERYTHING = new AgeLimits(3650 * Fleet.DAY_MS, 3650 * Fleet.DAY_MS, 30_000,
+        1_000_000, 200, 1000, 0.5, 30_000, 5000);
 
     private MeasureMembership() { }
 
@@ -43,63 +45,67 @@
         System.exit(0);
     }
 
-    /** A director of this fleet is ready; how many of the lookups of its first 10 s are handled? */
+    /** The share of lookups that are handled in the first 10 s after directors of this fleet have started. */
     private static void share(String only) throws Exception {
-        ExecutorService some = Executors.newFixedThreadPool(3);
+        ExecutorService executor = Executors.newFixedThreadPool(3);
         System.out.println("| withheld | entries | this | no list | believes all | falls over: this, believes all |");
         System.out.println("| --- | --- | --- | --- | --- | --- |");
         List<Future<String>> rows = new ArrayList<>();
         for (String mix : List.of("recent", "old", "mixed, a quarter gone", "old, all back cold")) {
             if (!mix.contains(only)) continue;
-            for (int withheld : new int[] {0, 5, 30, 300}) {
-                rows.add(some.submit(() -> {
-                    double[] ours = run(mix, withheld, Fleet.AGES, true), none = run(mix, withheld, Fleet.AGES, false),
-                        all = run(mix, withheld, BELIEVES_ALL, true);
-                    return String.format(Locale.ROOT, "| %d s | %s | %.3f | %.3f | %.3f | %.0f, %.0f |", withheld,
-                        mix, ours[0],
-                        none[0], all[0], ours[1], all[1]);
+            for (int withheldS : new int[] {0, 5, 30, 300}) {
+                rows.add(executor.submit(() -> {
+                    double[] usual = run(mix, withheldS, Fleet.AGES, true);
+                    double[] withoutList = run(mix, withheldS, Fleet.AGES, false);
+                    double[] trusting = run(mix, withheldS, TRUST_EVERYTHING, true);
+                    return String.format(Locale.ROOT, "| %d s | %s | %.3f | %.3f | %.3f | %.0f, %.0f |", withheldS,
+                        mix, usual[0], withoutList[0], trusting[0], usual[1], trusting[1]);
                 }));
             }
         }
         for (Future<String> row : rows) System.out.println(row.get());
-        some.shutdown();
+        executor.shutdown();
     }
 
-    private static double[] run(String mix, int withheld, AgeLimits ages, boolean list) throws Exception {
-        try (Fleet f = new Fleet(8)) {
-            f.configParameters.put("directors", "2");
+    /** The share of handled lookups, and the number of cold nodes that failed under load. */
+    private static double[] run(String mix, int withheldS, AgeLimits ages, boolean withList) throws Exception {
+        try (Fleet fleet = new Fleet(8)) {
+            fleet.configParameters.put("directors", "2");
             boolean mixed = mix.startsWith("mixed");
-            List<FakeNode> old = mixed ? f.caches.subList(0, 4) : List.of();
-            double age = mix.startsWith("old") ? HOUR : 60_000;
+            List<FakeNode> old = mixed ? fleet.caches.subList(0, 4) : List.of();
+            double age = mix.startsWith("old") ? HOUR_MS : 60_000;
             List<String> names = List.of("d1", "d2");
-            if (list) for (String n : names) f.writeSnapshot(n, age, HOUR, old, f.all());
-            List<FakeNode> there = new ArrayList<>(List.of(f.all()));
+            if (withList) for (String name : names) fleet.writeSnapshot(name, age, HOUR_MS, old, fleet.all());
+            List<FakeNode> listed = new ArrayList<>(List.of(fleet.all()));
             if (mixed) {
-                there.remove(f.caches.get(0).stop());
-                there.remove(f.caches.get(4).stopAnsweringConnects());
+                listed.remove(fleet.caches.get(0).stop());
+                listed.remove(fleet.caches.get(4).stopAnsweringConnects());
             }
             List<FakeNode> cold = new ArrayList<>();
             if (mix.endsWith("cold")) {
-                for (FakeNode b : f.caches) {
+                for (FakeNode node : fleet.caches) {
                     double now = System.currentTimeMillis();
-                    cold.add(f.closeWithFleet(b.replacedBy(b.number(), now, (long) now).setLookupSize(250)));
-                    there.set(there.indexOf(b), cold.get(cold.size() - 1));
+                    cold.add(fleet.closeWithFleet(node.replacedBy(node.number(), now, (long) now).setLookupSize(250)));
+                    listed.set(listed.indexOf(node), cold.get(cold.size() - 1));
                 }
             }
-            f.discovery.restartNumbering(11);
-            f.discovery.sendSnapshot(there.toArray(FakeNode[]::new));
-            if (withheld == 0) f.discovery.startListening();
+            fleet.discovery.restartNumbering(11);
+            fleet.discovery.sendSnapshot(listed.toArray(FakeNode[]::new));
+            if (withheldS == 0) fleet.discovery.startListening();
             List<FakeClients> load = new ArrayList<>();
-            for (String n : names) load.add(new FakeClients(f.director(n, f.membershipSettings(n, ages)).port(), 6, 10, 250,
-                5000 * load.size()));
-            long begun = System.nanoTime();
-            boolean open = withheld == 0;
-            for (long t; (t = System.nanoTime() - begun) < 10_000_000_000L; Thread.sleep(5)) {
-                if (open || t < withheld * 1_000_000_000L) continue;
-                f.discovery.startListening();
+            for (String name : names) {
+                DirectorServer director = fleet.director(name, fleet.membershipSettings(name, ages));
+                load.add(new FakeClients(director.port(), 6, 10, 250, 5000 * load.size()));
+            }
+            long startedAt = System.nanoTime();
+            boolean open = withheldS == 0;
+            for (long elapsedNs; (elapsedNs = System.nanoTime() - startedAt) < 10_000_000_000L; Thread.sleep(5)) {
+                if (open || elapsedNs < withheldS * 1_000_000_000L) continue;
+                fleet.discovery.startListening();
                 open = true;
             }
-            double handled = 0, asked = 0;
+            double handled = 0;
+            double asked = 0;
             for (FakeClients c : load) {
                 handled += c.handled.get();
                 asked += c.handled.get() + c.refused.get() + c.failed.get();
@@ -109,38 +115,37 @@
         }
     }
 
-    /** From when a drain had been written to the director to the last lookup that came to the box. */
+    /** The time from sending a drain to the director until the last lookup that arrives at the node. */
     private static void drains(int n) throws Exception {
-        try (Fleet f = new Fleet(4)) {
-            f.discovery.sendSnapshot(f.all());
-            f.discovery.startListening();
-            DirectorServer d = f.director("d1");
-            double[] last = new double[n];
+        try (Fleet fleet = new Fleet(4)) {
+            fleet.discovery.sendSnapshot(fleet.all());
+            fleet.discovery.startListening();
+            DirectorServer d = fleet.director("d1");
+            double[] lastArrivalMs = new double[n];
             int sentAfter = 0;
             try (FakeClients load = new FakeClients(d.port(), 8, 0, 10, 0)) {
                 load.awaitHandled(2000);
                 for (int i = 0; i < n; i++) {
-                    FakeNode b = f.caches.get(i % 4);
-                    long event = f.discovery.sendChanges(FakeDiscovery.DRAINING, b);
-                    long told = f.discovery.sentAtNanos.get(event);
+                    FakeNode node = fleet.caches.get(i % 4);
+                    long event = fleet.discovery.sendChanges(FakeDiscovery.DRAINING, node);
+                    long sentAt = fleet.discovery.sentAtNanos.get(event);
                     Fleet.awaitTrue("event", () -> Fleet.lastEvent(d) == event);
                     Thread.sleep(30);
-                    List<FakeNode.Arrival> all = b.arrivals();
-                    double late = all.isEmpty() ? 0 : (all.get(all.size() - 1).nano() - told) / 1e6;
-                    last[i] = Math.max(0, late);
-                    if (late > 0) sentAfter++;
-                    f.discovery.sendChanges(FakeDiscovery.READY, b);
+                    List<FakeNode.Arrival> arrivals = node.arrivals();
+                    double lateMs = arrivals.isEmpty() ? 0 : (arrivals.get(arrivals.size() - 1).nano() - sentAt) / 1e6;
+                    lastArrivalMs[i] = Math.max(0, lateMs);
+                    if (lateMs > 0) sentAfter++;
+                    fleet.discovery.sendChanges(FakeDiscovery.READY, node);
                 }
-                Arrays.sort(last);
+                Arrays.sort(lastArrivalMs);
                 System.out.printf(Locale.ROOT, "%d drains under %d lookups: p50 %.2f ms, p99 %.2f ms, most %.2f ms; "
-                    + "sent after being "
-                    + "written in %d%n", n, load.handled.get(), last[n / 2], last[n * 99 / 100], last[n - 1],
-                        sentAfter);
+                    + "sent after being written in %d%n", n, load.handled.get(), lastArrivalMs[n / 2],
+                    lastArrivalMs[n * 99 / 100], lastArrivalMs[n - 1], sentAfter);
             }
         }
     }
 
-    /** Boxes, and how long writing, reading and reconciling take, ms, best of some. */
+    /** The best times of writing, reading and reconciling lists of several sizes, in ms. */
     private static void lists() throws Exception {
         Path file = Files.createTempFile("mothcross", ".list");
         System.out.println("| boxes | bytes | encode | write and sync | read and restore "
@@ -151,68 +156,68 @@
             Arrays.fill(best, 1e9);
             long bytes = 0;
             for (int round = 0; round < 15; round++) {
-                Map<String, ListedNode> told = new HashMap<>();
+                Map<String, ListedNode> entries = new HashMap<>();
                 for (int i = 0; i < n; i++) {
-                    told.put("s-" + i, new ListedNode("s-" + i, "10.0." + i / 250 + "." + i % 250, 80, "here", "cache",
-                        0, Director.IN_SERVICE, 4, 0, 1000, 0, true));
+                    String host = "10.0." + i / 250 + "." + i % 250;
+                    entries.put("s-" + i, new ListedNode("s-" + i, host, 80, "here", "cache", 0, Director.IN_SERVICE,
+                        4, 0, 1000, 0, true));
                 }
-                MembershipSnapshot k = new MembershipSnapshot("fleet", "d1", 1000, 10, 1000, HashTreePMap.from(told),
-                    List.of());
+                MembershipSnapshot snapshot = new MembershipSnapshot("fleet", "d1", 1000, 10, 1000,
+                    HashTreePMap.from(entries), List.of());
                 double[] t = new double[7];
                 t[0] = System.nanoTime();
-                byte[] b = SnapshotFormat.encode(k);
+                byte[] encoded = SnapshotFormat.encode(snapshot);
                 t[1] = System.nanoTime();
-                SnapshotFileStore disk = new SnapshotFileStore(file, "fleet", "d1");
-                disk.write(k);
+                SnapshotFileStore store = new SnapshotFileStore(file, "fleet", "d1");
+                store.write(snapshot);
                 t[2] = System.nanoTime();
-                Membership m = new Membership(AgeLimits.DEFAULTS, 1000, new SplittableRandom(1),
+                Membership membership = new Membership(AgeLimits.DEFAULTS, 1000, new SplittableRandom(1),
                     (e, was, is, cold, why) -> { });
-                m.restore(disk.read(2000, 0).snapshot(), 2000);
+                membership.restore(store.read(2000, 0).snapshot(), 2000);
                 t[3] = System.nanoTime();
-                m.listStarted(11, true, 3000);
-                for (ListedNode x : told.values()) {
-                    m.nodeListed(x.id(), x.host(), x.port(), x.zone(), x.kind(), 0, Director.IN_SERVICE, 4, 0, 3000);
+                membership.listStarted(11, true, 3000);
+                for (ListedNode x : entries.values()) {
+                    membership.nodeListed(x.id(), x.host(), x.port(), x.zone(), x.kind(), 0, Director.IN_SERVICE, 4, 0,
+                        3000);
                 }
-                m.listFinished(3000);
+                membership.listFinished(3000);
                 t[4] = System.nanoTime();
-                m.tick(3500);
+                membership.tick(3500);
                 t[5] = System.nanoTime();
-                m.snapshot("fleet", "d1", 3500);
+                membership.snapshot("fleet", "d1", 3500);
                 t[6] = System.nanoTime();
                 for (int i = 0; i < 6; i++) best[i] = Math.min(best[i], (t[i + 1] - t[i]) / 1e6);
-                bytes = b.length;
+                bytes = encoded.length;
             }
             System.out.printf(Locale.ROOT, "| %d | %d | %.2f | %.2f | %.2f | %.2f | %.3f | %.3f |%n", n, bytes,
-                best[0], best[1],
-                best[2], best[3], best[4], best[5]);
+                best[0], best[1], best[2], best[3], best[4], best[5]);
         }
         Files.delete(file);
     }
 
-    /** Start to 'serves on' and resident memory 1.5 s after, of the run line's process; medians of 9, in turn. */
+    /** Time to 'serves on' and resident memory 1.5 s later of the deployed command; medians of 9 alternating starts. */
     private static void starts(String before) throws Exception {
-        String run = Files.readAllLines(Path.of("deploy", "balancer.toml")).stream().filter(l ->
-            l.startsWith("run ")).findFirst()
-            .orElseThrow().replaceAll("^run = \"|\"$", "");
-        try (Fleet f = new Fleet(3)) {
-            f.discovery.sendSnapshot(f.all());
-            f.discovery.startListening();
-            com.google.gson.JsonObject o = com.google.gson.JsonParser.parseString(f.startupConfigText("d1")).getAsJsonObject();
-            o.add("known", com.google.gson.JsonParser.parseString("{\"no\": 0, \"items\": []}"));
-            Path told = Files.writeString(f.directory.resolve("told.json"), o.toString());
-            Path features = Files.writeString(f.directory.resolve("operators.jsonnet"),
-                "{membership: {file: '" + f.snapshotFile("d1") + "', fleet: 'fleet'}}");
-            Map<String, String> ways = new java.util.LinkedHashMap<>();
-            if (before != null) ways.put("before", run.replace("target/mothcross.jar", before));
-            ways.put("run", run);
-            ways.put("with --operators", run + " --operators " + features);
-            Map<String, List<double[]>> got = new HashMap<>();
+        String run = Files.readAllLines(Path.of("deploy", "balancer.toml")).stream()
+            .filter(line -> line.startsWith("run ")).findFirst().orElseThrow().replaceAll("^run = \"|\"$", "");
+        try (Fleet fleet = new Fleet(3)) {
+            fleet.discovery.sendSnapshot(fleet.all());
+            fleet.discovery.startListening();
+            JsonObject config = JsonParser.parseString(fleet.startupConfigText("d1")).getAsJsonObject();
+            config.add("known", JsonParser.parseString("{\"no\": 0, \"items\": []}"));
+            Path configFile = Files.writeString(fleet.directory.resolve("told.json"), config.toString());
+            Path operators = Files.writeString(fleet.directory.resolve("operators.jsonnet"),
+                "{membership: {file: '" + fleet.snapshotFile("d1") + "', fleet: 'fleet'}}");
+            Map<String, String> commands = new LinkedHashMap<>();
+            if (before != null) commands.put("before", run.replace("target/mothcross.jar", before));
+            commands.put("run", run);
+            commands.put("with --operators", run + " --operators " + operators);
+            Map<String, List<double[]>> samples = new HashMap<>();
             for (int i = 0; i < 9; i++) {
-                for (Map.Entry<String, String> w : ways.entrySet()) {
-                    ProcessBuilder b = new ProcessBuilder("/bin/sh", "-c", w.getValue());
-                    b.environment().put("ROUTER_CONFIG", told.toString());
+                for (Map.Entry<String, String> w : commands.entrySet()) {
+                    ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", w.getValue());
+                    builder.environment().put("ROUTER_CONFIG", configFile.toString());
                     long t = System.nanoTime();
-                    Process p = b.start();
+                    Process p = builder.start();
                     try (var err = p.errorReader()) {
                         err.lines().filter(l -> l.contains(" serves on ")).findFirst().orElseThrow();
                         double ms = (System.nanoTime() - t) / 1e6;
@@ -220,7 +225,7 @@
                         String status = Files.readString(Path.of("/proc/" + p.pid() + "/status"));
                         double kb = Double.parseDouble(status.replaceAll("(?s).*VmRSS:\\s*(\\d+) kB.*", "$1"));
                         try (var fds = Files.list(Path.of("/proc/" + p.pid() + "/fd"))) {
-                            got.computeIfAbsent(w.getKey(), x -> new ArrayList<>()).add(new double[] {ms, kb / 1024,
+                            samples.computeIfAbsent(w.getKey(), x -> new ArrayList<>()).add(new double[] {ms, kb / 1024,
                                 fds.count()});
                         }
                     } finally {
@@ -230,14 +235,14 @@
             }
             System.out.println("| | start, ms | resident, MB | descriptors |");
             System.out.println("| --- | --- | --- | --- |");
-            for (String w : ways.keySet()) {
-                double[] mid = new double[3];
+            for (String w : commands.keySet()) {
+                double[] medians = new double[3];
                 for (int i = 0; i < 3; i++) {
                     int at = i;
-                    double[] all = got.get(w).stream().mapToDouble(x -> x[at]).sorted().toArray();
-                    mid[i] = all[all.length / 2];
+                    double[] all = samples.get(w).stream().mapToDouble(x -> x[at]).sorted().toArray();
+                    medians[i] = all[all.length / 2];
                 }
-                System.out.printf(Locale.ROOT, "| %s | %.0f | %.1f | %.0f |%n", w, mid[0], mid[1], mid[2]);
+                System.out.printf(Locale.ROOT, "| %s | %.0f | %.1f | %.0f |%n", w, medians[0], medians[1], medians[2]);
             }
         }
     }
