--- a/src/main/java/mothcross/cli/ExprShell.java
+++ b/src/main/java/mothcross/cli/ExprShell.java
@@ -90,7 +90,7 @@
             Frame f = new Frame(p);
             f.begin(new Head(target + "\n" + String.join("\n", headers), inputs.headers()), System.currentTimeMillis());
             String value = e.describe(f);
-            return value + "   " + e.type() + ", " + f.steps() + " of at most " + e.cost() + " steps"
+            return value + "   " + e.type() + ", " + f.steps() + " of at most " + e.worstCaseSteps() + " steps"
                 + (e.notes().isEmpty() ? "" : "\n" + String.join("\n", e.notes()));
         } catch (ExpressionException e) {
             return e.describe();
--- a/src/main/java/mothcross/cli/Head.java
+++ b/src/main/java/mothcross/cli/Head.java
@@ -81,7 +81,7 @@
                 default -> { }
             }
         } catch (NumberFormatException e) {
-            f.absent(slot);
+            f.putAbsent(slot);
         }
     }
 
--- a/src/main/java/mothcross/cli/ListCommand.java
+++ b/src/main/java/mothcross/cli/ListCommand.java
@@ -93,7 +93,7 @@
                 "standing", "told", "answered", "started", "why");
             m.entries().stream().sorted(Comparator.comparing(ListedNode::id)).forEach(t -> System.out.printf(
                 "%-12s %-21s %-10s %-10s %-9s %-9s %-9s %-9s %s%n", t.id(), t.address(), t.zone(), t.kind(),
-                m.stateOf(t.id()).word(),
+                m.stateOf(t.id()).label(),
                 age(now - (t.confirmed() ? Math.max(t.listedAt(), k.confirmedAt()) : t.listedAt())),
                 t.answeredAt() == 0 ? "-" : age(now - t.answeredAt()),
                 t.startedAt() == 0 ? "-" : age(now - t.startedAt()), m.reason(t.id())));
@@ -113,7 +113,7 @@
             Membership m = which.believed(r.snapshot(), now);
             StringBuilder s = new StringBuilder();
             for (NodeState x : NodeState.values()) {
-                if (m.count(x) > 0) s.append(' ').append(x.word()).append(' ').append(m.count(x));
+                if (m.count(x) > 0) s.append(' ').append(x.label()).append(' ').append(m.count(x));
             }
             int state = state(m);
             System.out.println((state == USABLE ? "usable:" : "nothing usable:") + s);
--- a/src/main/java/mothcross/net/PersistentMembership.java
+++ b/src/main/java/mothcross/net/PersistentMembership.java
@@ -31,7 +31,7 @@
  * <p>Runs under the dispatcher's lock, except for the thread that writes snapshots: the disk is never waited for under
  * the lock. Ages go by the time elapsed since the start, so that a change of the system's clock ages nothing.
  */
-final class PersistentMembership implements DiscoveryListener, HopObserver, Membership.Changes {
+final class PersistentMembership implements DiscoveryListener, HopObserver, Membership.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(PersistentMembership.class);
     private static final double TICK_INTERVAL_MS = 500;
     /** Changes of single nodes that are logged in one second; further ones are summed up. */
@@ -156,7 +156,7 @@
         writeScheduler = scheduler;
         writeScheduler.changed(false, now());
         dispatcher.processBatch(to -> {
-            membership.ages(ages, now());
+            membership.setAgeLimits(ages, now());
             applyPendingChanges(to);
         });
     }
@@ -164,11 +164,11 @@
     // ---- updates of discovery ----
 
     @Override public long lastEvent() {
-        return membership.number();
+        return membership.lastEvent();
     }
 
     @Override public boolean acceptsRepeated(boolean snapshot) {
-        return snapshot || membership.behind();
+        return snapshot || membership.discoveryBehind();
     }
 
     @Override public boolean listStarted(Director to, long event, int updateKind) {
@@ -186,7 +186,7 @@
     private void reportOlder(long event) {
         if (olderReported) return;
         olderReported = true;
-        LOG.atWarn().addKeyValue("event", event).addKeyValue("known", membership.number())
+        LOG.atWarn().addKeyValue("event", event).addKeyValue("known", membership.lastEvent())
             .log("list: discovery is behind the known list; its list is not applied");
     }
 
@@ -229,7 +229,7 @@
             reportOlder(event);
             return membership.resetIfUnusable(event, now());
         }
-        if (event == membership.number()) {
+        if (event == membership.lastEvent()) {
             discoveryConfirmed(trustedCount - trustedBefore, droppedCount - droppedBefore);
         }
         applyPendingChanges(to);
@@ -239,7 +239,7 @@
     @Override public void connectionLost(String reason) {
         if (discoveryLost) return;
         discoveryLost = true;
-        LOG.atInfo().addKeyValue("why", reason).addKeyValue("event", membership.number())
+        LOG.atInfo().addKeyValue("why", reason).addKeyValue("event", membership.lastEvent())
             .log("list: connection to discovery lost; the list ages from now on");
     }
 
@@ -247,7 +247,7 @@
         olderReported = false;
         if (!discoveryLost) return;
         discoveryLost = false;
-        LOG.atInfo().addKeyValue("event", membership.number()).addKeyValue("first", !discoveryHeard)
+        LOG.atInfo().addKeyValue("event", membership.lastEvent()).addKeyValue("first", !discoveryHeard)
             .addKeyValue("trusted", newlyTrusted).addKeyValue("dropped", newlyDropped)
             .log("list: discovery is available");
         discoveryHeard = true;
@@ -266,7 +266,7 @@
 
     // ---- changes for the director and the log ----
 
-    @Override public void changed(ListedNode entry, NodeState before, NodeState after, double coldSince,
+    @Override public void stateChanged(ListedNode entry, NodeState before, NodeState after, double coldSince,
                                   String reason) {
         pendingChanges.put(entry.id(), new PendingChange(entry, after, coldSince));
         boolean first = before == null;
@@ -328,14 +328,14 @@
     };
 
     private void writeWhenDue(double now) {
-        double dueAt = writeScheduler.due();
+        double dueAt = writeScheduler.nextWriteAt();
         if (!hasWriteLock || dueAt == Double.POSITIVE_INFINITY) return;
         if (dueAt > now) {
             dispatcher.timers.set(writeTimer, dispatcher.clock() + dueAt - now);
             return;
         }
         dispatcher.timers.cancel(writeTimer);
-        writeScheduler.begins(now);
+        writeScheduler.writeStarted(now);
         MembershipSnapshot snapshot = snapshot(now);
         synchronized (this) {
             snapshotToWrite = snapshot;
@@ -378,7 +378,7 @@
     /** {@code error} is null where the write succeeded. */
     private void writeEnded(String error) {
         double now = now();
-        writeScheduler.ended(error == null, now);
+        writeScheduler.writeEnded(error == null, now);
         if (error == null) {
             writesCompleted++;
             if (!lastWriteSucceeded) LOG.atInfo().log("list: snapshot can be written again");
@@ -398,10 +398,10 @@
         dispatcher.runLocked(() -> {
             double now = now();
             if (membership.takeDirty()) writeScheduler.changed(true, now);
-            boolean writeLeft = hasWriteLock && writeScheduler.due() != Double.POSITIVE_INFINITY;
+            boolean writeLeft = hasWriteLock && writeScheduler.nextWriteAt() != Double.POSITIVE_INFINITY;
             synchronized (this) {
                 if (writeLeft) snapshotToWrite = snapshot(now);
-                if (writeLeft) writeScheduler.begins(now);
+                if (writeLeft) writeScheduler.writeStarted(now);
                 stopped = true;
                 notifyAll();
             }
@@ -428,9 +428,9 @@
         StringBuilder line = new StringBuilder("; list:");
         for (NodeState state : NodeState.values()) {
             int count = membership.count(state);
-            if (count > 0) line.append(' ').append(state.word()).append(' ').append(count);
+            if (count > 0) line.append(' ').append(state.label()).append(' ').append(count);
         }
-        line.append(", event ").append(membership.number()).append(", written ").append(writesCompleted)
+        line.append(", event ").append(membership.lastEvent()).append(", written ").append(writesCompleted)
             .append(" (failed ").append(writesFailed).append(')');
         for (Membership.UpdateResult result : Membership.UpdateResult.values()) {
             boolean shown = result != Membership.UpdateResult.APPLIED && membership.updateCount(result) > 0;
--- a/src/test/java/mothcross/BelievedRulesTest.java
+++ b/src/test/java/mothcross/BelievedRulesTest.java
@@ -73,7 +73,7 @@
     }
 
     /** One run of a director, from its start to its kill. */
-    private static final class Run implements DecisionWriter, Membership.Changes {
+    private static final class Run implements DecisionWriter, Membership.Listener {
         final World w;
         final String name;
         final Membership m;
@@ -141,7 +141,7 @@
         void hear() {
             heard = true;
             for (Event e : List.copyOf(w.log)) {
-                if (e.number <= m.number()) continue;
+                if (e.number <= m.lastEvent()) continue;
                 round(to -> {
                     if (e.id == null) {
                         m.purged(e.number, -1, e.group, e.at, w.now);
@@ -176,7 +176,7 @@
                 + " answers"));
         }
 
-        @Override public void changed(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
+        @Override public void stateChanged(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
             pending.put(entry.id(), new Object[] {is, coldSince});
         }
 
--- a/src/test/java/mothcross/net/EndingsTest.java
+++ b/src/test/java/mothcross/net/EndingsTest.java
@@ -22,24 +22,24 @@
 
     private final Map<String, Outside> parties = new TreeMap<>();
 
-    private DirectorServer life(String how, Map<String, String> start) throws Exception {
+    private DirectorServer startDirector(String how, Map<String, String> start) throws Exception {
         parties.put("bulletin", Outside.listening(how, "bulletin", 99));
         parties.put("n1", Outside.listening("node", "cache", 1));
         String told = Outside.told(start, parties);
-        DirectorServer life = new DirectorServer(
+        DirectorServer director = new DirectorServer(
             StartupConfig.parse(JsonParser.parseString(told).getAsJsonObject(), null, true, 0));
-        life.start();
-        return life;
+        director.start();
+        return director;
     }
 
-    private void release(DirectorServer life) {
-        if (life != null) life.release();
+    private void release(DirectorServer director) {
+        if (director != null) director.release();
         for (Outside o : parties.values()) o.release();
         parties.clear();
     }
 
-    private Outside client(String name, DirectorServer life) {
-        Outside c = Outside.client(name, life.port());
+    private Outside client(String name, DirectorServer director) {
+        Outside c = Outside.client(name, director.port());
         parties.put(name, c);
         return c;
     }
@@ -61,32 +61,32 @@
     }
 
     /** The request and the end of its client are there together when the director comes to read: nobody waits. */
-    @Test(timeOut = 30_000) public void whoHasGoneBeforeItWasReadIsNotSentOn() throws Exception {
-        DirectorServer life = null;
+    @Test(timeOut = 30_000) public void requestOfDisconnectedClientIsNotForwarded() throws Exception {
+        DirectorServer director = null;
         try {
-            life = life("node", Map.of());
-            Outside a = client("a", life), b = client("b", life);
+            director = startDirector("node", Map.of());
+            Outside a = client("a", director), b = client("b", director);
             for (Outside c : List.of(a, b)) {
                 c.write("GET /-/healthy HTTP/1.1||", false);
                 assertTrue(c.read().startsWith("HTTP/1.1 200 "));
             }
-            life.dispatcher().enter();
+            director.dispatcher().enter();
             try {
                 b.write("GET /-/healthy HTTP/1.1||", false);    // the one thread that reads now waits for the lock
-                Dispatcher d = life.dispatcher();
-                Fleet.awaitTrue("it waits", () -> waits(d));
+                Dispatcher d = director.dispatcher();
+                Fleet.awaitTrue("it waits", () -> lockIsContended(d));
                 a.write(String.format(ASK, 10, 10, 29_000), false);
                 a.close(false);
             } finally {
-                life.dispatcher().leave();
+                director.dispatcher().leave();
             }
             assertTrue(b.read().startsWith("HTTP/1.1 200 "));
             b.write(String.format(ASK, 11, 11, 2900), false);
             String want = parties.get("n1").read();
             assertTrue(want.startsWith("want 000000000000000b "), want);
-            assertEquals(counters(life).cancelledUnread, 1);
+            assertEquals(counters(director).cancelledUnread, 1);
         } finally {
-            release(life);
+            release(director);
         }
     }
 
@@ -94,21 +94,21 @@
      * Bytes that are there unread when our side ends, behind an answer and on a connection that rests: a close would
      * reset both, and take the answer with it. They are read and not sent on.
      */
-    @Test(timeOut = 30_000) public void whatCrossesAnEndResetsNothing() throws Exception {
-        DirectorServer life = life("node", Map.of());
+    @Test(timeOut = 30_000) public void bytesArrivingDuringCloseCauseNoReset() throws Exception {
+        DirectorServer director = startDirector("node", Map.of());
         try {
-            Outside asked = client("asked", life), rests = client("rests", life), b = client("b", life);
+            Outside asked = client("asked", director), rests = client("rests", director), b = client("b", director);
             for (Outside c : List.of(rests, b)) {
                 c.write("GET /-/healthy HTTP/1.1||", false);
                 assertTrue(c.read().startsWith("HTTP/1.1 200 "));
             }
             asked.write("GET /api/v2/books/0a HTTP/1.1|Req-Id: 000000000000000a|Connection: close||", false);
             assertTrue(parties.get("n1").read().startsWith("want 000000000000000a "));
-            Dispatcher d = life.dispatcher();
+            Dispatcher d = director.dispatcher();
             d.enter();
             try {
                 b.write("GET /-/healthy HTTP/1.1||", false);    // the one thread that reads now waits for the lock
-                Fleet.awaitTrue("it waits", () -> waits(d));
+                Fleet.awaitTrue("it waits", () -> lockIsContended(d));
                 asked.write(String.format(ASK, 11, 11, 2900), false);
                 rests.write(String.format(ASK, 11, 12, 2900), false);
                 d.closeIdleClients();
@@ -119,33 +119,33 @@
             assertTrue(asked.read().startsWith("HTTP/1.1 503 "));
             for (Outside c : List.of(asked, rests)) assertTrue(c.ends(), "reset");
             // Closed over them, they are never read, and the connection is reset.
-            Fleet.awaitTrue("what crossed has been read", () -> counters(life).receivedAfterClose >= 2);
-            assertEquals(counters(life).lookups, 1, "what crossed is not taken");
+            Fleet.awaitTrue("what crossed has been read", () -> counters(director).receivedAfterClose >= 2);
+            assertEquals(counters(director).lookups, 1, "what crossed is not taken");
         } finally {
-            release(life);
+            release(director);
         }
     }
 
     /** The timers' thread may wait for the lock as well; the other one reads. */
-    private static boolean waits(Dispatcher d) {
+    private static boolean lockIsContended(Dispatcher d) {
         return Thread.getAllStackTraces().keySet().stream().anyMatch(t -> !t.getName().equals("timers")
             && d.lock.hasQueuedThread(t));
     }
 
-    private static Counters counters(DirectorServer life) {
-        life.dispatcher().enter();
+    private static Counters counters(DirectorServer director) {
+        director.dispatcher().enter();
         try {
-            return life.dispatcher().counters;
+            return director.dispatcher().counters;
         } finally {
-            life.dispatcher().leave();
+            director.dispatcher().leave();
         }
     }
 
     /** Half a frame that trickles is no news: the watch is made anew, as after silence. */
-    @Test(timeOut = 30_000) public void aWatchThatTricklesIsDead() throws Exception {
-        DirectorServer life = null;
+    @Test(timeOut = 30_000) public void tricklingDiscoveryFrameTimesOut() throws Exception {
+        DirectorServer director = null;
         try {
-            life = life("node", Map.of());
+            director = startDirector("node", Map.of());
             Outside bulletin = parties.get("bulletin");
             assertEquals(bulletin.read(), "2");
             bulletin.write("00000fff 0000000000000003 02", false);
@@ -153,15 +153,15 @@
             bulletin.close(false);
             assertEquals(bulletin.read(), "2", "it asks anew from what it knows");
         } finally {
-            release(life);
+            release(director);
         }
     }
 
     /** It says again and again that nothing is new, after an event that never came: that event is asked for. */
-    @Test(timeOut = 30_000) public void aWatchThatHasLostItsPlaceIsMadeAnew() throws Exception {
-        DirectorServer life = null;
+    @Test(timeOut = 30_000) public void missedDiscoveryEventIsRequestedAgain() throws Exception {
+        DirectorServer director = null;
         try {
-            life = life("node", Map.of());
+            director = startDirector("node", Map.of());
             Outside bulletin = parties.get("bulletin");
             assertEquals(bulletin.read(), "2");
             bulletin.write("00000009 0000000000000002 00", false);
@@ -169,19 +169,19 @@
             bulletin.close(false);
             assertEquals(bulletin.read(), "2", "it asks for what never came");
         } finally {
-            release(life);
+            release(director);
         }
     }
 
     /** SIGHUP names an address where nobody listens yet: it is asked until somebody does, from the same number on. */
-    @Test(timeOut = 30_000) public void aWatchMovesToWhereNobodyListensYet() throws Exception {
-        DirectorServer life = null;
+    @Test(timeOut = 30_000) public void watchMovesToAddressNotYetListening() throws Exception {
+        DirectorServer director = null;
         try (FakeDiscovery next = new FakeDiscovery()) {
-            life = life("node", Map.of());
-            Outside old = parties.get("bulletin"), n1 = parties.get("n1"), a = client("a", life);
+            director = startDirector("node", Map.of());
+            Outside old = parties.get("bulletin"), n1 = parties.get("n1"), a = client("a", director);
             assertEquals(old.read(), "2");
             String told = Outside.told(Map.of("bulletin", Integer.toString(next.port())), parties);
-            life.reload(StartupConfig.parse(JsonParser.parseString(told).getAsJsonObject(), null, true, 0));
+            director.reload(StartupConfig.parse(JsonParser.parseString(told).getAsJsonObject(), null, true, 0));
             assertTrue(old.gone());
             next.restartNumbering(3);
             next.startListening();
@@ -194,32 +194,32 @@
                 assertTrue(a.read().endsWith("||ok"));
             }
         } finally {
-            release(life);
+            release(director);
         }
     }
 
     /** A line that trickles, and an answer that trickles after its time, hold nobody up behind them for ever. */
-    @Test(timeOut = 30_000) public void anAnswerThatNeverEndsIsEnded() throws Exception {
+    @Test(timeOut = 30_000) public void tricklingAnswerTimesOut() throws Exception {
         for (String begun : List.of("000000000000000a DO", "000000000000000a DONE n=mem 200000|")) {
-            DirectorServer life = null;
+            DirectorServer director = null;
             try {
-                life = life("node", Map.of("connect", "0.2"));
-                Outside a = client("a", life), n1 = parties.get("n1");
+                director = startDirector("node", Map.of("connect", "0.2"));
+                Outside a = client("a", director), n1 = parties.get("n1");
                 a.write(String.format(ASK, 10, 10, 600), false);
                 assertTrue(n1.read().startsWith("want 000000000000000a "));
                 n1.write(begun, false);
                 trickle(n1, "x");
             } finally {
-                release(life);
+                release(director);
             }
         }
     }
 
     /** A body of 60 MB is refused by its head; its sender gets the refusal and a close in the page's 6 s. */
-    @Test(timeOut = 30_000) public void hugeBodiesGetTheirRefusal() throws Exception {
-        DirectorServer life = life("node", Map.of("writes", "true"));
+    @Test(timeOut = 30_000) public void hugeBodyIsRefusedBeforeClose() throws Exception {
+        DirectorServer director = startDirector("node", Map.of("writes", "true"));
         try {
-            Outside a = client("a", life);
+            Outside a = client("a", director);
             long began = System.nanoTime();
             a.write("PUT /api/v2/books/0a HTTP/1.1|Req-Id: 000000000000000a|Content-Length: 60000000||", false);
             assertTrue(a.read().startsWith("HTTP/1.1 413 "));
@@ -227,35 +227,35 @@
             try {
                 for (int i = 0; i < 58; i++) a.write(much, false);
             } catch (IOException e) {
-                assertTrue(clients(life) <= 1, "closed on it");
+                assertTrue(clients(director) <= 1, "closed on it");
             }
-            Fleet.awaitTrue("the connection has ended", () -> clients(life) == 0);
+            Fleet.awaitTrue("the connection has ended", () -> clients(director) == 0);
             assertTrue(System.nanoTime() - began < 6_000_000_000L, "took too long");
         } finally {
-            release(life);
+            release(director);
         }
     }
 
-    private static int clients(DirectorServer life) {
-        life.dispatcher().enter();
+    private static int clients(DirectorServer director) {
+        director.dispatcher().enter();
         try {
-            return life.dispatcher().clientCount();
+            return director.dispatcher().clientCount();
         } finally {
-            life.dispatcher().leave();
+            director.dispatcher().leave();
         }
     }
 
     /** Many large bodies at once, none of them whole: past an eighth of the memory they are refused, and let go. */
-    @Test(timeOut = 30_000) public void halfReadBodiesAreBounded() throws Exception {
-        DirectorServer life = life("node", Map.of("writes", "true", "sockets", "400", "memory", "16"));
+    @Test(timeOut = 30_000) public void incompleteBodiesAreBounded() throws Exception {
+        DirectorServer director = startDirector("node", Map.of("writes", "true", "sockets", "400", "memory", "16"));
         try {
             String most = "y".repeat(150_000);
             for (int i = 0; i < 30; i++) {
-                client("c" + i, life).write("PUT /api/v2/books/0a HTTP/1.1|Req-Id: " + String.format("%016x", i + 1)
+                client("c" + i, director).write("PUT /api/v2/books/0a HTTP/1.1|Req-Id: " + String.format("%016x", i + 1)
                     + "|Content-Length: 200000||" + most, false);
             }
-            Dispatcher d = life.dispatcher();
-            Fleet.awaitTrue("all is read", () -> d.readAheadBytes > 0 && clients(life) < 30);
+            Dispatcher d = director.dispatcher();
+            Fleet.awaitTrue("all is read", () -> d.readAheadBytes > 0 && clients(director) < 30);
             for (int i = 0; i < 30; i++) {
                 Outside c = parties.get("c" + i);
                 c.write(most.substring(0, 10_000), false);  // who is still read is looked at again
@@ -266,12 +266,12 @@
             Fleet.awaitTrue("one has its refusal", () -> all.stream().anyMatch(Outside::answered));
             for (Outside c : all) if (c.answered()) assertTrue(c.read().startsWith("HTTP/1.1 503 "));
         } finally {
-            release(life);
+            release(director);
         }
     }
 
     /** The states of a process's end, by time alone. */
-    @Test public void theProcessEndsWhenNothingIsOwed() {
+    @Test public void processEndsWhenNoAnswerIsOwed() {
         ShutdownSequence e = new ShutdownSequence();
         assertEquals(e.state(), ShutdownSequence.State.SERVING);
         e.start(1000, 60_000);
@@ -312,7 +312,7 @@
      * In a process of its own with so many descriptors: idle clients take all that they can get while discovery is
      * down. It is ready all the same, reaches its node, follows discovery when that is back, and ends with 0.
      */
-    @Test(timeOut = 60_000) public void idleClientsLeaveDescriptorsForTheRest() throws Exception {
+    @Test(timeOut = 60_000) public void idleClientsDoNotExhaustDescriptors() throws Exception {
         int most = 256;
         InetAddress here = InetAddress.getByName("127.0.0.1");
         Path file = Files.createTempFile("mothcross", ".json");
--- a/src/test/java/mothcross/net/MeasureRoutes.java
+++ b/src/test/java/mothcross/net/MeasureRoutes.java
@@ -215,8 +215,8 @@
                 slowest = i < 10 ? 0 : Math.max(slowest, ns);
             }
             System.out.printf(Locale.ROOT, "| `%s` | %d | %d | %.2f | %.0f | %.2f |%n", text.replace("|", "\\|"),
-                expression.cost(), maxSteps, maxSteps / (double) expression.cost(), slowest,
-                slowest / expression.cost());
+                expression.worstCaseSteps(), maxSteps, maxSteps / (double) expression.worstCaseSteps(), slowest,
+                slowest / expression.worstCaseSteps());
         }
     }
 }
--- a/src/test/java/mothcross/net/RememberedTest.java
+++ b/src/test/java/mothcross/net/RememberedTest.java
@@ -449,7 +449,7 @@
     private static boolean behind(DirectorServer director) {
         director.dispatcher().enter();
         try {
-            return director.persistentMembership().membership().behind();
+            return director.persistentMembership().membership().discoveryBehind();
         } finally {
             director.dispatcher().leave();
         }
