--- a/src/test/java/mothcross/net/ServeTest.java
+++ b/src/test/java/mothcross/net/ServeTest.java
@@ -339,8 +339,9 @@
         static Outside listening(String how, String kind, int index) throws IOException {
             Outside o = new Outside(kind, index, 0);
             o.server = new ServerSocket();
+            int requestedPort = how.equals("refused") ? o.reservePort() : 0;
             if (how.equals("tight")) o.server.setReceiveBufferSize(4096);       // little is taken that nobody reads
-            o.server.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0),
+            o.server.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), requestedPort),
                 how.matches("mute|narrow") ? 1 : 50);
             o.server.setSoTimeout(PATIENCE_MS);
             if (how.equals("refused")) o.server.close();
@@ -348,6 +349,16 @@
             return o;
         }
 
+        /** Binds a free port until the release, without listening, so that no other process can listen on it. */
+        private int reservePort() throws IOException {
+            Socket reservation = new Socket();
+            crowd.add(reservation);
+            reservation.setReuseAddress(true);
+            reservation.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+            server.setReuseAddress(true);
+            return reservation.getLocalPort();
+        }
+
         int port() {
             return server.getLocalPort();
         }
