--- a/src/main/java/mothcross/cli/EmulateCommand.java
+++ b/src/main/java/mothcross/cli/EmulateCommand.java
@@ -56,7 +56,7 @@
         try {
             for (Map.Entry<String, Double> e : set.entrySet()) town = town.with(e.getKey(), e.getValue());
             script = faults != null ? FaultSchedule.of(Files.readString(faults))
-                : FaultSchedule.drawn(new SplittableRandom(seed), draw, town);
+                : FaultSchedule.random(new SplittableRandom(seed), draw, town);
         } catch (IllegalArgumentException e) {
             return Main.plainly(e.getMessage());
         }
@@ -72,16 +72,16 @@
             DirectorFactory p = Baselines.ALL.get(name);
             if (p == null) return Main.plainly("no policy '" + name + "'; there are " + Baselines.ALL.keySet());
             long begun = System.nanoTime();
-            SimulationResult r = Simulation.play(town, script, p, seed);
+            SimulationResult r = Simulation.run(town, script, p, seed);
             System.out.println(name + ": " + r.line());
-            for (String f : r.first) System.out.println("  " + f);
+            for (String f : r.firstViolations) System.out.println("  " + f);
             if (bySecond) {
                 for (int s = 0; s < town.values().get("seconds"); s++) {
-                    System.out.printf(Locale.ROOT, "  %d s %.3f%n", s, r.inTime(s, s + 1));
+                    System.out.printf(Locale.ROOT, "  %d s %.3f%n", s, r.onTimeShare(s, s + 1));
                 }
             }
             System.err.printf(Locale.ROOT, "%.1f s%n", (System.nanoTime() - begun) / 1e9);
-            kept &= r.first.isEmpty();
+            kept &= r.firstViolations.isEmpty();
         }
         return kept ? 0 : RULE_BROKEN;
     }
@@ -90,11 +90,11 @@
         for (String name : policies) {
             DirectorFactory p = Baselines.ALL.get(name);
             if (p == null) return Main.plainly("no policy '" + name + "'; there are " + Baselines.ALL.keySet());
-            WorstCaseSearch.Found worst = WorstCaseSearch.worst(town, p, hunt, seed, WorstCaseSearch::badness);
-            WorstCaseSearch.Found shrunk = WorstCaseSearch.shrink(town, p, worst, WorstCaseSearch::badness, 0.8);
+            WorstCaseSearch.Candidate worst = WorstCaseSearch.search(town, p, hunt, seed, WorstCaseSearch::score);
+            WorstCaseSearch.Candidate shrunk = WorstCaseSearch.shrink(town, p, worst, WorstCaseSearch::score, 0.8);
             System.out.printf(Locale.ROOT, "# %s: the worst of %d days is seed %d, badness %.3f; shrunk to %.3f "
                 + "after %d runs%n%s",
-                name, hunt, worst.seed(), worst.badness(), shrunk.badness(), shrunk.played(), shrunk.script());
+                name, hunt, worst.seed(), worst.score(), shrunk.score(), shrunk.runs(), shrunk.faults());
         }
         return 0;
     }
--- a/src/main/java/mothcross/emulator/BandwidthLink.java
+++ b/src/main/java/mothcross/emulator/BandwidthLink.java
@@ -7,108 +7,111 @@
  * jobs
  * on it, exactly: all that run advance by the same, so the one that needs least ends first. Must never lose a job but
  * by
- * {@link #drop}.
+ * {@link #cancel}.
  */
 final class BandwidthLink {
     /** One flow: full-pace ms it needs, and what follows its end. */
     static final class Job implements Comparable<Job> {
-        private final double ends;
+        private final double endsAtProgress;
         private final long order;
-        private final Runnable then;
-        private boolean gone;
+        private final Runnable onCompletion;
+        private boolean removed;
 
-        Job(double ends, long order, Runnable then) {
-            this.ends = ends;
+        Job(double endsAtProgress, long order, Runnable onCompletion) {
+            this.endsAtProgress = endsAtProgress;
             this.order = order;
-            this.then = then;
+            this.onCompletion = onCompletion;
         }
 
-        @Override public int compareTo(Job o) {
-            int c = Double.compare(ends, o.ends);
-            return c != 0 ? c : Long.compare(order, o.order);
+        @Override public int compareTo(Job other) {
+            int byEnd = Double.compare(endsAtProgress, other.endsAtProgress);
+            return byEnd != 0 ? byEnd : Long.compare(order, other.order);
         }
     }
 
     private final EventQueue clock;
     private final PriorityQueue<Job> jobs = new PriorityQueue<>();
-    private double flows, done, at;
-    private int running;
-    private long orders, armed;
-
-    BandwidthLink(EventQueue clock, double flows) {
+    private double capacityFlows;
+    private double progressMs;
+    private double advancedAt;
+    private int activeJobs;
+    private long nextOrder;
+    private long timerGeneration;
+
+    BandwidthLink(EventQueue clock, double capacityFlows) {
         this.clock = clock;
-        this.flows = flows;
-        this.at = clock.now;
+        this.capacityFlows = capacityFlows;
+        this.advancedAt = clock.nowMs;
     }
 
-    int running() {
-        return running;
+    int activeJobs() {
+        return activeJobs;
     }
 
     /** How full it is: 1 where each flow just gets full pace. */
-    double fill() {
-        return running / Math.max(1e-9, flows);
+    double utilization() {
+        return activeJobs / Math.max(1e-9, capacityFlows);
     }
 
-    void flows(double anew) {
+    void setCapacity(double newCapacityFlows) {
         advance();
-        flows = anew;
-        arm();
+        capacityFlows = newCapacityFlows;
+        scheduleNextCompletion();
     }
 
-    Job add(double ownMs, Runnable then) {
+    Job add(double fullRateMs, Runnable onCompletion) {
         advance();
-        Job j = new Job(done + ownMs, orders++, then);
-        jobs.add(j);
-        running++;
-        arm();
-        return j;
+        Job job = new Job(progressMs + fullRateMs, nextOrder++, onCompletion);
+        jobs.add(job);
+        activeJobs++;
+        scheduleNextCompletion();
+        return job;
     }
 
-    void drop(Job j) {
-        if (j.gone) return;
+    void cancel(Job job) {
+        if (job.removed) return;
         advance();
-        j.gone = true;
-        running--;
-        arm();
+        job.removed = true;
+        activeJobs--;
+        scheduleNextCompletion();
     }
 
-    void dropAll() {
+    void cancelAll() {
         advance();
-        for (Job j : jobs) j.gone = true;
+        for (Job job : jobs) job.removed = true;
         jobs.clear();
-        running = 0;
-        armed++;
+        activeJobs = 0;
+        timerGeneration++;
     }
 
-    private double pace() {
-        return running == 0 ? 0 : Math.min(1, flows / running);
+    private double rate() {
+        return activeJobs == 0 ? 0 : Math.min(1, capacityFlows / activeJobs);
     }
 
     private void advance() {
-        done += (clock.now - at) * pace();
-        at = clock.now;
+        progressMs += (clock.nowMs - advancedAt) * rate();
+        advancedAt = clock.nowMs;
     }
 
-    private void arm() {
-        while (!jobs.isEmpty() && jobs.peek().gone) jobs.poll();
-        long mine = ++armed;
-        double pace = pace();
-        if (jobs.isEmpty() || pace <= 0) return;
-        clock.in(Math.max(0, (jobs.peek().ends - done) / pace), () -> {
-            if (armed == mine) ends();
+    private void scheduleNextCompletion() {
+        while (!jobs.isEmpty() && jobs.peek().removed) jobs.poll();
+        long generation = ++timerGeneration;
+        double rate = rate();
+        if (jobs.isEmpty() || rate <= 0) return;
+        clock.scheduleAfter(Math.max(0, (jobs.peek().endsAtProgress - progressMs) / rate), () -> {
+            if (timerGeneration == generation) completeFirst();
         });
     }
 
-    private void ends() {
+    private void completeFirst() {
         advance();
-        Job j = jobs.poll();
-        if (j == null) return;
+        Job job = jobs.poll();
+        if (job == null) return;
         // Rounding must not leave it a hair short for ever.
-        done = Math.max(done, j.ends);
-        j.gone = true;
-        running--;
-        arm();
-        j.then.run();
+        progressMs = Math.max(progressMs, job.endsAtProgress);
+        job.removed = true;
+        activeJobs--;
+        scheduleNextCompletion();
+        job.onCompletion.run();
     }
 }
--- a/src/main/java/mothcross/emulator/Baselines.java
+++ b/src/main/java/mothcross/emulator/Baselines.java
@@ -26,84 +26,93 @@
     static {
         ALL.put("decide", (seed, w, places, may, told, caches, parents, purge) ->
             new CacheDirector(seed, w, places, may, told, caches, parents, purge));
-        ALL.put("random", plain(Choice.RANDOM, 0, 1));
-        ALL.put("least-out", plain(Choice.LEAST_OUT, 0, 1));
-        ALL.put("rendezvous", plain(Choice.RENDEZVOUS, 0, 1));
-        ALL.put("threshold", plain(Choice.RENDEZVOUS, 1500, 1));
+        ALL.put("random", simple(Choice.RANDOM, 0, 1));
+        ALL.put("least-out", simple(Choice.LEAST_ACTIVE, 0, 1));
+        ALL.put("rendezvous", simple(Choice.RENDEZVOUS, 0, 1));
+        ALL.put("threshold", simple(Choice.RENDEZVOUS, 1500, 1));
         ALL.put("no-cold-budget", (seed, w, places, may, told, caches, parents, purge) ->
             new CacheDirector(seed, w, places, may, told,
                 new SlowStartLimits(1, 0, caches.overloadFactor(), caches.overloadWindowMs()),
                 new SlowStartLimits(1, 0, parents.overloadFactor(), parents.overloadWindowMs()), purge));
-        ALL.put("all-hops", plain(Choice.RENDEZVOUS, 0, 99));
+        ALL.put("all-hops", simple(Choice.RENDEZVOUS, 0, 99));
     }
 
-    private enum Choice { RANDOM, LEAST_OUT, RENDEZVOUS }
+    private enum Choice { RANDOM, LEAST_ACTIVE, RENDEZVOUS }
 
     private Baselines() { }
 
-    private static DirectorFactory plain(Choice how, double keepsUpToKb, int further) {
-        return (seed, w, places, may, told, caches, parents, purge) -> new Plain(how, keepsUpToKb, further, seed,
-            places, may, purge);
+    private static DirectorFactory simple(Choice choice, double maxCachedKb, int maxRetries) {
+        return (seed, w, places, may, told, caches, parents, purge) ->
+            new SimpleDirector(choice, maxCachedKb, maxRetries, seed, places, may, purge);
     }
 
     private static final class Node {
-        int index, tier, standing, out;
+        int index;
+        int tier;
+        int status;
+        int activeHops;
         long hash;
     }
 
-    private static final class Ask {
-        int index, hops;
+    private static final class Lookup {
+        int index;
+        int hops;
         long key;
-        double expires, kb;
+        double expiresAt;
+        double sizeKb;
         int group;
-        boolean open, once, mayHaveRun;
-        final List<Node> tried = new ArrayList<>(), out = new ArrayList<>();
+        boolean open;
+        boolean nonIdempotent;
+        boolean mayHaveRun;
+        final List<Node> tried = new ArrayList<>();
+        final List<Node> activeHops = new ArrayList<>();
     }
 
     /** One choice among the caches of the place, one parent by the object's hash, so many further hops. */
-    private static final class Plain implements Director {
-        private final Choice how;
-        private final double keepsUpToKb, purgeMs;
-        private final int further;
-        private final SplittableRandom chance;
-        private final Topology places;
-        private final Capabilities may;
+    private static final class SimpleDirector implements Director {
+        private final Choice choice;
+        private final double maxCachedKb;
+        private final double purgeMs;
+        private final int maxRetries;
+        private final SplittableRandom random;
+        private final Topology topology;
+        private final Capabilities capabilities;
         private final Map<Integer, Node> nodes = new LinkedHashMap<>();
-        private final Map<Integer, Ask> asks = new LinkedHashMap<>();
-        private final Map<Integer, Double> purged = new LinkedHashMap<>();
+        private final Map<Integer, Lookup> lookups = new LinkedHashMap<>();
+        private final Map<Integer, Double> purgedAt = new LinkedHashMap<>();
         private double now;
-        private DecisionWriter out;
-
-        Plain(Choice how, double keepsUpToKb, int further, long seed, Topology places, Capabilities may,
-            double purgeMs) {
-            this.how = how;
-            this.keepsUpToKb = keepsUpToKb;
-            this.further = further;
-            this.chance = new SplittableRandom(seed);
-            this.places = places;
-            this.may = may;
+        private DecisionWriter decisions;
+
+        SimpleDirector(Choice choice, double maxCachedKb, int maxRetries, long seed, Topology topology,
+            Capabilities capabilities, double purgeMs) {
+            this.choice = choice;
+            this.maxCachedKb = maxCachedKb;
+            this.maxRetries = maxRetries;
+            this.random = new SplittableRandom(seed);
+            this.topology = topology;
+            this.capabilities = capabilities;
             this.purgeMs = purgeMs;
         }
 
-        @Override public void process(double at, EventBatch in, DecisionWriter writer) {
-            now = at;
-            out = writer;
-            in.deliverTo(this);
+        @Override public void process(double nowMs, EventBatch batch, DecisionWriter writer) {
+            now = nowMs;
+            decisions = writer;
+            batch.deliverTo(this);
         }
 
         @Override public void lookup(int index, int workload, double expires, long object, int part, int group,
             double sizeKb,
                                      boolean repeat, boolean write, RouteConstraints by) {
-            Ask a = new Ask();
-            a.index = index;
-            a.key = object;
-            a.expires = expires;
-            a.kb = sizeKb;
-            a.group = group;
-            a.open = true;
-            a.once = workload == 1;
-            asks.put(index, a);
-            if (!hop(a)) end(a);
+            Lookup lookup = new Lookup();
+            lookup.index = index;
+            lookup.key = object;
+            lookup.expiresAt = expires;
+            lookup.sizeKb = sizeKb;
+            lookup.group = group;
+            lookup.open = true;
+            lookup.nonIdempotent = workload == 1;
+            lookups.put(index, lookup);
+            if (!sendHop(lookup)) endLookup(lookup);
         }
 
         private static long mix(long x) {
@@ -112,93 +121,96 @@
             return x ^ (x >>> 31);
         }
 
-        private Node choose(int tier, Ask a, Choice by) {
+        private Node chooseNode(int tier, Lookup lookup, Choice by) {
             Node best = null;
-            double top = Double.NEGATIVE_INFINITY;
-            for (Node n : nodes.values()) {
-                if (n.tier != tier || n.standing != IN_SERVICE || a.tried.contains(n)) continue;
+            double bestScore = Double.NEGATIVE_INFINITY;
+            for (Node node : nodes.values()) {
+                if (node.tier != tier || node.status != IN_SERVICE || lookup.tried.contains(node)) continue;
                 double score = switch (by) {
-                    case RANDOM -> chance.nextDouble();
-                    case LEAST_OUT -> -n.out + chance.nextDouble();
-                    case RENDEZVOUS -> (mix(n.hash ^ mix(a.key)) >>> 11) * 0x1p-53;
+                    case RANDOM -> random.nextDouble();
+                    case LEAST_ACTIVE -> -node.activeHops + random.nextDouble();
+                    case RENDEZVOUS -> (mix(node.hash ^ mix(lookup.key)) >>> 11) * 0x1p-53;
                 };
-                if (score <= top) continue;
-                top = score;
-                best = n;
+                if (score <= bestScore) continue;
+                bestScore = score;
+                best = node;
             }
             return best;
         }
 
-        private boolean hop(Ask a) {
-            if (!a.open || now >= a.expires || a.hops >= Math.min(may.maxHops(), 1 + further)) return false;
-            if (a.once && a.mayHaveRun) return false;
-            Node n = choose(0, a, how);
-            if (n == null) return false;
-            Node from = choose(1, a, Choice.RENDEZVOUS);
-            if (from == null) from = choose(2, a, Choice.RENDEZVOUS);
-            a.hops++;
-            a.tried.add(n);
-            a.out.add(n);
-            n.out++;
-            a.mayHaveRun = true;
-            Double at = purged.get(a.group);
-            double oldest = at != null && now - at < purgeMs + 500 ? Math.max(1, now - at) : 0;
-            int rank = keepsUpToKb == 0 || a.kb <= keepsUpToKb ? 2 : 0;
-            out.sendFetch(a.index, n.index, a.expires, from == null ? n.index : from.index, rank, oldest,
-                DecisionWriter.COALESCE_FILLS);
+        private boolean sendHop(Lookup lookup) {
+            if (!lookup.open || now >= lookup.expiresAt || lookup.hops >= Math.min(capabilities.maxHops(), 1
+                + maxRetries)) return false;
+            if (lookup.nonIdempotent && lookup.mayHaveRun) return false;
+            Node node = chooseNode(0, lookup, choice);
+            if (node == null) return false;
+            Node source = chooseNode(1, lookup, Choice.RENDEZVOUS);
+            if (source == null) source = chooseNode(2, lookup, Choice.RENDEZVOUS);
+            lookup.hops++;
+            lookup.tried.add(node);
+            lookup.activeHops.add(node);
+            node.activeHops++;
+            lookup.mayHaveRun = true;
+            Double lastPurgedAt = purgedAt.get(lookup.group);
+            double maxAgeMs = lastPurgedAt != null && now - lastPurgedAt < purgeMs + 500
+                ? Math.max(1, now - lastPurgedAt) : 0;
+            int rank = maxCachedKb == 0 || lookup.sizeKb <= maxCachedKb ? 2 : 0;
+            decisions.sendFetch(lookup.index, node.index, lookup.expiresAt, source == null ? node.index : source.index,
+                rank, maxAgeMs, DecisionWriter.COALESCE_FILLS);
             return true;
         }
 
-        private void end(Ask a) {
-            if (!a.open) return;
-            a.open = false;
-            if (a.once && a.mayHaveRun) out.fail(a.index);
-            else out.reject(a.index, 100);
+        private void endLookup(Lookup lookup) {
+            if (!lookup.open) return;
+            lookup.open = false;
+            if (lookup.nonIdempotent && lookup.mayHaveRun) decisions.fail(lookup.index);
+            else decisions.reject(lookup.index, 100);
         }
 
-        @Override public void hopEnded(int index, int hop, int node, int outcome, boolean last, int note, double spent,
+        @Override public void hopEnded(int index, int hop, int node, int outcome, boolean last, int note,
+            double elapsedMs,
                                        double sourceWait, double[] report) {
-            Ask a = asks.get(index);
-            if (a == null || hop >= a.out.size()) return;
-            Node n = a.out.get(hop);
-            if (n != null) n.out--;
-            a.out.set(hop, null);
-            if (last || outcome == SUCCEEDED) a.open = false;
+            Lookup lookup = lookups.get(index);
+            if (lookup == null || hop >= lookup.activeHops.size()) return;
+            Node target = lookup.activeHops.get(hop);
+            if (target != null) target.activeHops--;
+            lookup.activeHops.set(hop, null);
+            if (last || outcome == SUCCEEDED) lookup.open = false;
             boolean neverRan = outcome == REJECTED || outcome == CONNECT_FAILED || outcome == NOT_SENT
                 || outcome == MISS;
-            if (neverRan && a.hops == 1) a.mayHaveRun = false;
-            if (a.open && !hop(a)) end(a);
+            if (neverRan && lookup.hops == 1) lookup.mayHaveRun = false;
+            if (lookup.open && !sendHop(lookup)) endLookup(lookup);
         }
 
         @Override public void streamStarted(int lookup, int hop) { }
 
-        @Override public void clientDisconnected(int lookup) {
-            Ask a = asks.get(lookup);
-            if (a != null) a.open = false;
+        @Override public void clientDisconnected(int index) {
+            Lookup lookup = lookups.get(index);
+            if (lookup != null) lookup.open = false;
         }
 
         @Override public void timerFired(long name) { }
 
-        @Override public void purged(long object, int group, double ago) {
-            purged.merge(group, now - ago, Math::max);
+        @Override public void purged(long object, int group, double ageMs) {
+            purgedAt.merge(group, now - ageMs, Math::max);
         }
 
         @Override public void probeCompleted(int node, int outcome, double spent, double[] report) { }
 
         @Override public void listStarted(int news) { }
 
-        @Override public void nodeListed(int index, String address, int place, int kind, int cell, int standing,
+        @Override public void nodeListed(int index, String address, int zone, int kind, int cell, int status,
             double units,
                                      double startedAt) {
-            int tier = kind == places.parentKind() ? 1 : kind == places.originKind() ? 2 : 0;
-            if (tier == 0 && place != places.ownZone()) return;
-            Node n = nodes.computeIfAbsent(index, k -> new Node());
-            n.index = index;
-            n.tier = tier;
-            n.standing = standing;
-            long h = 0;
-            for (int i = 0; i < address.length(); i++) h = mix(h * 31 + address.charAt(i));
-            n.hash = h;
+            int tier = kind == topology.parentKind() ? 1 : kind == topology.originKind() ? 2 : 0;
+            if (tier == 0 && zone != topology.ownZone()) return;
+            Node node = nodes.computeIfAbsent(index, k -> new Node());
+            node.index = index;
+            node.tier = tier;
+            node.status = status;
+            long hash = 0;
+            for (int i = 0; i < address.length(); i++) hash = mix(hash * 31 + address.charAt(i));
+            node.hash = hash;
         }
 
         @Override public void listFinished() { }
--- a/src/main/java/mothcross/emulator/CacheStore.java
+++ b/src/main/java/mothcross/emulator/CacheStore.java
@@ -12,68 +12,69 @@
  */
 final class CacheStore {
     /** One copy: when the origin gave it out, its size, the group it is of. */
-    record Copy(double minted, double kb, int group, int rank) { }
+    record Copy(double issuedAt, double kb, int group, int rank) { }
 
     private static final int RANKS = 4;
-    private final double mostKb;
-    private final Map<Long, Copy> all = new HashMap<>();
+    private final double capacityKb;
+    private final Map<Long, Copy> copies = new HashMap<>();
     @SuppressWarnings({"unchecked", "rawtypes"})
-    private final LinkedHashMap<Long, Copy>[] ranks = new LinkedHashMap[RANKS];
-    private double kb;
+    private final LinkedHashMap<Long, Copy>[] copiesByRank = new LinkedHashMap[RANKS];
+    private double usedKb;
 
-    CacheStore(double mostKb) {
-        this.mostKb = mostKb;
-        for (int i = 0; i < RANKS; i++) ranks[i] = new LinkedHashMap<>(16, 0.75f, true);
+    CacheStore(double capacityKb) {
+        this.capacityKb = capacityKb;
+        for (int i = 0; i < RANKS; i++) copiesByRank[i] = new LinkedHashMap<>(16, 0.75f, true);
     }
 
     /** Uses it. */
     Copy get(long key) {
-        Copy c = all.get(key);
-        return c == null ? null : ranks[c.rank].get(key);
+        Copy copy = copies.get(key);
+        return copy == null ? null : copiesByRank[copy.rank].get(key);
     }
 
-    void put(long key, Copy c) {
+    void put(long key, Copy copy) {
         remove(key);
-        if (c.kb > mostKb) return;
-        for (int r = 0; r <= c.rank && kb + c.kb > mostKb; r++) {
-            for (Iterator<Map.Entry<Long, Copy>> i = ranks[r].entrySet().iterator(); i.hasNext() && kb
-                + c.kb > mostKb;) {
-                Map.Entry<Long, Copy> e = i.next();
-                i.remove();
-                all.remove(e.getKey());
-                kb -= e.getValue().kb;
+        if (copy.kb > capacityKb) return;
+        for (int rank = 0; rank <= copy.rank && usedKb + copy.kb > capacityKb; rank++) {
+            for (Iterator<Map.Entry<Long,
+                Copy>> iterator = copiesByRank[rank].entrySet().iterator(); iterator.hasNext() && usedKb
+                + copy.kb > capacityKb;) {
+                Map.Entry<Long, Copy> evicted = iterator.next();
+                iterator.remove();
+                copies.remove(evicted.getKey());
+                usedKb -= evicted.getValue().kb;
             }
         }
-        if (kb + c.kb > mostKb) return;
-        all.put(key, c);
-        ranks[c.rank].put(key, c);
-        kb += c.kb;
+        if (usedKb + copy.kb > capacityKb) return;
+        copies.put(key, copy);
+        copiesByRank[copy.rank].put(key, copy);
+        usedKb += copy.kb;
     }
 
     void remove(long key) {
-        Copy c = all.remove(key);
-        if (c == null) return;
-        ranks[c.rank].remove(key);
-        kb -= c.kb;
+        Copy copy = copies.remove(key);
+        if (copy == null) return;
+        copiesByRank[copy.rank].remove(key);
+        usedKb -= copy.kb;
     }
 
-    void purge(int group, double before) {
-        all.entrySet().removeIf(e -> {
-            Copy c = e.getValue();
-            if (c.group != group || c.minted >= before) return false;
-            ranks[c.rank].remove(e.getKey());
-            kb -= c.kb;
+    void purge(int group, double issuedBefore) {
+        copies.entrySet().removeIf(entry -> {
+            Copy copy = entry.getValue();
+            if (copy.group != group || copy.issuedAt >= issuedBefore) return false;
+            copiesByRank[copy.rank].remove(entry.getKey());
+            usedKb -= copy.kb;
             return true;
         });
     }
 
     void clear() {
-        all.clear();
-        for (LinkedHashMap<Long, Copy> r : ranks) r.clear();
-        kb = 0;
+        copies.clear();
+        for (LinkedHashMap<Long, Copy> rank : copiesByRank) rank.clear();
+        usedKb = 0;
     }
 
     int size() {
-        return all.size();
+        return copies.size();
     }
 }
--- a/src/main/java/mothcross/emulator/DirectorFactory.java
+++ b/src/main/java/mothcross/emulator/DirectorFactory.java
@@ -10,6 +10,6 @@
 /** Makes the director of one host: the module itself, or what it is compared with. */
 @FunctionalInterface
 public interface DirectorFactory {
-    Director make(long seed, Workload[] workloads, Topology places, Capabilities may, SiteParameters told,
-                  SlowStartLimits caches, SlowStartLimits parents, double purgeTakesMs);
+    Director make(long seed, Workload[] workloads, Topology topology, Capabilities capabilities, SiteParameters site,
+                  SlowStartLimits caches, SlowStartLimits parents, double purgeDurationMs);
 }
--- a/src/main/java/mothcross/emulator/EarlierBuild.java
+++ b/src/main/java/mothcross/emulator/EarlierBuild.java
@@ -24,40 +24,43 @@
  */
 public final class EarlierBuild {
     private final ClassLoader loader;
-    private final Class<?> reader, writer;
-    private final Constructor<?> make;
-    private final Map<String, Method> calls = new HashMap<>();
+    private final Class<?> eventBatchType;
+    private final Class<?> decisionWriterType;
+    private final Constructor<?> constructor;
+    private final Map<String, Method> directorMethods = new HashMap<>();
 
     /** {@code build}: a jar, or a folder of classes. Throws where it holds no module that can be called. */
     public EarlierBuild(Path build) throws IOException {
         loader = new URLClassLoader(new URL[] {build.toUri().toURL()}, ClassLoader.getPlatformClassLoader());
         try {
             Class<?> director = type("Director");
-            reader = type("EventBatch");
-            writer = type("DecisionWriter");
-            make = type("CacheDirector").getConstructors()[0];
-            for (Method m : director.getMethods()) calls.put(m.getName() + m.getParameterCount(), m);
+            eventBatchType = type("EventBatch");
+            decisionWriterType = type("DecisionWriter");
+            constructor = type("CacheDirector").getConstructors()[0];
+            for (Method method : director.getMethods()) directorMethods.put(method.getName()
+                + method.getParameterCount(), method);
         } catch (ClassNotFoundException | ArrayIndexOutOfBoundsException e) {
             throw new IOException(build + " holds no module: " + e.getMessage(), e);
         }
-        if (make.getParameterCount() != 8) throw new IOException(build + " holds a module that is made otherwise");
+        if (constructor.getParameterCount() != 8) throw new IOException(build
+            + " holds a module that is made otherwise");
     }
 
     /** A type of the module by today's simple name, or by the one it had earlier where the build lacks that. */
-    private Class<?> type(String today) throws ClassNotFoundException {
+    private Class<?> type(String currentName) throws ClassNotFoundException {
         try {
-            return loader.loadClass("mothcross." + today);
+            return loader.loadClass("mothcross." + currentName);
         } catch (ClassNotFoundException e) {
-            return loader.loadClass("mothcross." + EarlierNames.type(today));
+            return loader.loadClass("mothcross." + EarlierNames.type(currentName));
         }
     }
 
     public DirectorFactory policy() {
         return (seed, workloads, places, may, told, caches, parents, purge) -> {
             Object[] args = {seed, workloads, places, may, told, caches, parents, purge};
-            for (int i = 0; i < args.length; i++) args[i] = over(args[i], make.getParameterTypes()[i]);
+            for (int i = 0; i < args.length; i++) args[i] = convert(args[i], constructor.getParameterTypes()[i]);
             try {
-                return new Earlier(make.newInstance(args));
+                return new EarlierDirector(constructor.newInstance(args));
             } catch (ReflectiveOperationException e) {
                 throw new IllegalStateException("the earlier module can't be made", e);
             }
@@ -65,51 +68,55 @@
     }
 
     /** A value of ours as one of theirs: records by the names of their parts, constants by name, arrays one by one. */
-    private Object over(Object ours, Class<?> theirs) {
-        if (ours == null || theirs.isInstance(ours) || theirs.isPrimitive()) return ours;
+    private Object convert(Object value, Class<?> targetType) {
+        if (value == null || targetType.isInstance(value) || targetType.isPrimitive()) return value;
         try {
-            if (theirs.isArray()) {
-                Object[] from = (Object[]) ours;
-                Object all = java.lang.reflect.Array.newInstance(theirs.getComponentType(), from.length);
-                for (int i = 0; i < from.length; i++) java.lang.reflect.Array.set(all, i, over(from[i],
-                    theirs.getComponentType()));
-                return all;
+            if (targetType.isArray()) {
+                Object[] elements = (Object[]) value;
+                Object array = java.lang.reflect.Array.newInstance(targetType.getComponentType(), elements.length);
+                for (int i = 0; i < elements.length; i++) java.lang.reflect.Array.set(array, i, convert(elements[i],
+                    targetType.getComponentType()));
+                return array;
             }
-            if (theirs.isEnum()) {
-                Enum<?> constant = (Enum<?>) ours;
-                for (Object c : theirs.getEnumConstants()) {
-                    if (isNamed(((Enum<?>) c).name(), constant.getDeclaringClass(), constant.name())) return c;
+            if (targetType.isEnum()) {
+                Enum<?> constant = (Enum<?>) value;
+                for (Object candidate : targetType.getEnumConstants()) {
+                    if (isNamed(((Enum<?>) candidate).name(), constant.getDeclaringClass(), constant.name())) {
+                        return candidate;
+                    }
                 }
             }
-            RecordComponent[] parts = theirs.getRecordComponents();
-            Class<?>[] types = new Class<?>[parts.length];
-            Object[] values = new Object[parts.length];
-            for (int i = 0; i < parts.length; i++) {
-                types[i] = parts[i].getType();
-                values[i] = over(component(ours, parts[i].getName()), types[i]);
+            RecordComponent[] components = targetType.getRecordComponents();
+            Class<?>[] types = new Class<?>[components.length];
+            Object[] values = new Object[components.length];
+            for (int i = 0; i < components.length; i++) {
+                types[i] = components[i].getType();
+                values[i] = convert(component(value, components[i].getName()), types[i]);
             }
-            return theirs.getDeclaredConstructor(types).newInstance(values);
+            return targetType.getDeclaredConstructor(types).newInstance(values);
         } catch (ReflectiveOperationException | RuntimeException e) {
-            throw new IllegalStateException("the earlier build has no " + theirs.getSimpleName() + " like ours", e);
+            throw new IllegalStateException("the earlier build has no " + targetType.getSimpleName() + " like ours", e);
         }
     }
 
     /** Whether a name in the earlier build is that of today's member, as it is or as it was. */
-    private static boolean isNamed(String theirs, Class<?> type, String today) {
-        return theirs.equals(today) || theirs.equals(EarlierNames.member(type, today));
+    private static boolean isNamed(String earlierName, Class<?> type, String currentName) {
+        return earlierName.equals(currentName) || earlierName.equals(EarlierNames.member(type, currentName));
     }
 
     /** The value of the component of one of our records that the earlier build calls {@code theirs}. */
-    private static Object component(Object ours, String theirs) throws ReflectiveOperationException {
-        for (RecordComponent c : ours.getClass().getRecordComponents()) {
-            if (isNamed(theirs, ours.getClass(), c.getName())) return c.getAccessor().invoke(ours);
+    private static Object component(Object value, String earlierName) throws ReflectiveOperationException {
+        for (RecordComponent component : value.getClass().getRecordComponents()) {
+            if (isNamed(earlierName, value.getClass(), component.getName())) {
+                return component.getAccessor().invoke(value);
+            }
         }
-        throw new NoSuchMethodException(theirs);
+        throw new NoSuchMethodException(earlierName);
     }
 
-    private static Object call(Method m, Object on, Object... args) {
+    private static Object invoke(Method method, Object target, Object... args) {
         try {
-            return m.invoke(on, args);
+            return method.invoke(target, args);
         } catch (InvocationTargetException e) {
             if (e.getCause() instanceof RuntimeException r) throw r;
             throw new IllegalStateException(e.getCause());
@@ -119,86 +126,87 @@
     }
 
     /** Calls go on by name; what it writes comes back by name. */
-    private final class Earlier implements Director {
-        private final Object module;
+    private final class EarlierDirector implements Director {
+        private final Object earlierDirector;
 
-        Earlier(Object module) {
-            this.module = module;
+        EarlierDirector(Object earlierDirector) {
+            this.earlierDirector = earlierDirector;
         }
 
-        private void on(String name, Object... args) {
-            Method m = calls.get(name + args.length);
-            if (m == null) m = calls.get(EarlierNames.member(Director.class, name) + args.length);
-            call(m, module, args);
+        private void forward(String name, Object... args) {
+            Method method = directorMethods.get(name + args.length);
+            if (method == null) method = directorMethods.get(EarlierNames.member(Director.class, name) + args.length);
+            invoke(method, earlierDirector, args);
         }
 
-        @Override public void process(double now, EventBatch in, DecisionWriter out) {
-            Object theirs = Proxy.newProxyInstance(loader, new Class<?>[] {reader}, (p, m, a) -> {
-                in.deliverTo(this);
+        @Override public void process(double now, EventBatch batch, DecisionWriter out) {
+            Object earlierBatch = Proxy.newProxyInstance(loader, new Class<?>[] {eventBatchType}, (p, m, a) -> {
+                batch.deliverTo(this);
                 return null;
             });
-            on("process", now, theirs, written(out));
+            forward("process", now, earlierBatch, writerProxy(out));
         }
 
-        private DecisionWriter last;
-        private Object lastWritten;
-        private final Map<String, Method> ours = new HashMap<>();
+        private DecisionWriter lastWriter;
+        private Object lastWriterProxy;
+        private final Map<String, Method> writerMethods = new HashMap<>();
 
-        private Object written(DecisionWriter out) {
-            if (last == out) return lastWritten;
+        private Object writerProxy(DecisionWriter writer) {
+            if (lastWriter == writer) return lastWriterProxy;
             for (Method m : DecisionWriter.class.getMethods()) {
-                ours.put(m.getName() + m.getParameterCount(), m);
-                ours.put(EarlierNames.member(DecisionWriter.class, m.getName()) + m.getParameterCount(), m);
+                writerMethods.put(m.getName() + m.getParameterCount(), m);
+                writerMethods.put(EarlierNames.member(DecisionWriter.class, m.getName()) + m.getParameterCount(), m);
             }
-            last = out;
-            lastWritten = Proxy.newProxyInstance(loader, new Class<?>[] {writer}, (p, m, a) ->
-                call(ours.get(m.getName() + m.getParameterCount()), out, a));
-            return lastWritten;
+            lastWriter = writer;
+            lastWriterProxy = Proxy.newProxyInstance(loader, new Class<?>[] {decisionWriterType}, (p, m, a) ->
+                invoke(writerMethods.get(m.getName() + m.getParameterCount()), writer, a));
+            return lastWriterProxy;
         }
 
-        @Override public void lookup(int l, int w, double expires, long object, int part, int group, double kb,
-            boolean repeat,
+        @Override public void lookup(int lookup, int workload, double expires, long object, int part, int group,
+            double kb, boolean repeat,
                                      boolean write, RouteConstraints by) {
-            on("lookup", l, w, expires, object, part, group, kb, repeat, write);
+            forward("lookup", lookup, workload, expires, object, part, group, kb, repeat, write);
         }
 
-        @Override public void hopEnded(int l, int hop, int node, int outcome, boolean isLast, int note, double spent,
+        @Override public void hopEnded(int lookup, int hop, int node, int outcome, boolean isLast, int note,
+            double spent,
                                        double sourceWait, double[] report) {
-            on("hopEnded", l, hop, node, outcome, isLast, note, spent, sourceWait, report);
+            forward("hopEnded", lookup, hop, node, outcome, isLast, note, spent, sourceWait, report);
         }
 
-        @Override public void streamStarted(int l, int hop) {
-            on("streamStarted", l, hop);
+        @Override public void streamStarted(int lookup, int hop) {
+            forward("streamStarted", lookup, hop);
         }
 
-        @Override public void clientDisconnected(int l) {
-            on("clientDisconnected", l);
+        @Override public void clientDisconnected(int lookup) {
+            forward("clientDisconnected", lookup);
         }
 
         @Override public void timerFired(long name) {
-            on("timerFired", name);
+            forward("timerFired", name);
         }
 
         @Override public void purged(long object, int group, double ago) {
-            on("purged", object, group, ago);
+            forward("purged", object, group, ago);
         }
 
         @Override public void probeCompleted(int node, int outcome, double spent, double[] report) {
-            on("probeCompleted", node, outcome, spent, report);
+            forward("probeCompleted", node, outcome, spent, report);
         }
 
         @Override public void listStarted(int news) {
-            on("listStarted", news);
+            forward("listStarted", news);
         }
 
         @Override public void nodeListed(int node, String address, int place, int kind, int cell, int standing,
             double units,
                                      double startedAt) {
-            on("nodeListed", node, address, place, kind, cell, standing, units, startedAt);
+            forward("nodeListed", node, address, place, kind, cell, standing, units, startedAt);
         }
 
         @Override public void listFinished() {
-            on("listFinished");
+            forward("listFinished");
         }
     }
 }
--- a/src/main/java/mothcross/emulator/EarlierNames.java
+++ b/src/main/java/mothcross/emulator/EarlierNames.java
@@ -61,12 +61,12 @@
     private EarlierNames() { }
 
     /** The earlier simple name of a type; today's where it was not renamed. */
-    static String type(String today) {
-        return TYPES.getOrDefault(today, today);
+    static String type(String currentName) {
+        return TYPES.getOrDefault(currentName, currentName);
     }
 
     /** The earlier name of a member of a type; today's where it was not renamed. */
-    static String member(Class<?> type, String today) {
-        return MEMBERS.getOrDefault(type.getSimpleName() + "#" + today, today);
+    static String member(Class<?> type, String currentName) {
+        return MEMBERS.getOrDefault(type.getSimpleName() + "#" + currentName, currentName);
     }
 }
--- a/src/main/java/mothcross/emulator/EventQueue.java
+++ b/src/main/java/mothcross/emulator/EventQueue.java
@@ -8,68 +8,68 @@
  * that a run is the same to the byte by its seed. Owns the time; must never look at a real clock.
  */
 final class EventQueue {
-    private double[] at = new double[1024];
-    private long[] order = new long[1024];
-    private Runnable[] what = new Runnable[1024];
+    private double[] dueAt = new double[1024];
+    private long[] sequence = new long[1024];
+    private Runnable[] actions = new Runnable[1024];
     private int size;
-    private long set;
-    double now;
+    private long nextSequence;
+    double nowMs;
 
-    void at(double t, Runnable r) {
-        if (size == at.length) {
-            at = Arrays.copyOf(at, 2 * size);
-            order = Arrays.copyOf(order, 2 * size);
-            what = Arrays.copyOf(what, 2 * size);
+    void schedule(double atMs, Runnable action) {
+        if (size == dueAt.length) {
+            dueAt = Arrays.copyOf(dueAt, 2 * size);
+            sequence = Arrays.copyOf(sequence, 2 * size);
+            actions = Arrays.copyOf(actions, 2 * size);
         }
         int i = size++;
-        double time = Math.max(t, now);
-        long n = set++;
-        for (int up; i > 0 && later(up = (i - 1) / 2, time, n); i = up) move(up, i);
-        at[i] = time;
-        order[i] = n;
-        what[i] = r;
+        double dueTime = Math.max(atMs, nowMs);
+        long number = nextSequence++;
+        for (int parent; i > 0 && isAfter(parent = (i - 1) / 2, dueTime, number); i = parent) move(parent, i);
+        dueAt[i] = dueTime;
+        sequence[i] = number;
+        actions[i] = action;
     }
 
-    void in(double ms, Runnable r) {
-        at(now + ms, r);
+    void scheduleAfter(double delayMs, Runnable action) {
+        schedule(nowMs + delayMs, action);
     }
 
-    private boolean later(int i, double t, long n) {
-        return at[i] > t || at[i] == t && order[i] > n;
+    private boolean isAfter(int i, double time, long number) {
+        return dueAt[i] > time || dueAt[i] == time && sequence[i] > number;
     }
 
     private void move(int from, int to) {
-        at[to] = at[from];
-        order[to] = order[from];
-        what[to] = what[from];
+        dueAt[to] = dueAt[from];
+        sequence[to] = sequence[from];
+        actions[to] = actions[from];
     }
 
     /** Plays until nothing is due before {@code end}; the number of events played. */
-    long run(double end) {
-        long played = 0;
-        while (size > 0 && at[0] <= end) {
-            Runnable r = what[0];
-            now = at[0];
+    long run(double endMs) {
+        long executed = 0;
+        while (size > 0 && dueAt[0] <= endMs) {
+            Runnable action = actions[0];
+            nowMs = dueAt[0];
             size--;
-            double t = at[size];
-            long n = order[size];
-            Runnable last = what[size];
-            what[size] = null;
+            double lastDueAt = dueAt[size];
+            long lastSequence = sequence[size];
+            Runnable lastAction = actions[size];
+            actions[size] = null;
             int i = 0;
-            for (int down; (down = 2 * i + 1) < size; i = down) {
-                if (down + 1 < size && later(down, at[down + 1], order[down + 1])) down++;
-                if (later(down, t, n)) break;
-                move(down, i);
+            for (int child; (child = 2 * i + 1) < size; i = child) {
+                if (child + 1 < size && isAfter(child, dueAt[child + 1], sequence[child + 1])) child++;
+                if (isAfter(child, lastDueAt, lastSequence)) break;
+                move(child, i);
             }
             if (size > 0) {
-                at[i] = t;
-                order[i] = n;
-                what[i] = last;
+                dueAt[i] = lastDueAt;
+                sequence[i] = lastSequence;
+                actions[i] = lastAction;
             }
-            r.run();
-            played++;
+            action.run();
+            executed++;
         }
-        now = end;
-        return played;
+        nowMs = endMs;
+        return executed;
     }
 }
--- a/src/main/java/mothcross/emulator/FaultSchedule.java
+++ b/src/main/java/mothcross/emulator/FaultSchedule.java
@@ -13,7 +13,7 @@
  */
 public final class FaultSchedule {
     /** One line, taken apart. */
-    private record Line(double at, String what, String whom, double value, double lasts, String text) { }
+    private record Line(double atMs, String kind, String target, double value, double durationMs, String text) { }
 
     private static final List<String> KINDS = List.of("crash", "vanish", "drain", "slow", "stall", "purge",
         "origin-slow",
@@ -22,31 +22,33 @@
 
     /** Throws with the line's number where one can't be read. */
     public static FaultSchedule of(String text) {
-        FaultSchedule s = new FaultSchedule();
+        FaultSchedule schedule = new FaultSchedule();
         int number = 0;
         for (String raw : text.split("\n")) {
             number++;
             String line = raw.replaceAll("#.*", "").strip();
-            if (!line.isEmpty()) s.add(line, number);
+            if (!line.isEmpty()) schedule.add(line, number);
         }
-        return s;
+        return schedule;
     }
 
     private void add(String line, int number) {
-        String[] p = line.split(" +");
+        String[] words = line.split(" +");
         try {
-            double at = Double.parseDouble(p[0]);
-            if (!KINDS.contains(p[1])) throw new IllegalArgumentException("no such fault '" + p[1] + "', known are "
+            double atMs = Double.parseDouble(words[0]);
+            if (!KINDS.contains(words[1])) throw new IllegalArgumentException("no such fault '" + words[1]
+                + "', known are "
                 + KINDS);
-            String whom = "";
-            double value = 1, lasts = 0;
-            for (int i = 2; i < p.length; i++) {
-                if (p[i].equals("for")) lasts = Double.parseDouble(p[++i]);
-                else if (p[i].equals("by")) value = Double.parseDouble(p[++i]);
-                else whom = whom.isEmpty() ? p[i] : whom + " " + p[i];
+            String target = "";
+            double value = 1;
+            double durationMs = 0;
+            for (int i = 2; i < words.length; i++) {
+                if (words[i].equals("for")) durationMs = Double.parseDouble(words[++i]);
+                else if (words[i].equals("by")) value = Double.parseDouble(words[++i]);
+                else target = target.isEmpty() ? words[i] : target + " " + words[i];
             }
-            whom(whom, p[1]);
-            lines.add(new Line(at, p[1], whom, value, lasts, line));
+            checkTarget(target, words[1]);
+            lines.add(new Line(atMs, words[1], target, value, durationMs, line));
         } catch (ArrayIndexOutOfBoundsException | NumberFormatException e) {
             throw new IllegalArgumentException("line " + number + " '" + line
                 + "': AT WHAT [WHOM] [by N] [for MS] is expected", e);
@@ -55,14 +57,14 @@
         }
     }
 
-    /** {@code cache 3}, {@code caches 0.25}, {@code place 1}, {@code parent 0}, {@code parents 0.5},
+    /** {@code cache 3}, {@code caches 0.25}, {@code zone 1}, {@code parent 0}, {@code parents 0.5},
         {@code director 2}, empty. */
-    private static void whom(String whom, String what) {
-        if (!whom.matches("|(cache|parent|place|director) [0-9]+|(caches|parents|directors) [0-9.]+")) {
-            throw new IllegalArgumentException("'" + whom + "' names nobody");
+    private static void checkTarget(String target, String kind) {
+        if (!target.matches("|(cache|parent|place|director) [0-9]+|(caches|parents|directors) [0-9.]+")) {
+            throw new IllegalArgumentException("'" + target + "' names nobody");
         }
-        boolean needs = List.of("crash", "vanish", "drain", "slow", "stall", "link", "cut", "kill").contains(what);
-        if (needs && whom.isEmpty()) throw new IllegalArgumentException("whom does it befall?");
+        boolean required = List.of("crash", "vanish", "drain", "slow", "stall", "link", "cut", "kill").contains(kind);
+        if (required && target.isEmpty()) throw new IllegalArgumentException("whom does it befall?");
     }
 
     public int size() {
@@ -70,190 +72,198 @@
     }
 
     /** Without one of its lines: for shrinking a script to what matters. */
-    public FaultSchedule without(int i) {
-        FaultSchedule s = new FaultSchedule();
-        s.lines.addAll(lines);
-        s.lines.remove(i);
-        return s;
+    public FaultSchedule without(int index) {
+        FaultSchedule schedule = new FaultSchedule();
+        schedule.lines.addAll(lines);
+        schedule.lines.remove(index);
+        return schedule;
     }
 
     /** With each span halved, or each number nearer to harmless: the same kinds in a milder form. */
     public FaultSchedule milder() {
-        FaultSchedule s = new FaultSchedule();
-        for (Line l : lines) {
-            double value = l.value > 1 ? 1 + (l.value - 1) / 2 : l.value;
-            Line m = new Line(l.at, l.what, l.whom, value, l.lasts / 2, null);
-            s.lines.add(new Line(l.at, l.what, l.whom, value, l.lasts / 2, m.at + " " + m.what + (m.whom.isEmpty()
-                ? "" : " " + m.whom)
-                + String.format(Locale.ROOT, " by %s for %s", value, m.lasts)));
+        FaultSchedule schedule = new FaultSchedule();
+        for (Line line : lines) {
+            double value = line.value > 1 ? 1 + (line.value - 1) / 2 : line.value;
+            Line milder = new Line(line.atMs, line.kind, line.target, value, line.durationMs / 2, null);
+            schedule.lines.add(new Line(line.atMs, line.kind, line.target, value, line.durationMs / 2, milder.atMs
+                + " " + milder.kind + (milder.target.isEmpty()
+                ? "" : " " + milder.target)
+                + String.format(Locale.ROOT, " by %s for %s", value, milder.durationMs)));
         }
-        return s;
+        return schedule;
     }
 
     /** A script drawn by chance: so many faults over a run of these seconds. */
-    public static FaultSchedule drawn(SplittableRandom r, int faults, ScenarioParameters t) {
-        StringBuilder s = new StringBuilder();
-        int caches = t.count("caches") * t.count("places");
+    public static FaultSchedule random(SplittableRandom random, int faults, ScenarioParameters scenario) {
+        StringBuilder text = new StringBuilder();
+        int cacheCount = scenario.count("caches") * scenario.count("places");
         for (int i = 0; i < faults; i++) {
-            int at = 2000 + r.nextInt((int) (700 * t.get("seconds"))), lasts = 1000 + r.nextInt(9000);
-            String cache = "cache " + r.nextInt(caches), some = String.format(Locale.ROOT, "caches %.2f", 0.1
-                + 0.4 * r.nextDouble());
-            String what = switch (r.nextInt(14)) {
-                case 0 -> "crash " + (r.nextBoolean() ? cache : some);
+            int atMs = 2000 + random.nextInt((int) (700 * scenario.get("seconds"))), durationMs = 1000
+                + random.nextInt(9000);
+            String cache = "cache " + random.nextInt(cacheCount), caches = String.format(Locale.ROOT, "caches %.2f", 0.1
+                + 0.4 * random.nextDouble());
+            String fault = switch (random.nextInt(14)) {
+                case 0 -> "crash " + (random.nextBoolean() ? cache : caches);
                 case 1 -> "vanish " + cache;
-                case 2 -> "drain " + (r.nextBoolean() ? cache : some);
-                case 3 -> "slow " + cache + " by " + (2 + r.nextInt(8));
+                case 2 -> "drain " + (random.nextBoolean() ? cache : caches);
+                case 3 -> "slow " + cache + " by " + (2 + random.nextInt(8));
                 case 4 -> "stall " + cache;
-                case 5 -> "purge by " + (1 + r.nextInt(40));
-                case 6 -> "origin-slow by " + (2 + r.nextInt(4));
+                case 5 -> "purge by " + (1 + random.nextInt(40));
+                case 6 -> "origin-slow by " + (2 + random.nextInt(4));
                 case 7 -> "origin-stop";
-                case 8 -> "link place " + r.nextInt(t.count("places")) + " by " + (2 + r.nextInt(3));
-                case 9 -> "news by " + (2 + r.nextInt(4));
-                case 10 -> "scan by " + String.format(Locale.ROOT, "%.2f", 0.05 + 0.2 * r.nextDouble());
-                case 11 -> "load by " + String.format(Locale.ROOT, "%.2f", 1.2 + r.nextDouble());
-                case 12 -> "crash parent " + r.nextInt(t.count("parents"));
-                default -> "kill director " + r.nextInt(t.count("directors") * t.count("places"));
+                case 8 -> "link place " + random.nextInt(scenario.count("places")) + " by " + (2 + random.nextInt(3));
+                case 9 -> "news by " + (2 + random.nextInt(4));
+                case 10 -> "scan by " + String.format(Locale.ROOT, "%.2f", 0.05 + 0.2 * random.nextDouble());
+                case 11 -> "load by " + String.format(Locale.ROOT, "%.2f", 1.2 + random.nextDouble());
+                case 12 -> "crash parent " + random.nextInt(scenario.count("parents"));
+                default -> "kill director " + random.nextInt(scenario.count("directors") * scenario.count("places"));
             };
-            s.append(at).append(' ').append(what).append(" for ").append(lasts).append('\n');
+            text.append(atMs).append(' ').append(fault).append(" for ").append(durationMs).append('\n');
         }
-        return of(s.toString());
+        return of(text.toString());
     }
 
     @Override public String toString() {
-        StringBuilder s = new StringBuilder();
-        for (Line l : lines) s.append(l.text).append('\n');
-        return s.toString();
+        StringBuilder text = new StringBuilder();
+        for (Line line : lines) text.append(line.text).append('\n');
+        return text.toString();
     }
 
     // ---- what each does ----
 
-    void set(Simulation w) {
-        for (Line l : lines) w.clock.in(l.at, () -> befalls(w, l));
+    void scheduleOn(Simulation simulation) {
+        for (Line line : lines) simulation.clock.scheduleAfter(line.atMs, () -> inject(simulation, line));
     }
 
-    private static List<SimulatedNode> boxes(Simulation w, String whom) {
-        String[] p = whom.split(" ");
-        List<SimulatedNode> caches = w.boxes.stream().filter(b -> b.kind == SimulatedNode.CACHE).toList();
-        List<SimulatedNode> parents = w.boxes.stream().filter(b -> b.kind == SimulatedNode.PARENT).toList();
-        double n = Double.parseDouble(p[1]);
-        return switch (p[0]) {
-            case "cache" -> List.of(caches.get((int) n % caches.size()));
-            case "parent" -> List.of(parents.get((int) n % parents.size()));
-            case "place" -> caches.stream().filter(b -> b.place == (int) n).toList();
-            case "caches" -> some(caches, n);
-            case "parents" -> some(parents, n);
+    private static List<SimulatedNode> nodes(Simulation simulation, String target) {
+        String[] words = target.split(" ");
+        List<SimulatedNode> caches = simulation.nodes.stream().filter(b -> b.kind == SimulatedNode.CACHE).toList();
+        List<SimulatedNode> parents = simulation.nodes.stream().filter(b -> b.kind == SimulatedNode.PARENT).toList();
+        double number = Double.parseDouble(words[1]);
+        return switch (words[0]) {
+            case "cache" -> List.of(caches.get((int) number % caches.size()));
+            case "parent" -> List.of(parents.get((int) number % parents.size()));
+            case "place" -> caches.stream().filter(b -> b.zone == (int) number).toList();
+            case "caches" -> spread(caches, number);
+            case "parents" -> spread(parents, number);
             default -> List.of();
         };
     }
 
     /** Every so manieth, spread over all: the same ones in each run. */
-    private static <T> List<T> some(List<T> all, double share) {
-        List<T> some = new ArrayList<>();
-        for (int i = 0; i < all.size(); i++) if ((int) ((i + 1) * share) > (int) (i * share)) some.add(all.get(i));
-        return some;
+    private static <T> List<T> spread(List<T> all, double share) {
+        List<T> selected = new ArrayList<>();
+        for (int i = 0; i < all.size(); i++) if ((int) ((i + 1) * share) > (int) (i * share)) selected.add(all.get(i));
+        return selected;
     }
 
-    private static void befalls(Simulation w, Line l) {
-        EventQueue c = w.clock;
-        switch (l.what) {
-            case "crash" -> boxes(w, l.whom).forEach(b -> {
-                b.stop();
-                w.tell(b, Director.REMOVED);
-                c.in(l.lasts, () -> back(w, b));
+    private static void inject(Simulation simulation, Line line) {
+        EventQueue clock = simulation.clock;
+        switch (line.kind) {
+            case "crash" -> nodes(simulation, line.target).forEach(node -> {
+                node.stop();
+                simulation.publishStatus(node, Director.REMOVED);
+                clock.scheduleAfter(line.durationMs, () -> restart(simulation, node));
             });
-            case "vanish" -> boxes(w, l.whom).forEach(b -> {
-                b.silent = true;
-                c.in(l.lasts, () -> {
-                    if (b.silent && b.up) b.stop();
-                    back(w, b);
+            case "vanish" -> nodes(simulation, line.target).forEach(node -> {
+                node.silent = true;
+                clock.scheduleAfter(line.durationMs, () -> {
+                    if (node.silent && node.up) node.stop();
+                    restart(simulation, node);
                 });
             });
-            case "drain" -> boxes(w, l.whom).forEach(b -> {
-                w.tell(b, Director.DRAINING);
+            case "drain" -> nodes(simulation, line.target).forEach(node -> {
+                simulation.publishStatus(node, Director.DRAINING);
                 // A release waits for the news and what is open before it ends the process.
-                c.in(4 * w.town.get("news_ms"), () -> {
-                    if (b.standing != Director.DRAINING) return;
-                    b.stop();
-                    w.tell(b, Director.REMOVED);
-                    c.in(l.lasts, () -> back(w, b));
+                clock.scheduleAfter(4 * simulation.scenario.get("news_ms"), () -> {
+                    if (node.status != Director.DRAINING) return;
+                    node.stop();
+                    simulation.publishStatus(node, Director.REMOVED);
+                    clock.scheduleAfter(line.durationMs, () -> restart(simulation, node));
                 });
             });
-            case "slow" -> boxes(w, l.whom).forEach(b -> {
-                b.slowed(l.value);
-                c.in(l.lasts, () -> b.slowed(1));
+            case "slow" -> nodes(simulation, line.target).forEach(node -> {
+                node.setSlowdown(line.value);
+                clock.scheduleAfter(line.durationMs, () -> node.setSlowdown(1));
             });
-            case "stall" -> boxes(w, l.whom).forEach(b -> b.stalledUntil = c.now + l.lasts);
+            case "stall" -> nodes(simulation, line.target).forEach(node -> node.stalledUntil = clock.nowMs
+                + line.durationMs);
             case "purge" -> {
-                for (int i = 0; i < l.value; i++) {
+                for (int i = 0; i < line.value; i++) {
                     int group = i;
-                    c.in(l.lasts * i / Math.max(1, l.value), () -> w.purge(group));
+                    clock.scheduleAfter(line.durationMs * i / Math.max(1, line.value), () -> simulation.purge(group));
                 }
             }
             case "origin-slow" -> {
-                w.origin().slowed(l.value);
-                c.in(l.lasts, () -> w.origin().slowed(1));
+                simulation.origin().setSlowdown(line.value);
+                clock.scheduleAfter(line.durationMs, () -> simulation.origin().setSlowdown(1));
             }
             case "origin-stop" -> {
-                w.origin().up = false;
-                c.in(l.lasts, () -> w.origin().up = true);
+                simulation.origin().up = false;
+                clock.scheduleAfter(line.durationMs, () -> simulation.origin().up = true);
             }
             case "link" -> {
-                int place = place(w, l.whom);
-                w.linkOf(place).flows(w.town.get("link_flows") / l.value);
-                c.in(l.lasts, () -> w.linkOf(place).flows(w.town.get("link_flows")));
+                int zone = zone(simulation, line.target);
+                simulation.zoneLink(zone).setCapacity(simulation.scenario.get("link_flows") / line.value);
+                clock.scheduleAfter(line.durationMs,
+                    () -> simulation.zoneLink(zone).setCapacity(simulation.scenario.get("link_flows")));
             }
             case "news" -> {
-                w.newsTimes = l.value;
-                c.in(l.lasts, () -> w.newsTimes = 1);
+                simulation.discoveryDelayFactor = line.value;
+                clock.scheduleAfter(line.durationMs, () -> simulation.discoveryDelayFactor = 1);
             }
             case "cut" -> {
-                int place = place(w, l.whom);
-                w.cutOff.add(place);
-                c.in(l.lasts, () -> w.cutOff.remove(place));
+                int zone = zone(simulation, line.target);
+                simulation.isolatedZones.add(zone);
+                clock.scheduleAfter(line.durationMs, () -> simulation.isolatedZones.remove(zone));
             }
             case "hot", "scan", "load" -> {
-                for (int p = 0; p < w.town.count("places"); p++) {
-                    LoadGenerator d = w.demandAt(p);
-                    demand(d, l.what, l.value);
-                    c.in(l.lasts, () -> demand(d, l.what, l.what.equals("load") ? 1 : 0));
+                for (int zone = 0; zone < simulation.scenario.count("places"); zone++) {
+                    LoadGenerator generator = simulation.loadGenerator(zone);
+                    setLoad(generator, line.kind, line.value);
+                    clock.scheduleAfter(line.durationMs, () ->
+                        setLoad(generator, line.kind, line.kind.equals("load") ? 1 : 0));
                 }
             }
-            case "kill" -> hosts(w, l.whom).forEach(h -> kill(w, h, l.lasts));
+            case "kill" -> directors(simulation, line.target).forEach(director ->
+                kill(simulation, director, line.durationMs));
             default -> {
-                double each = l.lasts / Math.max(1, w.hosts.size());
-                for (int i = 0; i < w.hosts.size(); i++) {
-                    SimulatedDirector h = w.hosts.get(i);
-                    c.in(each * i, () -> kill(w, h, Math.max(500, each)));
+                double intervalMs = line.durationMs / Math.max(1, simulation.directors.size());
+                for (int i = 0; i < simulation.directors.size(); i++) {
+                    SimulatedDirector director = simulation.directors.get(i);
+                    clock.scheduleAfter(intervalMs * i, () -> kill(simulation, director, Math.max(500, intervalMs)));
                 }
             }
         }
     }
 
-    private static void kill(Simulation w, SimulatedDirector h, double lasts) {
-        if (h.dead) return;
-        h.kill();
-        w.clock.in(lasts, h::begin);
+    private static void kill(Simulation simulation, SimulatedDirector director, double durationMs) {
+        if (director.down) return;
+        director.kill();
+        simulation.clock.scheduleAfter(durationMs, director::start);
     }
 
-    private static int place(Simulation w, String whom) {
-        return (int) Double.parseDouble(whom.split(" ")[1]) % w.town.count("places");
+    private static int zone(Simulation simulation, String target) {
+        return (int) Double.parseDouble(target.split(" ")[1]) % simulation.scenario.count("places");
     }
 
-    private static List<SimulatedDirector> hosts(Simulation w, String whom) {
-        String[] p = whom.split(" ");
-        double n = Double.parseDouble(p[1]);
-        return p[0].equals("director") ? List.of(w.hosts.get((int) n % w.hosts.size())) : some(w.hosts, n);
+    private static List<SimulatedDirector> directors(Simulation simulation, String target) {
+        String[] words = target.split(" ");
+        double number = Double.parseDouble(words[1]);
+        return words[0].equals("director")
+            ? List.of(simulation.directors.get((int) number % simulation.directors.size()))
+            : spread(simulation.directors, number);
     }
 
-    private static void demand(LoadGenerator d, String what, double value) {
-        if (what.equals("load")) d.times = value;
-        else if (what.equals("hot")) d.hotShare = value;
-        else d.scanShare = value;
+    private static void setLoad(LoadGenerator generator, String kind, double value) {
+        if (kind.equals("load")) generator.rateFactor = value;
+        else if (kind.equals("hot")) generator.hotShare = value;
+        else generator.scanShare = value;
     }
 
-    private static void back(Simulation w, SimulatedNode b) {
-        if (b.up && !b.silent || b.fell) return;
-        b.start(w.clock.now);
-        w.tell(b, Director.IN_SERVICE);
+    private static void restart(Simulation simulation, SimulatedNode node) {
+        if (node.up && !node.silent || node.overloaded) return;
+        node.start(simulation.clock.nowMs);
+        simulation.publishStatus(node, Director.IN_SERVICE);
     }
 }
--- a/src/main/java/mothcross/emulator/Hop.java
+++ b/src/main/java/mothcross/emulator/Hop.java
@@ -3,43 +3,48 @@
 /** One hop on its way, as boxes see it. Owns what it asks and whether somebody still waits; tells its end once. */
 final class Hop {
     /** How a box ends it: outcome and note in the module's words, and how long its source was waited for. */
-    interface Ends {
-        void end(int outcome, int note, double sourceWait, CacheStore.Copy copy);
+    interface CompletionListener {
+        void completed(int outcome, int note, double sourceWaitMs, CacheStore.Copy copy);
     }
 
     final long key;
-    final int group, rank, how;
-    final double kb, ownMs, oldest, sentAt;
+    final int group;
+    final int rank;
+    final int flags;
+    final double kb;
+    final double fullRateMs;
+    final double maxAgeMs;
+    final double sentAt;
     final SimulatedNode source;             // null: none
-    private final Ends ends;
+    private final CompletionListener listener;
     boolean over;
     boolean neverRan;                       // its end proved that it did not
-    BandwidthLink.Job sending;
-    BandwidthLink on;
+    BandwidthLink.Job transfer;
+    BandwidthLink transferLink;
 
-    Hop(long key, int group, double kb, double ownMs, SimulatedNode source, int rank, double oldest, int how,
-        double sentAt, Ends ends) {
+    Hop(long key, int group, double kb, double fullRateMs, SimulatedNode source, int rank, double maxAgeMs, int flags,
+        double sentAt, CompletionListener listener) {
         this.key = key;
         this.group = group;
         this.kb = kb;
-        this.ownMs = ownMs;
+        this.fullRateMs = fullRateMs;
         this.source = source;
         this.rank = rank;
-        this.oldest = oldest;
-        this.how = how;
+        this.maxAgeMs = maxAgeMs;
+        this.flags = flags;
         this.sentAt = sentAt;
-        this.ends = ends;
+        this.listener = listener;
     }
 
-    void end(int outcome, int note, double sourceWait, CacheStore.Copy copy) {
+    void complete(int outcome, int note, double sourceWaitMs, CacheStore.Copy copy) {
         if (over) return;
         over = true;
-        ends.end(outcome, note, sourceWait, copy);
+        listener.completed(outcome, note, sourceWaitMs, copy);
     }
 
     /** Nobody waits any more: what is being sent stops. */
-    void drop() {
+    void cancel() {
         over = true;
-        if (sending != null) on.drop(sending);
+        if (transfer != null) transferLink.cancel(transfer);
     }
 }
--- a/src/main/java/mothcross/emulator/LoadGenerator.java
+++ b/src/main/java/mothcross/emulator/LoadGenerator.java
@@ -9,17 +9,20 @@
  */
 final class LoadGenerator {
     /** What a client wants, over all its tries; worth is counted once. */
-    static final class Wish {
-        final double at, kb, ownMs;
+    static final class Request {
+        final double startedAtMs;
+        final double kb;
+        final double fullRateMs;
         final long object;
         final int group;
-        boolean handled, inTime;
-        int tries;
+        boolean succeeded;
+        boolean onTime;
+        int attempts;
 
-        Wish(double at, double kb, double ownMs, long object, int group) {
-            this.at = at;
+        Request(double startedAtMs, double kb, double fullRateMs, long object, int group) {
+            this.startedAtMs = startedAtMs;
             this.kb = kb;
-            this.ownMs = ownMs;
+            this.fullRateMs = fullRateMs;
             this.object = object;
             this.group = group;
         }
@@ -27,117 +30,131 @@
 
     /** One try of it at one director. */
     static final class Lookup {
-        final Wish wish;
-        final SimulatedDirector host;
-        final int run, group;
-        final double expires;
-        final boolean onceOnly;
-        boolean answered, mayHaveRun;
+        final Request request;
+        final SimulatedDirector director;
+        final int directorIncarnation;
+        final int group;
+        final double expiresAt;
+        final boolean nonIdempotent;
+        boolean answered;
+        boolean mayHaveRun;
         int index;
 
-        Lookup(Wish wish, SimulatedDirector host, double expires, boolean onceOnly) {
-            this.wish = wish;
-            this.host = host;
-            this.run = host.run;
-            this.group = wish.group;
-            this.expires = expires;
-            this.onceOnly = onceOnly;
+        Lookup(Request request, SimulatedDirector director, double expiresAt, boolean nonIdempotent) {
+            this.request = request;
+            this.director = director;
+            this.directorIncarnation = director.incarnation;
+            this.group = request.group;
+            this.expiresAt = expiresAt;
+            this.nonIdempotent = nonIdempotent;
         }
     }
 
     private static final int GROUPS = 64;
-    private static final double BACKSTOP_MS = 20;           // hops end with the client's time, and its answer with them
-    private final Simulation w;
-    private final int place;
-    private final SplittableRandom chance;
-    private final double[] cumulated;
-    private long oneOffs;
+    // hops end with the client's time, and its answer with them
+    private static final double TIMEOUT_GRACE_MS = 20;
+    private final Simulation simulation;
+    private final int zone;
+    private final SplittableRandom random;
+    private final double[] cumulativePopularity;
+    private long oneOffCount;
     /** Times the usual rate, and the share of lookups for one object; faults move both. */
-    double times = 1, hotShare, scanShare;
+    double rateFactor = 1;
+    double hotShare;
+    double scanShare;
 
-    LoadGenerator(Simulation w, int place, SplittableRandom chance) {
-        this.w = w;
-        this.place = place;
-        this.chance = chance;
-        int n = Math.max(1, w.town.count("objects"));
-        cumulated = new double[n];
-        double sum = 0, s = w.town.get("zipf");
-        for (int i = 0; i < n; i++) cumulated[i] = sum += Math.pow(i + 1, -s);
-        for (int i = 0; i < n; i++) cumulated[i] /= sum;
+    LoadGenerator(Simulation simulation, int zone, SplittableRandom random) {
+        this.simulation = simulation;
+        this.zone = zone;
+        this.random = random;
+        int count = Math.max(1, simulation.scenario.count("objects"));
+        cumulativePopularity = new double[count];
+        double sum = 0;
+        double exponent = simulation.scenario.get("zipf");
+        for (int i = 0; i < count; i++) cumulativePopularity[i] = sum += Math.pow(i + 1, -exponent);
+        for (int i = 0; i < count; i++) cumulativePopularity[i] /= sum;
     }
 
     /** Lookups a second at this place: the load's share of what its caches can send. */
-    double perMs() {
-        ScenarioParameters t = w.town;
-        double meanMs = t.get("kb") / t.get("flow_kb_ms");
-        return times * t.get("load") * t.get("caches") * t.get("cache_flows") / meanMs;
+    double requestsPerMs() {
+        ScenarioParameters scenario = simulation.scenario;
+        double meanTransferMs = scenario.get("kb") / scenario.get("flow_kb_ms");
+        return rateFactor * scenario.get("load") * scenario.get("caches") * scenario.get("cache_flows")
+            / meanTransferMs;
     }
 
-    void begin() {
-        w.clock.in(-Math.log(1 - chance.nextDouble()) / perMs(), this::arrives);
+    void scheduleArrival() {
+        simulation.clock.scheduleAfter(-Math.log(1 - random.nextDouble()) / requestsPerMs(), this::arrive);
     }
 
-    private void arrives() {
-        ScenarioParameters t = w.town;
-        if (w.elapsed() >= 1000 * t.get("seconds")) return;
-        begin();
-        long object = object();
+    private void arrive() {
+        ScenarioParameters scenario = simulation.scenario;
+        if (simulation.elapsedMs() >= 1000 * scenario.get("seconds")) return;
+        scheduleArrival();
+        long object = drawObject();
         // The size goes by the object, so that it is the same each time.
-        SplittableRandom own = new SplittableRandom(object * 0x9e3779b97f4a7c15L);
-        double sigma = t.get("kb_sigma"), kb = t.get("kb") * Math.exp(sigma * gauss(own) - sigma * sigma / 2);
-        kb = Math.min(kb, t.get("kb") * 20);
-        Wish wish = new Wish(w.elapsed(), kb, kb / t.get("flow_kb_ms"), object, (int) Math.floorMod(object,
-            (long) GROUPS));
-        w.result.wished(wish);
-        ask(wish);
+        SplittableRandom objectRandom = new SplittableRandom(object * 0x9e3779b97f4a7c15L);
+        double sigma = scenario.get("kb_sigma"),
+            kb = scenario.get("kb") * Math.exp(sigma * gaussian(objectRandom) - sigma * sigma / 2);
+        kb = Math.min(kb, scenario.get("kb") * 20);
+        Request request = new Request(simulation.elapsedMs(), kb, kb / scenario.get("flow_kb_ms"), object,
+            (int) Math.floorMod(object, (long) GROUPS));
+        simulation.result.requestStarted(request);
+        sendLookup(request);
     }
 
-    private long object() {
-        if (chance.nextDouble() < w.town.get("one_offs") + scanShare) return (1L << 50) + ((long) place << 40)
-            + oneOffs++;
-        if (chance.nextDouble() < hotShare) return 7;
-        double u = chance.nextDouble();
-        int low = 0, high = cumulated.length - 1;
+    private long drawObject() {
+        if (random.nextDouble() < simulation.scenario.get("one_offs") + scanShare)
+            return (1L << 50) + ((long) zone << 40)
+            + oneOffCount++;
+        if (random.nextDouble() < hotShare) return 7;
+        double uniform = random.nextDouble();
+        int low = 0;
+        int high = cumulativePopularity.length - 1;
         while (low < high) {
-            int mid = (low + high) / 2;
-            if (cumulated[mid] < u) low = mid + 1;
-            else high = mid;
+            int middle = (low + high) / 2;
+            if (cumulativePopularity[middle] < uniform) low = middle + 1;
+            else high = middle;
         }
         // Popularity wanders over the objects by so many ranks a second.
-        long shift = (long) (w.town.get("drift") * w.elapsed() / 1000);
-        long rank = (low + shift) % cumulated.length;
-        boolean common = new SplittableRandom(rank).nextDouble() < w.town.get("common");
-        return common ? rank : rank + ((long) (place + 1) << 32);
+        long shift = (long) (simulation.scenario.get("drift") * simulation.elapsedMs() / 1000);
+        long rank = (low + shift) % cumulativePopularity.length;
+        boolean common = new SplittableRandom(rank).nextDouble() < simulation.scenario.get("common");
+        return common ? rank : rank + ((long) (zone + 1) << 32);
     }
 
-    private double gauss(SplittableRandom r) {
-        double u = 1 - r.nextDouble(), v = r.nextDouble();
-        return Math.sqrt(-2 * Math.log(u)) * Math.cos(2 * Math.PI * v);
+    private double gaussian(SplittableRandom source) {
+        double radius = 1 - source.nextDouble();
+        double angle = source.nextDouble();
+        return Math.sqrt(-2 * Math.log(radius)) * Math.cos(2 * Math.PI * angle);
     }
 
-    private void ask(Wish wish) {
-        SimulatedDirector h = w.hostAt(place, chance);
-        wish.tries++;
-        if (h == null) {
-            again(wish, w.town.get("retry_ms"));
+    private void sendLookup(Request request) {
+        SimulatedDirector director = simulation.pickDirector(zone, random);
+        request.attempts++;
+        if (director == null) {
+            retry(request, simulation.scenario.get("retry_ms"));
             return;
         }
-        double wait = w.town.get("abandon");
-        Lookup l = new Lookup(wish, h, w.clock.now + wait, chance.nextDouble() < w.town.get("once_only"));
-        w.clock.at(l.expires + BACKSTOP_MS, () -> {
-            if (l.answered) return;
-            w.check.timeIsUp(l);
-            if (l.run == h.run && !h.dead) h.left(l);
-            l.answered = true;
-            w.result.unanswered++;
+        double timeoutMs = simulation.scenario.get("abandon");
+        Lookup lookup = new Lookup(request, director, simulation.clock.nowMs + timeoutMs,
+            random.nextDouble() < simulation.scenario.get("once_only"));
+        simulation.clock.schedule(lookup.expiresAt + TIMEOUT_GRACE_MS, () -> {
+            if (lookup.answered) return;
+            simulation.ruleChecker.timedOut(lookup);
+            if (lookup.directorIncarnation == director.incarnation && !director.down) {
+                director.clientDisconnected(lookup);
+            }
+            lookup.answered = true;
+            simulation.result.unanswered++;
         });
-        h.ask(l);
+        director.startLookup(lookup);
     }
 
     /** Turned away, or its director died: it asks again, a few times, no sooner than it was told. */
-    void again(Wish wish, double after) {
-        if (wish.tries > w.town.count("retries")) return;
-        double wait = Math.max(after, w.town.get("retry_ms") * (0.5 + chance.nextDouble()));
-        w.clock.in(wait, () -> ask(wish));
+    void retry(Request request, double minDelayMs) {
+        if (request.attempts > simulation.scenario.count("retries")) return;
+        double delayMs = Math.max(minDelayMs, simulation.scenario.get("retry_ms") * (0.5 + random.nextDouble()));
+        simulation.clock.scheduleAfter(delayMs, () -> sendLookup(request));
     }
 }
--- a/src/main/java/mothcross/emulator/ScenarioParameters.java
+++ b/src/main/java/mothcross/emulator/ScenarioParameters.java
@@ -9,7 +9,7 @@
  * ms, sizes KB, the rest shares and counts. Owns the names; must never hold what happens.
  */
 public final class ScenarioParameters {
-    private static final Map<String, Double> USUAL = new LinkedHashMap<>();
+    private static final Map<String, Double> DEFAULTS = new LinkedHashMap<>();
 
     static {
         String[] all = {
@@ -28,28 +28,28 @@
             "report_ms 500", "straight 1", "connect_ms 400",
             // A director takes its list, is there so much later, and hears what it missed; 0: it serves before that.
             "boot_ms 0", "speak_ms 50", "waits_for_news 1"};
-        for (String s : all) USUAL.put(s.split(" ")[0], Double.parseDouble(s.split(" ")[1]));
+        for (String s : all) DEFAULTS.put(s.split(" ")[0], Double.parseDouble(s.split(" ")[1]));
     }
 
-    private final Map<String, Double> values = new LinkedHashMap<>(USUAL);
+    private final Map<String, Double> values = new LinkedHashMap<>(DEFAULTS);
 
     /** Throws where a name is none of a town's, or a value is out of what can be played. */
     public ScenarioParameters with(String name, double value) {
-        if (!USUAL.containsKey(name)) {
+        if (!DEFAULTS.containsKey(name)) {
             throw new IllegalArgumentException("a town has no '" + name + "'; it has " + String.join(", ",
-                USUAL.keySet()));
+                DEFAULTS.keySet()));
         }
         if (!(value >= 0 && value < 1e9)) throw new IllegalArgumentException(name + " = " + value + " can't be played");
-        ScenarioParameters t = new ScenarioParameters();
-        t.values.putAll(values);
-        t.values.put(name, value);
-        return t;
+        ScenarioParameters changed = new ScenarioParameters();
+        changed.values.putAll(values);
+        changed.values.put(name, value);
+        return changed;
     }
 
     double get(String name) {
-        Double v = values.get(name);
-        if (v == null) throw new IllegalArgumentException(name);
-        return v;
+        Double value = values.get(name);
+        if (value == null) throw new IllegalArgumentException(name);
+        return value;
     }
 
     int count(String name) {
--- a/src/main/java/mothcross/emulator/SimulatedDirector.java
+++ b/src/main/java/mothcross/emulator/SimulatedDirector.java
@@ -19,221 +19,235 @@
  * out and the bells; must never let the policy see what its rounds do not bring.
  */
 final class SimulatedDirector implements DecisionWriter {
-    private final Simulation w;
-    final int number, place;
-    private final DirectorFactory policy;
-    private final SplittableRandom chance;
+    private final Simulation simulation;
+    final int number;
+    final int zone;
+    private final DirectorFactory factory;
+    private final SplittableRandom random;
     private Director director;
-    private LookupIndexAllocator slots;
+    private LookupIndexAllocator indexAllocator;
     private LoadGenerator.Lookup[] lookups;
-    private final List<List<Hop>> hops = new ArrayList<>();
-    private boolean atWork;
-    private final List<EventBatch> later = new ArrayList<>();
-    boolean dead, booting;
-    private final List<Runnable> missed = new ArrayList<>();
-    int run;
-    long sent;
-    double newsDue;
+    private final List<List<Hop>> hopsByLookup = new ArrayList<>();
+    private boolean processing;
+    private final List<EventBatch> pendingBatches = new ArrayList<>();
+    boolean down;
+    boolean starting;
+    private final List<Runnable> missedUpdates = new ArrayList<>();
+    int incarnation;
+    long hopsSent;
+    double lastDeliveryAt;
 
-    SimulatedDirector(Simulation w, int number, int place, DirectorFactory policy, SplittableRandom chance) {
-        this.w = w;
+    SimulatedDirector(Simulation simulation, int number, int zone, DirectorFactory factory, SplittableRandom random) {
+        this.simulation = simulation;
         this.number = number;
-        this.place = place;
-        this.policy = policy;
-        this.chance = chance;
-        begin();
+        this.zone = zone;
+        this.factory = factory;
+        this.random = random;
+        start();
     }
 
     /**
      * A fresh start: it takes the list as it stands, is up some time later, and then hears what was told meanwhile:
      * before it takes the first lookup, or, where it does not wait for that, after.
      */
-    void begin() {
-        double boots = w.hosts.contains(this) ? w.town.get("boot_ms") : 0;
-        run++;
-        missed.clear();
-        booting = boots > 0;
-        if (!booting) dead = false;
-        start();
-        if (!booting) return;
-        int mine = run;
-        double speaks = boots + w.town.get("speak_ms");
-        w.clock.in(w.town.get("waits_for_news") > 0 ? speaks : boots, () -> {
-            if (mine == run) dead = false;
+    void start() {
+        double startUpMs = simulation.directors.contains(this) ? simulation.scenario.get("boot_ms") : 0;
+        incarnation++;
+        missedUpdates.clear();
+        starting = startUpMs > 0;
+        if (!starting) down = false;
+        createDirector();
+        if (!starting) return;
+        int startedIncarnation = incarnation;
+        double firstUpdateMs = startUpMs + simulation.scenario.get("speak_ms");
+        simulation.clock.scheduleAfter(simulation.scenario.get("waits_for_news") > 0 ? firstUpdateMs : startUpMs,
+            () -> {
+            if (startedIncarnation == incarnation) down = false;
         });
-        w.clock.in(speaks, () -> {
-            if (mine != run) return;
-            booting = false;
-            for (Runnable news : missed) news.run();
-            missed.clear();
+        simulation.clock.scheduleAfter(firstUpdateMs, () -> {
+            if (startedIncarnation != incarnation) return;
+            starting = false;
+            for (Runnable update : missedUpdates) update.run();
+            missedUpdates.clear();
         });
     }
 
     /** Told while it was not there to hear: it could have learned it, so it counts as told. */
-    void misses(Runnable news) {
-        missed.add(news);
+    void addMissedUpdate(Runnable update) {
+        missedUpdates.add(update);
     }
 
-    private void start() {
-        ScenarioParameters t = w.town;
-        slots = new LookupIndexAllocator();
+    private void createDirector() {
+        ScenarioParameters scenario = simulation.scenario;
+        indexAllocator = new LookupIndexAllocator();
         lookups = new LoadGenerator.Lookup[64];
-        hops.clear();
-        later.clear();
-        int places = t.count("places"), here = t.count("directors");
-        int[] at = new int[places + 1];
-        for (int i = 0; i < places; i++) at[i] = here;
-        director = policy.make(chance.nextLong(), new Workload[] {workload(t, false), workload(t, true)},
-            new Topology(place, at, here * places, SimulatedNode.PARENT, SimulatedNode.ORIGIN),
-            new Capabilities(t.count("hops"), true, true, t.get("straight") > 0, true, 1000),
-            new SiteParameters(true, true, false, t.get("flow_kb_ms"), t.get("link_flows")),
-            new SlowStartLimits(t.get("cold_floor"), t.get("cold_ms"), t.get("cold_breaks"), t.get("cold_span")),
-            new SlowStartLimits(t.get("parent_floor"), t.get("parent_cold_ms"), t.get("parent_breaks"),
-            t.get("cold_span")), t.get("purge_takes"));
-        w.check.starts(number);
-        boolean wasDead = dead;
-        dead = false;
-        round(to -> {
-            to.listStarted(Director.LIST_RESTORED);
-            for (SimulatedNode b : w.boxes) listed(to, b, b.standing);
-            to.listFinished();
+        hopsByLookup.clear();
+        pendingBatches.clear();
+        int zones = scenario.count("places");
+        int directorsPerZone = scenario.count("directors");
+        int[] directorsByZone = new int[zones + 1];
+        for (int i = 0; i < zones; i++) directorsByZone[i] = directorsPerZone;
+        director = factory.make(random.nextLong(), new Workload[] {workload(scenario, false), workload(scenario, true)},
+            new Topology(zone, directorsByZone, directorsPerZone * zones, SimulatedNode.PARENT, SimulatedNode.ORIGIN),
+            new Capabilities(scenario.count("hops"), true, true, scenario.get("straight") > 0, true, 1000),
+            new SiteParameters(true, true, false, scenario.get("flow_kb_ms"), scenario.get("link_flows")),
+            new SlowStartLimits(scenario.get("cold_floor"), scenario.get("cold_ms"), scenario.get("cold_breaks"),
+            scenario.get("cold_span")),
+            new SlowStartLimits(scenario.get("parent_floor"), scenario.get("parent_cold_ms"),
+            scenario.get("parent_breaks"), scenario.get("cold_span")), scenario.get("purge_takes"));
+        simulation.ruleChecker.directorStarted(number);
+        boolean wasDown = down;
+        down = false;
+        process(receiver -> {
+            receiver.listStarted(Director.LIST_RESTORED);
+            for (SimulatedNode node : simulation.nodes) listNode(receiver, node, node.status);
+            receiver.listFinished();
         });
-        dead = wasDead;
+        down = wasDown;
     }
 
-    private static Workload workload(ScenarioParameters t, boolean once) {
-        return new Workload(once ? Workload.Effect.NON_IDEMPOTENT : Workload.Effect.IDEMPOTENT,
+    private static Workload workload(ScenarioParameters scenario, boolean nonIdempotent) {
+        return new Workload(nonIdempotent ? Workload.Effect.NON_IDEMPOTENT : Workload.Effect.IDEMPOTENT,
             Workload.DeduplicationScope.ALL, 5000,
-            t.get("target"), t.get("stretch"), t.get("abandon"), 1, t.get("late_share"), t.get("fresh"), t.get("stale"),
-            t.get("stale_share"), false);
+            scenario.get("target"), scenario.get("stretch"), scenario.get("abandon"), 1, scenario.get("late_share"),
+            scenario.get("fresh"), scenario.get("stale"), scenario.get("stale_share"), false);
     }
 
     void kill() {
-        dead = true;
-        booting = false;
-        missed.clear();
-        for (List<Hop> all : hops) for (Hop h : all) if (h != null && !h.over) h.drop();
-        for (LoadGenerator.Lookup l : lookups) if (l != null && !l.answered) w.demandAt(place).again(l.wish, 500);
+        down = true;
+        starting = false;
+        missedUpdates.clear();
+        for (List<Hop> hops : hopsByLookup) for (Hop hop : hops) if (hop != null && !hop.over) hop.cancel();
+        for (LoadGenerator.Lookup lookup : lookups) if (lookup != null
+            && !lookup.answered) simulation.loadGenerator(zone).retry(lookup.request, 500);
     }
 
-    private void listed(Director to, SimulatedNode b, int standing) {
-        w.check.told(number, b, standing);
-        to.nodeListed(b.index, b.id, b.kind == SimulatedNode.CACHE ? b.place : w.town.count("places"), b.kind, b.place,
-            standing, b.units(), b.startedAt);
+    private void listNode(Director receiver, SimulatedNode node, int status) {
+        simulation.ruleChecker.statusNotified(number, node, status);
+        receiver.nodeListed(node.index, node.id, node.kind == SimulatedNode.CACHE ? node.zone
+            : simulation.scenario.count("places"), node.kind, node.zone, status, node.capacityUnits(), node.startedAt);
     }
 
     // ---- what comes in ----
 
-    private void round(EventBatch in) {
-        if (dead) return;
-        if (atWork) {
-            later.add(in);
+    private void process(EventBatch batch) {
+        if (down) return;
+        if (processing) {
+            pendingBatches.add(batch);
             return;
         }
-        atWork = true;
-        director.process(w.clock.now, in, this);
-        atWork = false;
-        while (!later.isEmpty() && !dead) {
-            EventBatch next = later.remove(0);
-            atWork = true;
-            director.process(w.clock.now, next, this);
-            atWork = false;
+        processing = true;
+        director.process(simulation.clock.nowMs, batch, this);
+        processing = false;
+        while (!pendingBatches.isEmpty() && !down) {
+            EventBatch next = pendingBatches.remove(0);
+            processing = true;
+            director.process(simulation.clock.nowMs, next, this);
+            processing = false;
         }
     }
 
-    void news(SimulatedNode b, int standing, double startedAt) {
-        round(to -> {
-            to.listStarted(Director.LIST_DELTA);
-            w.check.told(number, b, standing);
-            to.nodeListed(b.index, b.id, b.kind == SimulatedNode.CACHE ? b.place : w.town.count("places"), b.kind,
-                b.place, standing, b.units(), startedAt);
-            to.listFinished();
+    void nodeChanged(SimulatedNode node, int status, double startedAt) {
+        process(receiver -> {
+            receiver.listStarted(Director.LIST_DELTA);
+            simulation.ruleChecker.statusNotified(number, node, status);
+            receiver.nodeListed(node.index, node.id, node.kind == SimulatedNode.CACHE ? node.zone
+                : simulation.scenario.count("places"), node.kind, node.zone, status, node.capacityUnits(), startedAt);
+            receiver.listFinished();
         });
     }
 
-    void purged(int group, double at) {
-        w.check.toldPurge(number, group, at);
-        round(to -> to.purged(-1, group, w.clock.now - at));
+    void purged(int group, double purgedAt) {
+        simulation.ruleChecker.purgeNotified(number, group, purgedAt);
+        process(receiver -> receiver.purged(-1, group, simulation.clock.nowMs - purgedAt));
     }
 
-    void ask(LoadGenerator.Lookup l) {
-        int at = l.index = slots.allocate();
-        while (at >= lookups.length) lookups = java.util.Arrays.copyOf(lookups, 2 * lookups.length);
-        lookups[at] = l;
-        while (hops.size() <= at) hops.add(new ArrayList<>());
-        hops.get(at).clear();
-        LoadGenerator.Wish x = l.wish;
-        round(to -> to.lookup(at, l.onceOnly ? 1 : 0, l.expires, x.object, 0, x.group, x.kb, x.tries > 1, false));
+    void startLookup(LoadGenerator.Lookup lookup) {
+        int index = lookup.index = indexAllocator.allocate();
+        while (index >= lookups.length) lookups = java.util.Arrays.copyOf(lookups, 2 * lookups.length);
+        lookups[index] = lookup;
+        while (hopsByLookup.size() <= index) hopsByLookup.add(new ArrayList<>());
+        hopsByLookup.get(index).clear();
+        LoadGenerator.Request request = lookup.request;
+        process(receiver -> receiver.lookup(index, lookup.nonIdempotent ? 1 : 0, lookup.expiresAt, request.object, 0,
+            request.group, request.kb, request.attempts > 1, false));
     }
 
-    void left(LoadGenerator.Lookup l) {
-        int at = l.index;
-        if (lookups[at] != l) return;
-        slots.markOver(at);
-        round(to -> to.clientDisconnected(at));
-        release(at);
+    void clientDisconnected(LoadGenerator.Lookup lookup) {
+        int index = lookup.index;
+        if (lookups[index] != lookup) return;
+        indexAllocator.markOver(index);
+        process(receiver -> receiver.clientDisconnected(index));
+        releaseIndex(index);
     }
 
-    private void release(int at) {
-        if (slots.release(at)) lookups[at] = null;
+    private void releaseIndex(int index) {
+        if (indexAllocator.release(index)) lookups[index] = null;
     }
 
-    private void ended(int at, int number, SimulatedNode node, Hop h, int outcome, int note, double sourceWait,
-        CacheStore.Copy copy) {
-        LoadGenerator.Lookup l = lookups[at];
-        if (dead || l == null) return;
-        boolean handled = outcome == Director.SUCCEEDED && !l.answered;
-        if (outcome == Director.SUCCEEDED && copy != null) w.check.served(this.number, l, h, copy);
-        if (handled) {
-            w.check.answered(l, false);
-            l.answered = true;
-            slots.markOver(at);
-            w.result.handled(l.wish, w.elapsed(), note);
+    private void hopEnded(int index, int hopNumber, SimulatedNode node, Hop hop, int outcome, int note,
+        double sourceWaitMs, CacheStore.Copy copy) {
+        LoadGenerator.Lookup lookup = lookups[index];
+        if (down || lookup == null) return;
+        boolean firstSuccess = outcome == Director.SUCCEEDED && !lookup.answered;
+        if (outcome == Director.SUCCEEDED && copy != null) simulation.ruleChecker.copyServed(this.number, lookup, hop,
+            copy);
+        if (firstSuccess) {
+            simulation.ruleChecker.answered(lookup, false);
+            lookup.answered = true;
+            indexAllocator.markOver(index);
+            simulation.result.requestSucceeded(lookup.request, simulation.elapsedMs(), note);
         }
-        boolean last = l.answered;
-        h.neverRan = outcome == Director.CONNECT_FAILED || outcome == Director.REJECTED || outcome == Director.MISS;
-        if (!slots.hopEnded(at, number)) return;
-        double spent = w.clock.now - h.sentAt;
+        boolean last = lookup.answered;
+        hop.neverRan = outcome == Director.CONNECT_FAILED || outcome == Director.REJECTED || outcome == Director.MISS;
+        if (!indexAllocator.hopEnded(index, hopNumber)) return;
+        double elapsedMs = simulation.clock.nowMs - hop.sentAt;
         double[] report = node.reachable() && outcome != Director.TIMED_OUT ? node.report() : null;
-        round(to -> to.hopEnded(at, number, node.index, outcome, last, note, spent, sourceWait, report));
-        release(at);
+        process(receiver -> receiver.hopEnded(index, hopNumber, node.index, outcome, last, note, elapsedMs,
+            sourceWaitMs, report));
+        releaseIndex(index);
     }
 
     // ---- what the policy decides ----
 
-    private void send(int at, int node, int source, double giveUpAt, int rank, double maxAge, int how) {
-        LoadGenerator.Lookup l = lookups[at];
-        SimulatedNode b = w.boxes.get(node), from = source == node ? null : w.boxes.get(source);
-        l.mayHaveRun = mayHaveRun(at);
-        w.check.sent(number, l, b, from);
-        sent++;
-        int n = slots.hopSent(at), mine = run;
-        Hop[] self = new Hop[1];
-        Hop h = new Hop(l.wish.object, l.group, l.wish.kb, l.wish.ownMs, from, rank, maxAge, how, w.clock.now,
-            (outcome, note, waited, copy) -> w.clock.in(w.town.get("near_ms"), () -> {
-                if (mine == run) ended(at, n, b, self[0], outcome, note, waited, copy);
+    private void send(int index, int nodeIndex, int sourceIndex, double giveUpAt, int rank, double maxAge, int flags) {
+        LoadGenerator.Lookup lookup = lookups[index];
+        SimulatedNode node = simulation.nodes.get(nodeIndex), source = sourceIndex == nodeIndex ? null
+            : simulation.nodes.get(sourceIndex);
+        lookup.mayHaveRun = mayHaveRun(index);
+        simulation.ruleChecker.hopSent(number, lookup, node, source);
+        hopsSent++;
+        int hopNumber = indexAllocator.hopSent(index);
+        int startedIncarnation = incarnation;
+        Hop[] holder = new Hop[1];
+        Hop hop = new Hop(lookup.request.object, lookup.group, lookup.request.kb, lookup.request.fullRateMs, source,
+            rank, maxAge, flags, simulation.clock.nowMs,
+            (outcome, note, sourceWaitMs, copy) -> simulation.clock.scheduleAfter(simulation.scenario.get("near_ms"),
+            () -> {
+                if (startedIncarnation == incarnation) hopEnded(index, hopNumber, node, holder[0], outcome, note,
+                    sourceWaitMs, copy);
             }));
-        self[0] = h;
-        hops.get(at).add(h);
-        double until = giveUpAt > 0 ? Math.min(giveUpAt, l.expires) : l.expires;
-        w.clock.in(w.town.get("near_ms"), () -> b.take(h));
-        w.clock.at(until, () -> {
-            if (mine != run || h.over) return;
-            h.drop();
-            b.dropped(h);
-            ended(at, n, b, h, Director.TIMED_OUT, 0, 0, null);
+        holder[0] = hop;
+        hopsByLookup.get(index).add(hop);
+        double deadline = giveUpAt > 0 ? Math.min(giveUpAt, lookup.expiresAt) : lookup.expiresAt;
+        simulation.clock.scheduleAfter(simulation.scenario.get("near_ms"), () -> node.receive(hop));
+        simulation.clock.schedule(deadline, () -> {
+            if (startedIncarnation != incarnation || hop.over) return;
+            hop.cancel();
+            node.cancel(hop);
+            hopEnded(index, hopNumber, node, hop, Director.TIMED_OUT, 0, 0, null);
         });
         // A box that says nothing at all is found when connecting takes too long.
-        if (b.silent) w.clock.in(w.town.get("connect_ms"), () -> {
-            if (mine != run || h.over) return;
-            h.drop();
-            ended(at, n, b, h, Director.CONNECT_FAILED, 0, 0, null);
+        if (node.silent) simulation.clock.scheduleAfter(simulation.scenario.get("connect_ms"), () -> {
+            if (startedIncarnation != incarnation || hop.over) return;
+            hop.cancel();
+            hopEnded(index, hopNumber, node, hop, Director.CONNECT_FAILED, 0, 0, null);
         });
     }
 
     /** Unless every hop of it is known not to have run. */
-    private boolean mayHaveRun(int at) {
-        for (Hop h : hops.get(at)) if (!h.neverRan) return true;
+    private boolean mayHaveRun(int index) {
+        for (Hop hop : hopsByLookup.get(index)) if (!hop.neverRan) return true;
         return false;
     }
 
@@ -242,58 +256,61 @@
     }
 
     @Override public void sendFetch(int lookup, int node, double giveUpAt, int source, int rank, double maxAge,
-        int how) {
-        send(lookup, node, source, giveUpAt, rank, maxAge, how);
+        int flags) {
+        send(lookup, node, source, giveUpAt, rank, maxAge, flags);
     }
 
-    @Override public void cancelHop(int lookup, int hop) {
-        List<Hop> all = hops.get(lookup);
-        if (hop >= all.size() || all.get(hop).over) return;
-        Hop h = all.get(hop);
-        int mine = run;
-        h.drop();
-        w.droppedAnywhere(h);
-        w.clock.in(0, () -> {
-            if (mine == run && !dead && slots.hopEnded(lookup, hop)) {
-                round(to -> to.hopEnded(lookup, hop, 0, Director.CANCELLED, true, 0, w.clock.now - h.sentAt, 0, null));
-                release(lookup);
+    @Override public void cancelHop(int index, int hopNumber) {
+        List<Hop> hops = hopsByLookup.get(index);
+        if (hopNumber >= hops.size() || hops.get(hopNumber).over) return;
+        Hop hop = hops.get(hopNumber);
+        int startedIncarnation = incarnation;
+        hop.cancel();
+        simulation.cancelAtNode(hop);
+        simulation.clock.scheduleAfter(0, () -> {
+            if (startedIncarnation == incarnation && !down && indexAllocator.hopEnded(index, hopNumber)) {
+                process(receiver -> receiver.hopEnded(index, hopNumber, 0, Director.CANCELLED, true, 0,
+                    simulation.clock.nowMs - hop.sentAt, 0, null));
+                releaseIndex(index);
             }
         });
     }
 
-    private void answer(int lookup, boolean bounced, double after) {
-        LoadGenerator.Lookup l = lookups[lookup];
-        l.mayHaveRun = mayHaveRun(lookup);
-        w.check.answered(l, bounced);
-        l.answered = true;
-        slots.markOver(lookup);
-        if (bounced) w.result.bounced++;
-        else w.result.givenUp++;
-        if (bounced) w.demandAt(place).again(l.wish, after);
-        int mine = run;
-        w.clock.in(0, () -> {
-            if (mine == run) release(lookup);
+    private void endLookup(int index, boolean rejected, double retryAfterMs) {
+        LoadGenerator.Lookup lookup = lookups[index];
+        lookup.mayHaveRun = mayHaveRun(index);
+        simulation.ruleChecker.answered(lookup, rejected);
+        lookup.answered = true;
+        indexAllocator.markOver(index);
+        if (rejected) simulation.result.rejected++;
+        else simulation.result.failed++;
+        if (rejected) simulation.loadGenerator(zone).retry(lookup.request, retryAfterMs);
+        int startedIncarnation = incarnation;
+        simulation.clock.scheduleAfter(0, () -> {
+            if (startedIncarnation == incarnation) releaseIndex(index);
         });
     }
 
-    @Override public void reject(int lookup, double comeBackAfter) {
-        answer(lookup, true, comeBackAfter);
+    @Override public void reject(int lookup, double retryAfterMs) {
+        endLookup(lookup, true, retryAfterMs);
     }
 
     @Override public void fail(int lookup) {
-        answer(lookup, false, 0);
+        endLookup(lookup, false, 0);
     }
 
-    @Override public void probe(int node) {
-        SimulatedNode b = w.boxes.get(node);
-        w.clock.in(2 * w.town.get("near_ms"), () -> round(to -> to.probeCompleted(node,
-            b.reachable() ? Director.SUCCEEDED : Director.CONNECT_FAILED, 2, b.reachable() ? b.report() : null)));
+    @Override public void probe(int nodeIndex) {
+        SimulatedNode node = simulation.nodes.get(nodeIndex);
+        simulation.clock.scheduleAfter(2 * simulation.scenario.get("near_ms"),
+            () -> process(receiver -> receiver.probeCompleted(nodeIndex,
+            node.reachable() ? Director.SUCCEEDED : Director.CONNECT_FAILED, 2, node.reachable() ? node.report()
+            : null)));
     }
 
-    @Override public void setTimer(double t, long name) {
-        int mine = run;
-        w.clock.at(t, () -> {
-            if (mine == run) round(to -> to.timerFired(name));
+    @Override public void setTimer(double fireAt, long timer) {
+        int startedIncarnation = incarnation;
+        simulation.clock.schedule(fireAt, () -> {
+            if (startedIncarnation == incarnation) process(receiver -> receiver.timerFired(timer));
         });
     }
 
--- a/src/main/java/mothcross/emulator/SimulatedNode.java
+++ b/src/main/java/mothcross/emulator/SimulatedNode.java
@@ -14,57 +14,69 @@
  * there. Owns its state; must never know which policy asks, and falls over for good when pushed past what it bears.
  */
 final class SimulatedNode {
-    static final int CACHE = 0, PARENT = 1, ORIGIN = 2;
+    static final int CACHE = 0;
+    static final int PARENT = 1;
+    static final int ORIGIN = 2;
 
     /** A fill under way, and the hops that wait for it. */
     private static final class Fill {
-        final double begun;
+        final double startedAt;
         final List<Hop> waiting = new ArrayList<>();
 
-        Fill(double begun) {
-            this.begun = begun;
+        Fill(double startedAt) {
+            this.startedAt = startedAt;
         }
     }
 
-    private final Simulation w;
-    final int index, kind, place;
+    private final Simulation simulation;
+    final int index;
+    final int kind;
+    final int zone;
     final String id;
-    private final double flows;
-    private final BandwidthLink pipe;
+    private final double capacityFlows;
+    private final BandwidthLink uplink;
     private final CacheStore store;
     private final Map<Long, Fill> fills = new HashMap<>();
     private final Map<Integer, Double> purgedAt = new HashMap<>();      // bounded by the groups there are
-    private final ArrayDeque<double[]> work = new ArrayDeque<>();
-    private double lately, slower = 1;
-    boolean up = true, silent, fell;
-    double startedAt, stalledUntil;
-    int standing = Director.IN_SERVICE, held;
-    long asked, hits, bytes;
-    private double shownAt = Double.NEGATIVE_INFINITY;
-    private double[] shown;
-    private double hitShare = Double.NaN;
-    private long shownAsked, shownHits;
+    private final ArrayDeque<double[]> recentWork = new ArrayDeque<>();
+    private double recentWorkMs;
+    private double slowdownFactor = 1;
+    boolean up = true;
+    boolean silent;
+    boolean overloaded;
+    double startedAt;
+    double stalledUntil;
+    int status = Director.IN_SERVICE;
+    int activeRequests;
+    long requests;
+    long hits;
+    long bytes;
+    private double reportedAt = Double.NEGATIVE_INFINITY;
+    private double[] lastReport;
+    private double hitRatio = Double.NaN;
+    private long reportedRequests;
+    private long reportedHits;
     /** The most that came within a span, as a share of what pushes it over. */
-    double nearest;
+    double peakOverloadShare;
 
-    SimulatedNode(Simulation w, int index, int kind, int place) {
-        this.w = w;
+    SimulatedNode(Simulation simulation, int index, int kind, int zone) {
+        this.simulation = simulation;
         this.index = index;
         this.kind = kind;
-        this.place = place;
+        this.zone = zone;
         this.id = (kind == CACHE ? "c" : kind == PARENT ? "p" : "o") + index;
-        ScenarioParameters t = w.town;
-        flows = t.get(kind == CACHE ? "cache_flows" : kind == PARENT ? "parent_flows" : "origin_flows");
-        pipe = new BandwidthLink(w.clock, flows);
-        store = new CacheStore(1000 * t.get(kind == PARENT ? "parent_mb" : "cache_mb"));
+        ScenarioParameters scenario = simulation.scenario;
+        capacityFlows = scenario.get(kind == CACHE ? "cache_flows" : kind == PARENT ? "parent_flows" : "origin_flows");
+        uplink = new BandwidthLink(simulation.clock, capacityFlows);
+        store = new CacheStore(1000 * scenario.get(kind == PARENT ? "parent_mb" : "cache_mb"));
     }
 
-    double units() {
-        return flows;
+    double capacityUnits() {
+        return capacityFlows;
     }
 
     boolean reachable() {
-        return up && !fell;
+        return up && !overloaded;
     }
 
     // ---- what befalls it ----
@@ -72,271 +84,286 @@
     /** Its process ends: what is open is cut off, what it kept is gone. */
     void stop() {
         up = false;
-        List<Hop> open = new ArrayList<>(w.openAt(this));
-        pipe.dropAll();
+        List<Hop> open = new ArrayList<>(simulation.removeOpenHops(this));
+        uplink.cancelAll();
         fills.clear();
-        parentFills.clear();
+        originFetches.clear();
         store.clear();
-        held = 0;
-        for (Hop h : open) h.end(Director.CONNECTION_LOST, 0, 0, null);
+        activeRequests = 0;
+        for (Hop hop : open) hop.complete(Director.CONNECTION_LOST, 0, 0, null);
     }
 
     void start(double now) {
         up = true;
         silent = false;
         startedAt = now;
-        lately = 0;
-        work.clear();
-        warms();
+        recentWorkMs = 0;
+        recentWork.clear();
+        updateCapacity();
     }
 
     /** Its part of full capacity now; a fresh one grows to all of it. */
-    double warmth() {
+    double warmUpShare() {
         if (kind == ORIGIN || startedAt == 0) return 1;
-        double floor = w.town.get(kind == CACHE ? "cold_floor" : "parent_floor");
-        double ms = w.town.get(kind == CACHE ? "cold_ms" : "parent_cold_ms");
-        return Math.min(1, floor + (1 - floor) * Math.max(0, w.clock.now - startedAt) / ms);
+        double initialShare = simulation.scenario.get(kind == CACHE ? "cold_floor" : "parent_floor");
+        double warmUpMs = simulation.scenario.get(kind == CACHE ? "cold_ms" : "parent_cold_ms");
+        return Math.min(1, initialShare + (1 - initialShare) * Math.max(0,
+            simulation.clock.nowMs - startedAt) / warmUpMs);
     }
 
-    private void warms() {
-        pipe.flows(flows * warmth() / slower);
-        if (up && warmth() < 1) w.clock.in(200, this::warms);
+    private void updateCapacity() {
+        uplink.setCapacity(capacityFlows * warmUpShare() / slowdownFactor);
+        if (up && warmUpShare() < 1) simulation.clock.scheduleAfter(200, this::updateCapacity);
     }
 
-    void slowed(double times) {
-        slower = times;
-        pipe.flows(flows * warmth() / slower);
+    void setSlowdown(double factor) {
+        slowdownFactor = factor;
+        uplink.setCapacity(capacityFlows * warmUpShare() / slowdownFactor);
     }
 
     /** It drops what it has, and keeps no older copy of the group from now on, whatever a fill still brings. */
-    void purged(int group, double at) {
-        purgedAt.merge(group, at, Math::max);
-        if (up) store.purge(group, at);
+    void purged(int group, double purgeTime) {
+        purgedAt.merge(group, purgeTime, Math::max);
+        if (up) store.purge(group, purgeTime);
     }
 
-    private void keep(long key, CacheStore.Copy c) {
-        if (c.minted() >= purgedAt.getOrDefault(c.group(), Double.NEGATIVE_INFINITY)) store.put(key, c);
+    private void storeCopy(long key, CacheStore.Copy copy) {
+        if (copy.issuedAt() >= purgedAt.getOrDefault(copy.group(), Double.NEGATIVE_INFINITY)) store.put(key, copy);
     }
 
     // ---- lookups ----
 
     /** A lookup comes, as hop or as fill: counted against what a cold box bears. */
-    private boolean bears(double ownMs) {
+    private boolean admit(double fullRateMs) {
         if (kind == ORIGIN) return true;
-        ScenarioParameters t = w.town;
-        double span = t.get("cold_span"), now = w.clock.now, warmth = warmth();
-        if (warmth >= 1) return true;
-        work.add(new double[] {now, ownMs});
-        lately += ownMs;
-        while (!work.isEmpty() && work.peek()[0] < now - span) lately -= work.poll()[1];
-        double breaks = t.get(kind == CACHE ? "cold_breaks" : "parent_breaks");
-        double part = lately / (breaks * flows * warmth * span);
-        nearest = Math.max(nearest, part);
-        if (part <= 1) return true;
-        fell = true;
-        w.check.pushedOver(this);
+        ScenarioParameters scenario = simulation.scenario;
+        double windowMs = scenario.get("cold_span");
+        double now = simulation.clock.nowMs;
+        double warmUpShare = warmUpShare();
+        if (warmUpShare >= 1) return true;
+        recentWork.add(new double[] {now, fullRateMs});
+        recentWorkMs += fullRateMs;
+        while (!recentWork.isEmpty() && recentWork.peek()[0] < now - windowMs) recentWorkMs -= recentWork.poll()[1];
+        double overloadFactor = scenario.get(kind == CACHE ? "cold_breaks" : "parent_breaks");
+        double loadShare = recentWorkMs / (overloadFactor * capacityFlows * warmUpShare * windowMs);
+        peakOverloadShare = Math.max(peakOverloadShare, loadShare);
+        if (loadShare <= 1) return true;
+        overloaded = true;
+        simulation.ruleChecker.nodeOverloaded(this);
         stop();
         return false;
     }
 
-    void take(Hop h) {
-        if (h.over || silent) return;
+    void receive(Hop hop) {
+        if (hop.over || silent) return;
         if (!reachable()) {
-            h.end(Director.CONNECT_FAILED, 0, 0, null);
+            hop.complete(Director.CONNECT_FAILED, 0, 0, null);
             return;
         }
-        if (w.clock.now < stalledUntil) {
-            w.clock.at(stalledUntil, () -> take(h));
+        if (simulation.clock.nowMs < stalledUntil) {
+            simulation.clock.schedule(stalledUntil, () -> receive(hop));
             return;
         }
-        if (held >= w.town.count("queue")) {
-            h.end(Director.REJECTED, 0, 0, null);
+        if (activeRequests >= simulation.scenario.count("queue")) {
+            hop.complete(Director.REJECTED, 0, 0, null);
             return;
         }
-        asked++;
-        held++;
-        w.open(this, h);
-        if (!bears(h.ownMs)) return;
+        requests++;
+        activeRequests++;
+        simulation.hopOpened(this, hop);
+        if (!admit(hop.fullRateMs)) return;
         if (kind == ORIGIN) {
-            fetch(h.key, h.kb, h.group, (copy, note) -> {
-                if (copy == null) ended(h, Director.REJECTED, 0, 0, null);
-                else send(h, copy, Director.FILLED_BY_ORIGIN, w.clock.now - h.sentAt);
+            serveFromOrigin(hop.key, hop.kb, hop.group, (copy, note) -> {
+                if (copy == null) endHop(hop, Director.REJECTED, 0, 0, null);
+                else send(hop, copy, Director.FILLED_BY_ORIGIN, simulation.clock.nowMs - hop.sentAt);
             });
             return;
         }
-        CacheStore.Copy c = good(h.key, h.oldest);
-        if (c != null) {
+        CacheStore.Copy cached = usableCopy(hop.key, hop.maxAgeMs);
+        if (cached != null) {
             hits++;
-            boolean past = w.fresh() > 0 && w.clock.now - c.minted() > w.fresh();
-            send(h, c, past ? Director.STALE_HIT : Director.HIT, 0);
-        } else if (h.source == null) {
-            ended(h, Director.MISS, 0, 0, null);
+            boolean stale = simulation.freshMs() > 0
+                && simulation.clock.nowMs - cached.issuedAt() > simulation.freshMs();
+            send(hop, cached, stale ? Director.STALE_HIT : Director.HIT, 0);
+        } else if (hop.source == null) {
+            endHop(hop, Director.MISS, 0, 0, null);
         } else {
-            fill(h);
+            fill(hop);
         }
     }
 
     /** A copy no older than the hop takes, or than its fresh time where it does not say. */
-    private CacheStore.Copy good(long key, double oldest) {
-        CacheStore.Copy c = store.get(key);
-        if (c == null) return null;
-        double age = w.clock.now - c.minted(), most = oldest > 0 ? oldest : w.fresh() > 0 ? w.fresh()
+    private CacheStore.Copy usableCopy(long key, double maxAgeMs) {
+        CacheStore.Copy copy = store.get(key);
+        if (copy == null) return null;
+        double ageMs = simulation.clock.nowMs - copy.issuedAt(), limitMs = maxAgeMs > 0 ? maxAgeMs
+            : simulation.freshMs() > 0 ? simulation.freshMs()
             : Double.MAX_VALUE;
-        return age <= most ? c : null;
+        return ageMs <= limitMs ? copy : null;
     }
 
-    private void send(Hop h, CacheStore.Copy copy, int note, double sourceWait) {
-        if (h.over) {
-            held--;
-            w.closed(this, h);
+    private void send(Hop hop, CacheStore.Copy copy, int note, double sourceWaitMs) {
+        if (hop.over) {
+            activeRequests--;
+            simulation.hopClosed(this, hop);
             return;
         }
-        h.on = pipe;
-        h.sending = pipe.add(h.ownMs, () -> ended(h, Director.SUCCEEDED, note, sourceWait, copy));
-        bytes += (long) h.kb;
+        hop.transferLink = uplink;
+        hop.transfer = uplink.add(hop.fullRateMs, () -> endHop(hop, Director.SUCCEEDED, note, sourceWaitMs, copy));
+        bytes += (long) hop.kb;
     }
 
     /** A hop that was given up: what is sent for it stops, a fill goes on. */
-    void dropped(Hop h) {
-        if (w.closed(this, h)) held--;
+    void cancel(Hop hop) {
+        if (simulation.hopClosed(this, hop)) activeRequests--;
     }
 
-    private void ended(Hop h, int outcome, int note, double sourceWait, CacheStore.Copy copy) {
-        if (w.closed(this, h)) held--;
-        h.end(outcome, note, sourceWait, copy);
+    private void endHop(Hop hop, int outcome, int note, double sourceWaitMs, CacheStore.Copy copy) {
+        if (simulation.hopClosed(this, hop)) activeRequests--;
+        hop.complete(outcome, note, sourceWaitMs, copy);
     }
 
     // ---- fills ----
 
-    private interface Got {
-        void got(CacheStore.Copy copy, int note);
+    private interface CopyListener {
+        void completed(CacheStore.Copy copy, int note);
     }
 
-    private void fill(Hop h) {
-        Fill under = fills.get(h.key);
-        boolean joins = (h.how & DecisionWriter.COALESCE_FILLS) != 0;
-        if (under != null && joins && under.begun > w.clock.now - (h.oldest > 0 ? h.oldest : Double.MAX_VALUE)) {
-            under.waiting.add(h);
+    private void fill(Hop hop) {
+        Fill running = fills.get(hop.key);
+        boolean coalesce = (hop.flags & DecisionWriter.COALESCE_FILLS) != 0;
+        if (running != null && coalesce && running.startedAt > simulation.clock.nowMs - (hop.maxAgeMs > 0
+            ? hop.maxAgeMs : Double.MAX_VALUE)) {
+            running.waiting.add(hop);
             return;
         }
-        Fill mine = new Fill(w.clock.now);
-        mine.waiting.add(h);
-        fills.put(h.key, mine);
-        boolean holdsOnly = (h.how & DecisionWriter.SOURCE_CACHE_ONLY) != 0;
-        double far = w.town.get("far_ms");
-        w.clock.in(far, () -> h.source.ask(h.key, h.kb, h.ownMs, h.group, h.oldest, holdsOnly, (copy, note) ->
-            w.clock.in(far, () -> {
-            if (copy == null) filled(mine, h, null, note);
-            else w.linkOf(place).add(h.ownMs, () -> filled(mine, h, copy, note));
+        Fill started = new Fill(simulation.clock.nowMs);
+        started.waiting.add(hop);
+        fills.put(hop.key, started);
+        boolean cacheOnly = (hop.flags & DecisionWriter.SOURCE_CACHE_ONLY) != 0;
+        double farMs = simulation.scenario.get("far_ms");
+        simulation.clock.scheduleAfter(farMs, () -> hop.source.serveFill(hop.key, hop.kb, hop.fullRateMs, hop.group,
+            hop.maxAgeMs, cacheOnly, (copy, note) ->
+            simulation.clock.scheduleAfter(farMs, () -> {
+            if (copy == null) fillCompleted(started, hop, null, note);
+            else simulation.zoneLink(zone).add(hop.fullRateMs, () -> fillCompleted(started, hop, copy, note));
         })));
     }
 
-    private void filled(Fill f, Hop first, CacheStore.Copy copy, int note) {
-        fills.remove(first.key, f);
+    private void fillCompleted(Fill fill, Hop first, CacheStore.Copy copy, int note) {
+        fills.remove(first.key, fill);
         if (!up) return;
-        if (copy != null && first.rank > 0) keep(first.key, new CacheStore.Copy(copy.minted(), copy.kb(), copy.group(),
-            first.rank));
-        double waited = w.clock.now - f.begun;
-        for (Hop h : f.waiting) {
-            if (h.over) continue;
-            if (copy == null) ended(h, Director.ERROR, note, waited, null);
-            else if (h.oldest > 0 && copy.minted() < h.sentAt - h.oldest) fill(h);
-            else send(h, copy, h == first ? note : Director.COALESCED, waited);
+        if (copy != null && first.rank > 0) storeCopy(first.key,
+            new CacheStore.Copy(copy.issuedAt(), copy.kb(), copy.group(), first.rank));
+        double waitedMs = simulation.clock.nowMs - fill.startedAt;
+        for (Hop hop : fill.waiting) {
+            if (hop.over) continue;
+            if (copy == null) endHop(hop, Director.ERROR, note, waitedMs, null);
+            else if (hop.maxAgeMs > 0 && copy.issuedAt() < hop.sentAt - hop.maxAgeMs) fill(hop);
+            else send(hop, copy, hop == first ? note : Director.COALESCED, waitedMs);
         }
     }
 
     /** As the source of a fill. */
-    private void ask(long key, double kb, double ownMs, int group, double oldest, boolean holdsOnly, Got got) {
+    private void serveFill(long key, double kb, double fullRateMs, int group, double maxAgeMs, boolean cacheOnly,
+        CopyListener listener) {
         if (silent) return;
         if (!reachable()) {
-            got.got(null, Director.SOURCE_UNREACHABLE);
+            listener.completed(null, Director.SOURCE_UNREACHABLE);
             return;
         }
-        if (w.clock.now < stalledUntil) {
-            w.clock.at(stalledUntil, () -> ask(key, kb, ownMs, group, oldest, holdsOnly, got));
+        if (simulation.clock.nowMs < stalledUntil) {
+            simulation.clock.schedule(stalledUntil, () -> serveFill(key, kb, fullRateMs, group, maxAgeMs, cacheOnly,
+                listener));
             return;
         }
         if (kind == ORIGIN) {
-            fetch(key, kb, group, (copy, note) -> got.got(copy, copy == null ? Director.ORIGIN_FAILED
+            serveFromOrigin(key, kb, group, (copy, note) -> listener.completed(copy, copy == null
+                ? Director.ORIGIN_FAILED
                 : Director.FILLED_BY_ORIGIN));
             return;
         }
-        asked++;
-        if (!bears(ownMs)) {
-            got.got(null, Director.SOURCE_UNREACHABLE);
+        requests++;
+        if (!admit(fullRateMs)) {
+            listener.completed(null, Director.SOURCE_UNREACHABLE);
             return;
         }
-        CacheStore.Copy c = good(key, oldest);
-        if (c != null) {
+        CacheStore.Copy cached = usableCopy(key, maxAgeMs);
+        if (cached != null) {
             hits++;
-            pipe.add(ownMs, () -> got.got(c, Director.FILLED));
-        } else if (holdsOnly) {
-            got.got(null, Director.SOURCE_MISS);
+            uplink.add(fullRateMs, () -> listener.completed(cached, Director.FILLED));
+        } else if (cacheOnly) {
+            listener.completed(null, Director.SOURCE_MISS);
         } else {
-            Fetch f = parentFills.get(key);
+            OriginFetch fetch = originFetches.get(key);
             // One that began before what is asked for now may bring a copy too old: another is made.
-            if (f == null || oldest > 0 && f.begun < w.clock.now - oldest) {
-                Fetch mine = f = new Fetch(w.clock.now);
-                parentFills.put(key, mine);
-                w.origin().fetch(key, kb, group, (copy, note) -> parentGot(mine, key, ownMs, copy));
+            if (fetch == null || maxAgeMs > 0 && fetch.startedAt < simulation.clock.nowMs - maxAgeMs) {
+                OriginFetch started = fetch = new OriginFetch(simulation.clock.nowMs);
+                originFetches.put(key, started);
+                simulation.origin().serveFromOrigin(key, kb, group,
+                    (copy, note) -> originFetchCompleted(started, key, fullRateMs, copy));
             }
-            f.waiting.add(got);
+            fetch.waiting.add(listener);
         }
     }
 
     /** A parent's fetch, once for all who wait. */
-    private static final class Fetch {
-        final double begun;
-        final List<Got> waiting = new ArrayList<>();
+    private static final class OriginFetch {
+        final double startedAt;
+        final List<CopyListener> waiting = new ArrayList<>();
 
-        Fetch(double begun) {
-            this.begun = begun;
+        OriginFetch(double startedAt) {
+            this.startedAt = startedAt;
         }
     }
 
-    private final Map<Long, Fetch> parentFills = new HashMap<>();   // each ends with its answer
+    private final Map<Long, OriginFetch> originFetches = new HashMap<>();   // each ends with its answer
 
-    private void parentGot(Fetch f, long key, double ownMs, CacheStore.Copy copy) {
-        parentFills.remove(key, f);
+    private void originFetchCompleted(OriginFetch fetch, long key, double fullRateMs, CacheStore.Copy copy) {
+        originFetches.remove(key, fetch);
         if (!up) return;
-        if (copy != null) keep(key, copy);
-        for (Got g : f.waiting) {
-            if (copy == null) g.got(null, Director.ORIGIN_FAILED);
-            else pipe.add(ownMs, () -> g.got(copy, Director.FILLED_BY_ORIGIN));
+        if (copy != null) storeCopy(key, copy);
+        for (CopyListener listener : fetch.waiting) {
+            if (copy == null) listener.completed(null, Director.ORIGIN_FAILED);
+            else uplink.add(fullRateMs, () -> listener.completed(copy, Director.FILLED_BY_ORIGIN));
         }
     }
 
     /** The origin's own work: it slows by being shared,
         and turns away past a multiple of what it sends at full pace. */
-    private void fetch(long key, double kb, int group, Got got) {
-        if (!up || pipe.fill() >= w.town.get("origin_sheds_at")) {
-            w.originShed++;
-            got.got(null, Director.ORIGIN_FAILED);
+    private void serveFromOrigin(long key, double kb, int group, CopyListener listener) {
+        if (!up || uplink.utilization() >= simulation.scenario.get("origin_sheds_at")) {
+            simulation.originShed++;
+            listener.completed(null, Director.ORIGIN_FAILED);
             return;
         }
-        w.originFetches++;
-        w.originKb += kb;
-        double minted = w.clock.now;
-        w.clock.in(w.town.get("origin_ms"), () -> pipe.add(kb / w.town.get("flow_kb_ms"),
-            () -> got.got(new CacheStore.Copy(minted, kb, group, 1), Director.FILLED_BY_ORIGIN)));
+        simulation.originFetches++;
+        simulation.originKb += kb;
+        double issuedAt = simulation.clock.nowMs;
+        simulation.clock.scheduleAfter(simulation.scenario.get("origin_ms"),
+            () -> uplink.add(kb / simulation.scenario.get("flow_kb_ms"),
+            () -> listener.completed(new CacheStore.Copy(issuedAt, kb, group, 1), Director.FILLED_BY_ORIGIN)));
     }
 
     /** What answers tell of its load, no fresher than reports are. */
     double[] report() {
-        if (shown != null && w.clock.now < shownAt + w.town.get("report_ms")) return shown;
-        shownAt = w.clock.now;
-        if (asked - shownAsked >= 10) {
-            hitShare = (hits - shownHits) / (double) (asked - shownAsked);
-            shownAsked = asked;
-            shownHits = hits;
+        if (lastReport != null && simulation.clock.nowMs < reportedAt + simulation.scenario.get("report_ms")) {
+            return lastReport;
         }
-        shown = new double[Director.REPORT_SIZE];
-        java.util.Arrays.fill(shown, Double.NaN);
-        shown[Director.REPORT_ACTIVE_REQUESTS] = held;
-        shown[Director.REPORT_CPU_SHARE] = Math.min(1, pipe.fill());
-        shown[Director.REPORT_HIT_RATIO] = hitShare;
-        shown[Director.REPORT_LINK_UTILIZATION] = kind == CACHE ? w.linkOf(place).fill() : parentFills.size();
-        return shown;
+        reportedAt = simulation.clock.nowMs;
+        if (requests - reportedRequests >= 10) {
+            hitRatio = (hits - reportedHits) / (double) (requests - reportedRequests);
+            reportedRequests = requests;
+            reportedHits = hits;
+        }
+        lastReport = new double[Director.REPORT_SIZE];
+        java.util.Arrays.fill(lastReport, Double.NaN);
+        lastReport[Director.REPORT_ACTIVE_REQUESTS] = activeRequests;
+        lastReport[Director.REPORT_CPU_SHARE] = Math.min(1, uplink.utilization());
+        lastReport[Director.REPORT_HIT_RATIO] = hitRatio;
+        lastReport[Director.REPORT_LINK_UTILIZATION] = kind == CACHE ? simulation.zoneLink(zone).utilization()
+            : originFetches.size();
+        return lastReport;
     }
 
     int copies() {
--- a/src/main/java/mothcross/emulator/Simulation.java
+++ b/src/main/java/mothcross/emulator/Simulation.java
@@ -13,121 +13,125 @@
  * decided by its town, its script, its policy and its seed, to the byte. Nothing here comes from the operators' bench.
  */
 public final class Simulation {
-    final ScenarioParameters town;
+    final ScenarioParameters scenario;
     final EventQueue clock = new EventQueue();
-    final List<SimulatedNode> boxes = new ArrayList<>();
-    final List<SimulatedDirector> hosts = new ArrayList<>();
-    final RuleChecker check = new RuleChecker(this);
+    final List<SimulatedNode> nodes = new ArrayList<>();
+    final List<SimulatedDirector> directors = new ArrayList<>();
+    final RuleChecker ruleChecker = new RuleChecker(this);
     final SimulationResult result;
-    private final List<BandwidthLink> links = new ArrayList<>();
-    private final List<LoadGenerator> demands = new ArrayList<>();
-    private final Map<SimulatedNode, Set<Hop>> open = new HashMap<>();
-    final SplittableRandom chance;
+    private final List<BandwidthLink> zoneLinks = new ArrayList<>();
+    private final List<LoadGenerator> loadGenerators = new ArrayList<>();
+    private final Map<SimulatedNode, Set<Hop>> openHops = new HashMap<>();
+    final SplittableRandom random;
     private final SimulatedNode origin;
-    private final double zero;
-    long originFetches, originShed;
+    private final double startedAtMs;
+    long originFetches;
+    long originShed;
     double originKb;
     /** Faults: news takes so many times as long; a place hears none. */
-    double newsTimes = 1;
-    final Set<Integer> cutOff = new HashSet<>();
-
-    private Simulation(ScenarioParameters town, DirectorFactory policy, long seed) {
-        this.town = town;
-        this.chance = new SplittableRandom(seed);
-        this.result = new SimulationResult(town);
-        clock.now = 1_000_000;                              // as Unix ms are: never near 0, which means 'untold'
-        zero = clock.now;
-        int places = town.count("places");
-        for (int p = 0; p < places; p++) links.add(new BandwidthLink(clock, town.get("link_flows")));
-        for (int p = 0; p < places; p++) {
-            for (int i = 0; i < town.count("caches"); i++) {
-                boxes.add(new SimulatedNode(this, boxes.size(), SimulatedNode.CACHE, p));
+    double discoveryDelayFactor = 1;
+    final Set<Integer> isolatedZones = new HashSet<>();
+
+    private Simulation(ScenarioParameters scenario, DirectorFactory policy, long seed) {
+        this.scenario = scenario;
+        this.random = new SplittableRandom(seed);
+        this.result = new SimulationResult(scenario);
+        clock.nowMs = 1_000_000;                              // as Unix ms are: never near 0, which means 'untold'
+        startedAtMs = clock.nowMs;
+        int zones = scenario.count("places");
+        for (int zone = 0; zone < zones; zone++) zoneLinks.add(new BandwidthLink(clock, scenario.get("link_flows")));
+        for (int zone = 0; zone < zones; zone++) {
+            for (int i = 0; i < scenario.count("caches"); i++) {
+                nodes.add(new SimulatedNode(this, nodes.size(), SimulatedNode.CACHE, zone));
             }
         }
-        for (int i = 0; i < town.count("parents"); i++) {
-            boxes.add(new SimulatedNode(this, boxes.size(), SimulatedNode.PARENT, 0));
+        for (int i = 0; i < scenario.count("parents"); i++) {
+            nodes.add(new SimulatedNode(this, nodes.size(), SimulatedNode.PARENT, 0));
         }
-        boxes.add(origin = new SimulatedNode(this, boxes.size(), SimulatedNode.ORIGIN, 0));
-        for (int p = 0; p < places; p++) {
-            for (int i = 0; i < town.count("directors"); i++) {
-                hosts.add(new SimulatedDirector(this, hosts.size(), p, policy, chance.split()));
+        nodes.add(origin = new SimulatedNode(this, nodes.size(), SimulatedNode.ORIGIN, 0));
+        for (int zone = 0; zone < zones; zone++) {
+            for (int i = 0; i < scenario.count("directors"); i++) {
+                directors.add(new SimulatedDirector(this, directors.size(), zone, policy, random.split()));
             }
         }
-        for (int p = 0; p < places; p++) demands.add(new LoadGenerator(this, p, chance.split()));
+        for (int zone = 0; zone < zones; zone++) loadGenerators.add(new LoadGenerator(this, zone, random.split()));
     }
 
     /** Plays a run from its begin to its end. */
-    public static SimulationResult play(ScenarioParameters town, FaultSchedule script, DirectorFactory policy,
+    public static SimulationResult run(ScenarioParameters scenario, FaultSchedule faults, DirectorFactory policy,
         long seed) {
-        Simulation w = new Simulation(town, policy, seed);
-        for (LoadGenerator d : w.demands) d.begin();
-        script.set(w);
-        w.result.events = w.clock.run(w.zero + 1000 * town.get("seconds") + town.get("abandon") + 1000);
-        SimulationResult r = w.result;
-        for (SimulatedDirector h : w.hosts) r.hops += h.sent;
-        r.originFetches = w.originFetches;
-        r.originShed = w.originShed;
-        r.broken = w.check.broken;
-        r.first = w.check.first;
-        for (SimulatedNode b : w.boxes) {
-            if (b.fell) r.fallen++;
-            r.nearest = Math.max(r.nearest, b.nearest);
+        Simulation simulation = new Simulation(scenario, policy, seed);
+        for (LoadGenerator generator : simulation.loadGenerators) generator.scheduleArrival();
+        faults.scheduleOn(simulation);
+        simulation.result.events = simulation.clock.run(simulation.startedAtMs + 1000 * scenario.get("seconds")
+            + scenario.get("abandon") + 1000);
+        SimulationResult result = simulation.result;
+        for (SimulatedDirector director : simulation.directors) result.hops += director.hopsSent;
+        result.originFetches = simulation.originFetches;
+        result.originShed = simulation.originShed;
+        result.violations = simulation.ruleChecker.violations;
+        result.firstViolations = simulation.ruleChecker.firstViolations;
+        for (SimulatedNode node : simulation.nodes) {
+            if (node.overloaded) result.overloadedNodes++;
+            result.peakOverloadShare = Math.max(result.peakOverloadShare, node.peakOverloadShare);
         }
-        return r;
+        return result;
     }
 
     /** Ms since the begin. */
-    double elapsed() {
-        return clock.now - zero;
+    double elapsedMs() {
+        return clock.nowMs - startedAtMs;
     }
 
-    double fresh() {
-        return town.get("fresh");
+    double freshMs() {
+        return scenario.get("fresh");
     }
 
     SimulatedNode origin() {
         return origin;
     }
 
-    BandwidthLink linkOf(int place) {
-        return links.get(place);
+    BandwidthLink zoneLink(int zone) {
+        return zoneLinks.get(zone);
     }
 
-    LoadGenerator demandAt(int place) {
-        return demands.get(place);
+    LoadGenerator loadGenerator(int zone) {
+        return loadGenerators.get(zone);
     }
 
     /** The director that a client of this place finds: one that runs, any of them. */
-    SimulatedDirector hostAt(int place, SplittableRandom by) {
-        int n = town.count("directors"), first = place * n, at = by.nextInt(n);
-        for (int i = 0; i < n; i++) {
-            SimulatedDirector h = hosts.get(first + (at + i) % n);
-            if (!h.dead) return h;
+    SimulatedDirector pickDirector(int zone, SplittableRandom random) {
+        int count = scenario.count("directors");
+        int first = zone * count;
+        int offset = random.nextInt(count);
+        for (int i = 0; i < count; i++) {
+            SimulatedDirector director = directors.get(first + (offset + i) % count);
+            if (!director.down) return director;
         }
         return null;
     }
 
     // ---- what is open at boxes ----
 
-    void open(SimulatedNode b, Hop h) {
-        open.computeIfAbsent(b, k -> new java.util.LinkedHashSet<>()).add(h);
+    void hopOpened(SimulatedNode node, Hop hop) {
+        openHops.computeIfAbsent(node, k -> new java.util.LinkedHashSet<>()).add(hop);
     }
 
-    boolean closed(SimulatedNode b, Hop h) {
-        Set<Hop> all = open.get(b);
-        return all != null && all.remove(h);
+    boolean hopClosed(SimulatedNode node, Hop hop) {
+        Set<Hop> hops = openHops.get(node);
+        return hops != null && hops.remove(hop);
     }
 
-    List<Hop> openAt(SimulatedNode b) {
-        Set<Hop> all = open.remove(b);
-        return all == null ? List.of() : new ArrayList<>(all);
+    List<Hop> removeOpenHops(SimulatedNode node) {
+        Set<Hop> hops = openHops.remove(node);
+        return hops == null ? List.of() : new ArrayList<>(hops);
     }
 
-    void droppedAnywhere(Hop h) {
-        for (SimulatedNode b : boxes) {
-            Set<Hop> all = open.get(b);
-            if (all == null || !all.contains(h)) continue;
-            b.dropped(h);
+    void cancelAtNode(Hop hop) {
+        for (SimulatedNode node : nodes) {
+            Set<Hop> hops = openHops.get(node);
+            if (hops == null || !hops.contains(hop)) continue;
+            node.cancel(hop);
             return;
         }
     }
@@ -135,47 +139,50 @@
     // ---- news ----
 
     /** The list hears of a box, and tells every director somewhat later, each after a delay of its own. */
-    void tell(SimulatedNode b, int standing) {
-        b.standing = standing;
-        double started = b.startedAt;
-        for (SimulatedDirector h : hosts) {
-            int run = h.run;
-            clock.at(due(h), () -> heard(h, run, () -> check.told(h.number, b, standing),
-                () -> h.news(b, standing, started)));
+    void publishStatus(SimulatedNode node, int status) {
+        node.status = status;
+        double startedAt = node.startedAt;
+        for (SimulatedDirector director : directors) {
+            int incarnation = director.incarnation;
+            clock.schedule(nextDeliveryTime(director), () -> deliver(director, incarnation,
+                () -> ruleChecker.statusNotified(director.number, node, status),
+                () -> director.nodeChanged(node, status, startedAt)));
         }
     }
 
     void purge(int group) {
-        double at = clock.now;
-        for (SimulatedNode b : boxes) {
-            if (b.kind != SimulatedNode.ORIGIN) {
-                clock.in(chance.nextDouble() * town.get("purge_takes"), () -> b.purged(group, at));
+        double purgedAt = clock.nowMs;
+        for (SimulatedNode node : nodes) {
+            if (node.kind != SimulatedNode.ORIGIN) {
+                clock.scheduleAfter(random.nextDouble() * scenario.get("purge_takes"),
+                    () -> node.purged(group, purgedAt));
             }
         }
-        for (SimulatedDirector h : hosts) {
-            int run = h.run;
-            clock.at(due(h), () -> heard(h, run, () -> check.toldPurge(h.number, group, at),
-                () -> h.purged(group, at)));
+        for (SimulatedDirector director : directors) {
+            int incarnation = director.incarnation;
+            clock.schedule(nextDeliveryTime(director), () -> deliver(director, incarnation,
+                () -> ruleChecker.purgeNotified(director.number, group, purgedAt),
+                () -> director.purged(group, purgedAt)));
         }
     }
 
     /** Each director hears after a delay of its own, and everything in its order. */
-    private double due(SimulatedDirector h) {
-        double delay = town.get("news_ms") * newsTimes * (0.5 + chance.nextDouble());
-        return h.newsDue = Math.max(h.newsDue, clock.now + delay);
+    private double nextDeliveryTime(SimulatedDirector director) {
+        double delay = scenario.get("news_ms") * discoveryDelayFactor * (0.5 + random.nextDouble());
+        return director.lastDeliveryAt = Math.max(director.lastDeliveryAt, clock.nowMs + delay);
     }
 
     /** A place that is cut off from the list hears it when it is back. */
-    private void heard(SimulatedDirector h, int run, Runnable told, Runnable what) {
-        boolean here = h.run == run && !h.dead;
-        if (!h.booting && !here) return;
-        if (cutOff.contains(h.place)) {
-            clock.in(500, () -> heard(h, run, told, what));
-        } else if (h.booting) {
-            told.run();
-            h.misses(what);
+    private void deliver(SimulatedDirector director, int incarnation, Runnable recordNotified, Runnable update) {
+        boolean sameIncarnation = director.incarnation == incarnation && !director.down;
+        if (!director.starting && !sameIncarnation) return;
+        if (isolatedZones.contains(director.zone)) {
+            clock.scheduleAfter(500, () -> deliver(director, incarnation, recordNotified, update));
+        } else if (director.starting) {
+            recordNotified.run();
+            director.addMissedUpdate(update);
         } else {
-            what.run();
+            update.run();
         }
     }
 }
--- a/src/main/java/mothcross/emulator/SimulationResult.java
+++ b/src/main/java/mothcross/emulator/SimulationResult.java
@@ -11,56 +11,69 @@
  */
 public final class SimulationResult {
     private final double seconds;
-    private final List<LoadGenerator.Wish> wishes = new ArrayList<>();
-    private final double target, stretch;
-    public long bounced, givenUp, unanswered, hits, handled, events, hops, originFetches, originShed, fallen;
-    public long[] broken = new long[6];
-    public List<String> first = List.of();
+    private final List<LoadGenerator.Request> requests = new ArrayList<>();
+    private final double targetMs;
+    private final double targetSizeFactor;
+    public long rejected;
+    public long failed;
+    public long unanswered;
+    public long hits;
+    public long succeeded;
+    public long events;
+    public long hops;
+    public long originFetches;
+    public long originShed;
+    public long overloadedNodes;
+    public long[] violations = new long[6];
+    public List<String> firstViolations = List.of();
     /** The most any cold box was sent, as a share of what pushes it over. */
-    public double nearest;
+    public double peakOverloadShare;
 
-    SimulationResult(ScenarioParameters t) {
-        seconds = t.get("seconds");
-        target = t.get("target");
-        stretch = t.get("stretch");
+    SimulationResult(ScenarioParameters scenario) {
+        seconds = scenario.get("seconds");
+        targetMs = scenario.get("target");
+        targetSizeFactor = scenario.get("stretch");
     }
 
-    void wished(LoadGenerator.Wish w) {
-        wishes.add(w);
+    void requestStarted(LoadGenerator.Request request) {
+        requests.add(request);
     }
 
-    void handled(LoadGenerator.Wish w, double at, int note) {
-        handled++;
+    void requestSucceeded(LoadGenerator.Request request, double finishedAtMs, int note) {
+        succeeded++;
         if (note == mothcross.Director.HIT || note == mothcross.Director.STALE_HIT) hits++;
-        if (w.handled) return;
-        w.handled = true;
-        w.inTime = at <= w.at + target + stretch * w.ownMs;
+        if (request.succeeded) return;
+        request.succeeded = true;
+        request.onTime = finishedAtMs <= request.startedAtMs + targetMs + targetSizeFactor * request.fullRateMs;
     }
 
     /** The share of wishes of these seconds that were handled by their target time. */
-    public double inTime(double from, double to) {
-        long all = 0, good = 0;
-        for (LoadGenerator.Wish w : wishes) {
-            if (w.at < 1000 * from || w.at >= 1000 * to) continue;
-            all++;
-            if (w.inTime) good++;
+    public double onTimeShare(double fromSecond, double toSecond) {
+        long total = 0;
+        long onTime = 0;
+        for (LoadGenerator.Request request : requests) {
+            if (request.startedAtMs < 1000 * fromSecond || request.startedAtMs >= 1000 * toSecond) continue;
+            total++;
+            if (request.onTime) onTime++;
         }
-        return all == 0 ? 1 : good / (double) all;
+        return total == 0 ? 1 : onTime / (double) total;
     }
 
-    public double inTime() {
-        return inTime(0, seconds);
+    public double onTimeShare() {
+        return onTimeShare(0, seconds);
     }
 
     /** The lowest share over any stretch of so many whole seconds. */
-    public double worst(int span) {
-        double least = 1;
-        for (int s = 0; s + span <= seconds; s++) least = Math.min(least, inTime(s, s + span));
-        return least;
+    public double minOnTimeShare(int spanSeconds) {
+        double min = 1;
+        for (int second = 0; second + spanSeconds <= seconds; second++) {
+            min = Math.min(min, onTimeShare(second, second + spanSeconds));
+        }
+        return min;
     }
 
-    public long wishes() {
-        return wishes.size();
+    public long requestCount() {
+        return requests.size();
     }
 
     /** The names of all figures, in their order. */
@@ -70,30 +83,31 @@
 
     /** By name, for tables; the order is the table's. */
     public java.util.Map<String, Double> figures() {
-        java.util.Map<String, Double> m = new java.util.LinkedHashMap<>();
-        m.put("in_time", inTime());
-        m.put("worst_5s", worst(5));
-        m.put("last_5s", inTime(seconds - 5, seconds));
-        m.put("hit_share", handled == 0 ? 0 : hits / (double) handled);
-        m.put("bounced", (double) bounced);
-        m.put("given_up", (double) givenUp);
-        m.put("unanswered", (double) unanswered);
-        m.put("hops_a_wish", wishes.isEmpty() ? 0 : hops / (double) wishes.size());
-        m.put("origin_fetches", (double) originFetches);
-        m.put("origin_shed", (double) originShed);
-        m.put("fallen", (double) fallen);
-        m.put("nearest", nearest);
-        long all = 0;
-        for (long b : broken) all += b;
-        m.put("rules_broken", (double) all);
-        return m;
+        java.util.Map<String, Double> figures = new java.util.LinkedHashMap<>();
+        figures.put("in_time", onTimeShare());
+        figures.put("worst_5s", minOnTimeShare(5));
+        figures.put("last_5s", onTimeShare(seconds - 5, seconds));
+        figures.put("hit_share", succeeded == 0 ? 0 : hits / (double) succeeded);
+        figures.put("bounced", (double) rejected);
+        figures.put("given_up", (double) failed);
+        figures.put("unanswered", (double) unanswered);
+        figures.put("hops_a_wish", requests.isEmpty() ? 0 : hops / (double) requests.size());
+        figures.put("origin_fetches", (double) originFetches);
+        figures.put("origin_shed", (double) originShed);
+        figures.put("fallen", (double) overloadedNodes);
+        figures.put("nearest", peakOverloadShare);
+        long totalViolations = 0;
+        for (long count : violations) totalViolations += count;
+        figures.put("rules_broken", (double) totalViolations);
+        return figures;
     }
 
     /** One line that is the same to the byte for the same run. */
     public String line() {
-        StringBuilder s = new StringBuilder("wishes ").append(wishes.size()).append(", events ").append(events);
-        figures().forEach((k, v) -> s.append(", ").append(k).append(' ').append(v == Math.rint(v) && Math.abs(v) < 1e12
-            ? Long.toString((long) (double) v) : String.format(Locale.ROOT, "%.6f", v)));
-        return s.toString();
+        StringBuilder text = new StringBuilder("wishes ").append(requests.size()).append(", events ").append(events);
+        figures().forEach((name, value) -> text.append(", ").append(name).append(' ').append(value == Math.rint(value)
+            && Math.abs(value) < 1e12
+            ? Long.toString((long) (double) value) : String.format(Locale.ROOT, "%.6f", value)));
+        return text.toString();
     }
 }
--- a/src/main/java/mothcross/emulator/WorstCaseSearch.java
+++ b/src/main/java/mothcross/emulator/WorstCaseSearch.java
@@ -11,54 +11,56 @@
  */
 public final class WorstCaseSearch {
     /** A day: how bad it is, and how many were played to find it. */
-    public record Found(long seed, FaultSchedule script, double badness, int played) { }
+    public record Candidate(long seed, FaultSchedule faults, double score, int runs) { }
 
     private WorstCaseSearch() { }
 
     /** Breaks of rules first, then how much of the worst 5 s was missed. */
-    public static double badness(SimulationResult r) {
-        long broken = 0;
-        for (long b : r.broken) broken += b;
-        return broken > 0 ? 1000 + Math.min(1000, broken) : 1 - r.worst(5) + (1 - r.inTime());
+    public static double score(SimulationResult result) {
+        long violations = 0;
+        for (long count : result.violations) violations += count;
+        return violations > 0 ? 1000 + Math.min(1000, violations) : 1 - result.minOnTimeShare(5)
+            + (1 - result.onTimeShare());
     }
 
-    public static Found worst(ScenarioParameters town, DirectorFactory policy, int days, long seed,
-        ToDoubleFunction<SimulationResult> badness) {
-        Found[] all = IntStream.range(0, days).parallel().mapToObj(i -> {
-            long mine = seed + i;
-            SplittableRandom r = new SplittableRandom(mine);
-            FaultSchedule s = FaultSchedule.drawn(r, 2 + r.nextInt(5), town);
-            return new Found(mine, s, badness.applyAsDouble(Simulation.play(town, s, policy, mine)), 1);
-        }).toArray(Found[]::new);
-        Found worst = all[0];
-        for (Found f : all) if (f.badness > worst.badness) worst = f;
-        return new Found(worst.seed, worst.script, worst.badness, days);
+    public static Candidate search(ScenarioParameters scenario, DirectorFactory policy, int runs, long seed,
+        ToDoubleFunction<SimulationResult> score) {
+        Candidate[] candidates = IntStream.range(0, runs).parallel().mapToObj(i -> {
+            long runSeed = seed + i;
+            SplittableRandom random = new SplittableRandom(runSeed);
+            FaultSchedule faults = FaultSchedule.random(random, 2 + random.nextInt(5), scenario);
+            return new Candidate(runSeed, faults, score.applyAsDouble(Simulation.run(scenario, faults, policy,
+                runSeed)), 1);
+        }).toArray(Candidate[]::new);
+        Candidate worst = candidates[0];
+        for (Candidate candidate : candidates) if (candidate.score > worst.score) worst = candidate;
+        return new Candidate(worst.seed, worst.faults, worst.score, runs);
     }
 
     /** Leaves out lines and makes the rest milder while the day stays {@code keeps} (0 to 1) as bad. */
-    public static Found shrink(ScenarioParameters town, DirectorFactory policy, Found from,
-        ToDoubleFunction<SimulationResult> badness, double keeps) {
-        double least = from.badness >= 1000 ? 1000 : keeps * from.badness;
-        FaultSchedule best = from.script;
-        int played = from.played;
-        for (boolean again = true; again;) {
-            again = false;
+    public static Candidate shrink(ScenarioParameters scenario, DirectorFactory policy, Candidate from,
+        ToDoubleFunction<SimulationResult> score, double keptShare) {
+        double minScore = from.score >= 1000 ? 1000 : keptShare * from.score;
+        FaultSchedule best = from.faults;
+        int runs = from.runs;
+        for (boolean improved = true; improved;) {
+            improved = false;
             for (int i = 0; i < best.size() && best.size() > 1; i++) {
-                FaultSchedule less = best.without(i);
-                played++;
-                if (badness.applyAsDouble(Simulation.play(town, less, policy, from.seed)) < least) continue;
-                best = less;
-                again = true;
+                FaultSchedule shorter = best.without(i);
+                runs++;
+                if (score.applyAsDouble(Simulation.run(scenario, shorter, policy, from.seed)) < minScore) continue;
+                best = shorter;
+                improved = true;
                 i--;
             }
         }
         for (int i = 0; i < 5; i++) {
             FaultSchedule milder = best.milder();
-            played++;
-            if (badness.applyAsDouble(Simulation.play(town, milder, policy, from.seed)) < least) break;
+            runs++;
+            if (score.applyAsDouble(Simulation.run(scenario, milder, policy, from.seed)) < minScore) break;
             best = milder;
         }
-        double now = badness.applyAsDouble(Simulation.play(town, best, policy, from.seed));
-        return new Found(from.seed, best, now, played + 1);
+        double finalScore = score.applyAsDouble(Simulation.run(scenario, best, policy, from.seed));
+        return new Candidate(from.seed, best, finalScore, runs + 1);
     }
 }
--- a/src/main/java/mothcross/experiment/Commands.java
+++ b/src/main/java/mothcross/experiment/Commands.java
@@ -20,13 +20,13 @@
 
 /** {@code mothcross experiment}, on the tools' loader: plays plans, compares, reports, lists what there is. */
 @Command(name = "experiment", description = "Plays experiments on the emulator; results under experiments/.",
-    mixinStandardHelpOptions = true, subcommands = {Commands.Run.class, Commands.Compare.class,
+    mixinStandardHelpOptions = true, subcommands = {Commands.RunCommand.class, Commands.CompareCommand.class,
         Commands.ReportCommand.class,
-        Commands.ListAll.class})
+        Commands.ListCommand.class})
 public final class Commands implements Callable<Integer> {
     private static final int USAGE = 2;
     /** Which module is played, by its bytes: rows of two builds are never mixed. */
-    private static final String BUILD = build();
+    private static final String BUILD = buildId();
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     private Commands() { }
@@ -41,14 +41,14 @@
         return USAGE;
     }
 
-    private static final class Which {
+    private static final class PlanOptions {
         @Parameters(paramLabel = "FILE", description = "the experiment, Jsonnet") private Path file;
 
         @Option(names = "--out", paramLabel = "DIR", description = "for results (default: experiments/NAME/BUILD)")
         private Path out;
-        private String hash;
+        private String planHash;
 
-        Path dir() {
+        Path outputDirectory() {
             String name = file.getFileName().toString().replaceAll("\\.[^.]*$", "");
             return out != null ? out : Path.of("experiments", name, BUILD);
         }
@@ -57,7 +57,7 @@
         ExperimentPlan plan() throws IOException {
             try {
                 String json = OperatorsFile.evaluated(file);
-                hash = hash(json) + "-" + BUILD;
+                planHash = hash(json) + "-" + BUILD;
                 return ExperimentPlan.of(JsonParser.parseString(json).getAsJsonObject());
             } catch (OperatorsFile.InvalidOperatorsFileException | IllegalArgumentException | IllegalStateException
                 | UnsupportedOperationException | ClassCastException e) {
@@ -67,20 +67,20 @@
         }
 
         ResultRows rows() throws IOException {
-            return new ResultRows(dir().resolve("rows.csv"), hash);
+            return new ResultRows(outputDirectory().resolve("rows.csv"), planHash);
         }
     }
 
     private static String hash(String text) {
         try {
-            byte[] h = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
-            return HexFormat.of().formatHex(h, 0, 8);
+            byte[] digest = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
+            return HexFormat.of().formatHex(digest, 0, 8);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);             // every platform has it
         }
     }
 
-    private static String build() {
+    private static String buildId() {
         try (InputStream in = CacheDirector.class.getResourceAsStream("CacheDirector.class")) {
             return hash(new String(in.readAllBytes(), StandardCharsets.ISO_8859_1)).substring(0, 8);
         } catch (IOException e) {
@@ -91,10 +91,10 @@
     /** What git says is checked out, "unknown" where there is none. */
     private static String commit() {
         try {
-            Process p = new ProcessBuilder("git", "rev-parse", "--short", "HEAD").redirectError(
+            Process process = new ProcessBuilder("git", "rev-parse", "--short", "HEAD").redirectError(
                 ProcessBuilder.Redirect.DISCARD).start();
-            String s = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
-            return p.waitFor() == 0 && !s.isEmpty() ? s : "unknown";
+            String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+            return process.waitFor() == 0 && !output.isEmpty() ? output : "unknown";
         } catch (IOException e) {
             return "unknown";
         } catch (InterruptedException e) {
@@ -105,36 +105,37 @@
 
     @Command(name = "run", description = "Plays what has not been played yet; a killed one goes on where it was.",
         mixinStandardHelpOptions = true)
-    static final class Run implements Callable<Integer> {
-        @CommandLine.Mixin private Which which;
+    static final class RunCommand implements Callable<Integer> {
+        @CommandLine.Mixin private PlanOptions planOptions;
 
         @Option(names = "--jobs", paramLabel = "N", description = "runs at a time (default: as many as cores)")
         private int jobs = Runtime.getRuntime().availableProcessors();
 
         @Override public Integer call() throws IOException, InterruptedException {
-            ExperimentPlan plan = which.plan();
+            ExperimentPlan plan = planOptions.plan();
             if (plan == null) return USAGE;
-            ResultRows rows = which.rows();
-            int n = Sweep.play(plan, rows, Math.max(1, jobs), s -> System.err.println(s));
-            new Report(plan, rows, which.hash, commit()).write(which.dir());
-            System.out.println(n + " runs played, " + plan.cells.size() + " cells; see "
-                + which.dir().resolve("index.html"));
+            ResultRows rows = planOptions.rows();
+            int runs = Sweep.run(plan, rows, Math.max(1, jobs), line -> System.err.println(line));
+            new Report(plan, rows, planOptions.planHash, commit()).write(planOptions.outputDirectory());
+            System.out.println(runs + " runs played, " + plan.cells.size() + " cells; see "
+                + planOptions.outputDirectory().resolve("index.html"));
             return 0;
         }
     }
 
     @Command(name = "compare", description = "Two policies over the same seeds.", mixinStandardHelpOptions = true)
-    static final class Compare implements Callable<Integer> {
-        @CommandLine.Mixin private Which which;
+    static final class CompareCommand implements Callable<Integer> {
+        @CommandLine.Mixin private PlanOptions planOptions;
 
         @Parameters(index = "1", paramLabel = "ONE") private String one;
 
         @Parameters(index = "2", paramLabel = "OTHER") private String other;
 
         @Override public Integer call() throws IOException {
-            ExperimentPlan plan = which.plan();
+            ExperimentPlan plan = planOptions.plan();
             if (plan == null) return USAGE;
-            new Report(plan, which.rows(), which.hash, commit()).compare(one, other).forEach(System.out::println);
+            new Report(plan, planOptions.rows(), planOptions.planHash, commit()).compare(one,
+                other).forEach(System.out::println);
             return 0;
         }
     }
@@ -142,20 +143,20 @@
     @Command(name = "report", description = "Tables, charts and the page anew from the rows.",
         mixinStandardHelpOptions = true)
     static final class ReportCommand implements Callable<Integer> {
-        @CommandLine.Mixin private Which which;
+        @CommandLine.Mixin private PlanOptions planOptions;
 
         @Override public Integer call() throws IOException {
-            ExperimentPlan plan = which.plan();
+            ExperimentPlan plan = planOptions.plan();
             if (plan == null) return USAGE;
-            Report r = new Report(plan, which.rows(), which.hash, commit());
-            r.write(which.dir());
-            System.out.print(r.csv());
+            Report report = new Report(plan, planOptions.rows(), planOptions.planHash, commit());
+            report.write(planOptions.outputDirectory());
+            System.out.print(report.csv());
             return 0;
         }
     }
 
     @Command(name = "list", description = "The experiments that have results.", mixinStandardHelpOptions = true)
-    static final class ListAll implements Callable<Integer> {
+    static final class ListCommand implements Callable<Integer> {
         @Override public Integer call() throws IOException {
             Path all = Path.of("experiments");
             if (!Files.isDirectory(all)) return 0;
--- a/src/main/java/mothcross/experiment/ExperimentPlan.java
+++ b/src/main/java/mothcross/experiment/ExperimentPlan.java
@@ -18,107 +18,112 @@
  */
 public final class ExperimentPlan {
     /** One setting of all factors: {@code name} is the same in every play of the same plan. */
-    public record Cell(String name, String policy, ScenarioParameters town, String faults) { }
+    public record Cell(String name, String policy, ScenarioParameters scenario, String faults) { }
 
     private static final List<String> FIELDS = List.of("town", "factors", "policies", "faults", "seeds", "metrics",
         "stop");
-    private static final int MOST_CELLS = 5000, MOST_SEEDS = 10_000;
+    private static final int MAX_CELLS = 5000;
+    private static final int MAX_SEEDS = 10_000;
 
     public final List<Cell> cells = new ArrayList<>();
     public final List<String> metrics = new ArrayList<>();
     public final int seeds;
     /** The half width of the interval of the first metric under which a cell needs no more seeds; 0: all are played. */
-    public final double stopWidth;
-    public final int stopLeast;
+    public final double stopHalfWidth;
+    public final int minSeeds;
 
-    private ExperimentPlan(int seeds, double stopWidth, int stopLeast) {
+    private ExperimentPlan(int seeds, double stopHalfWidth, int minSeeds) {
         this.seeds = seeds;
-        this.stopWidth = stopWidth;
-        this.stopLeast = stopLeast;
+        this.stopHalfWidth = stopHalfWidth;
+        this.minSeeds = minSeeds;
     }
 
     /** {@code all}: the evaluated file. Throws with the field at fault. */
-    public static ExperimentPlan of(JsonObject all) {
-        for (String k : all.keySet()) if (!FIELDS.contains(k)) throw bad(k, "is not known; known are " + FIELDS);
-        JsonObject stop = all.has("stop") ? all.getAsJsonObject("stop") : new JsonObject();
-        int seeds = whole(all, "seeds", 20, 1, MOST_SEEDS);
-        ExperimentPlan p = new ExperimentPlan(seeds, stop.has("half_width") ? stop.get("half_width").getAsDouble() : 0,
-            whole(stop, "least_seeds", Math.min(8, seeds), 1, MOST_SEEDS));
-        ScenarioParameters town = new ScenarioParameters();
-        if (all.has("town")) {
-            for (Map.Entry<String, JsonElement> e : all.getAsJsonObject("town").entrySet()) {
-                town = with(town, "town." + e.getKey(), e.getKey(), e.getValue().getAsDouble());
+    public static ExperimentPlan of(JsonObject json) {
+        for (String field : json.keySet()) if (!FIELDS.contains(field)) throw invalid(field, "is not known; known are "
+            + FIELDS);
+        JsonObject stop = json.has("stop") ? json.getAsJsonObject("stop") : new JsonObject();
+        int seeds = integer(json, "seeds", 20, 1, MAX_SEEDS);
+        ExperimentPlan plan = new ExperimentPlan(seeds, stop.has("half_width") ? stop.get("half_width").getAsDouble()
+            : 0, integer(stop, "least_seeds", Math.min(8, seeds), 1, MAX_SEEDS));
+        ScenarioParameters baseScenario = new ScenarioParameters();
+        if (json.has("town")) {
+            for (Map.Entry<String, JsonElement> e : json.getAsJsonObject("town").entrySet()) {
+                baseScenario = with(baseScenario, "town." + e.getKey(), e.getKey(), e.getValue().getAsDouble());
             }
         }
         Map<String, String> faults = new LinkedHashMap<>();
-        if (all.has("faults")) {
-            all.getAsJsonObject("faults").entrySet().forEach(e -> faults.put(e.getKey(), e.getValue().getAsString()));
+        if (json.has("faults")) {
+            json.getAsJsonObject("faults").entrySet().forEach(e -> faults.put(e.getKey(), e.getValue().getAsString()));
         }
         if (faults.isEmpty()) faults.put("none", "");
         faults.forEach((name, text) -> {
             try {
                 FaultSchedule.of(text);
             } catch (IllegalArgumentException e) {
-                throw bad("faults." + name, e.getMessage());
+                throw invalid("faults." + name, e.getMessage());
             }
         });
         List<String> policies = new ArrayList<>();
-        if (all.has("policies")) all.getAsJsonArray("policies").forEach(e -> policies.add(e.getAsString()));
+        if (json.has("policies")) json.getAsJsonArray("policies").forEach(e -> policies.add(e.getAsString()));
         if (policies.isEmpty()) policies.add("decide");
-        for (String x : policies) if (!Baselines.ALL.containsKey(x)) throw bad("policies", "has no '" + x
+        for (String policy : policies) if (!Baselines.ALL.containsKey(policy)) throw invalid("policies", "has no '"
+            + policy
             + "'; there are "
             + Baselines.ALL.keySet());
-        if (all.has("metrics")) all.getAsJsonArray("metrics").forEach(e -> p.metrics.add(e.getAsString()));
-        if (p.metrics.isEmpty()) p.metrics.add("in_time");
-        for (String m : p.metrics) if (!SimulationResult.names().contains(m)) throw bad("metrics", "has no '" + m
+        if (json.has("metrics")) json.getAsJsonArray("metrics").forEach(e -> plan.metrics.add(e.getAsString()));
+        if (plan.metrics.isEmpty()) plan.metrics.add("in_time");
+        for (String metric : plan.metrics) if (!SimulationResult.names().contains(metric)) throw invalid("metrics",
+            "has no '" + metric
             + "'; there are "
             + SimulationResult.names());
-        List<Map.Entry<String, ScenarioParameters>> towns = new ArrayList<>(List.of(Map.entry("", town)));
-        if (all.has("factors")) {
-            for (Map.Entry<String, JsonElement> f : all.getAsJsonObject("factors").entrySet()) {
-                List<Map.Entry<String, ScenarioParameters>> more = new ArrayList<>();
-                for (Map.Entry<String, ScenarioParameters> t : towns) {
+        List<Map.Entry<String, ScenarioParameters>> scenarios = new ArrayList<>(List.of(Map.entry("", baseScenario)));
+        if (json.has("factors")) {
+            for (Map.Entry<String, JsonElement> f : json.getAsJsonObject("factors").entrySet()) {
+                List<Map.Entry<String, ScenarioParameters>> expanded = new ArrayList<>();
+                for (Map.Entry<String, ScenarioParameters> t : scenarios) {
                     for (JsonElement level : f.getValue().getAsJsonArray()) {
                         String name = (t.getKey().isEmpty() ? "" : t.getKey() + " ") + f.getKey() + "="
                             + level.getAsString();
-                        more.add(Map.entry(name, with(t.getValue(), "factors." + f.getKey(), f.getKey(),
+                        expanded.add(Map.entry(name, with(t.getValue(), "factors." + f.getKey(), f.getKey(),
                             level.getAsDouble())));
                     }
                 }
-                towns = more;
+                scenarios = expanded;
             }
         }
-        for (Map.Entry<String, ScenarioParameters> t : towns) {
+        for (Map.Entry<String, ScenarioParameters> t : scenarios) {
             for (Map.Entry<String, String> f : faults.entrySet()) {
                 for (String policy : policies) {
                     String name = (t.getKey().isEmpty() ? "" : t.getKey() + " ") + "faults=" + f.getKey() + " policy="
                         + policy;
-                    p.cells.add(new Cell(name, policy, t.getValue(), f.getValue()));
+                    plan.cells.add(new Cell(name, policy, t.getValue(), f.getValue()));
                 }
             }
         }
-        if (p.cells.size() > MOST_CELLS) throw bad("factors", "make " + p.cells.size() + " cells, " + MOST_CELLS
+        if (plan.cells.size() > MAX_CELLS) throw invalid("factors", "make " + plan.cells.size() + " cells, " + MAX_CELLS
             + " at most");
-        return p;
+        return plan;
     }
 
-    private static ScenarioParameters with(ScenarioParameters t, String at, String name, double value) {
+    private static ScenarioParameters with(ScenarioParameters scenario, String field, String name, double value) {
         try {
-            return t.with(name, value);
+            return scenario.with(name, value);
         } catch (IllegalArgumentException e) {
-            throw bad(at, e.getMessage());
+            throw invalid(field, e.getMessage());
         }
     }
 
-    private static int whole(JsonObject in, String field, int otherwise, int least, int most) {
-        if (!in.has(field)) return otherwise;
-        double v = in.get(field).getAsDouble();
-        if (v != Math.rint(v) || v < least || v > most) throw bad(field, "= " + v + " is no whole number from "
-            + least + " to " + most);
-        return (int) v;
+    private static int integer(JsonObject json, String field, int defaultValue, int min, int max) {
+        if (!json.has(field)) return defaultValue;
+        double value = json.get(field).getAsDouble();
+        if (value != Math.rint(value) || value < min || value > max)
+            throw invalid(field, "= " + value + " is no whole number from "
+            + min + " to " + max);
+        return (int) value;
     }
 
-    private static IllegalArgumentException bad(String field, String why) {
-        return new IllegalArgumentException(field + " " + why);
+    private static IllegalArgumentException invalid(String field, String reason) {
+        return new IllegalArgumentException(field + " " + reason);
     }
 }
--- a/src/main/java/mothcross/experiment/Report.java
+++ b/src/main/java/mothcross/experiment/Report.java
@@ -24,63 +24,66 @@
 public final class Report {
     private final ExperimentPlan plan;
     private final ResultRows rows;
-    private final String plans, commit;
+    private final String planHash;
+    private final String commit;
 
     public Report(ExperimentPlan plan, ResultRows rows, String planHash, String commit) {
         this.plan = plan;
         this.rows = rows;
-        this.plans = planHash;
+        this.planHash = planHash;
         this.commit = commit;
     }
 
-    private static double[] values(Map<Integer, Double> m) {
-        return m.values().stream().mapToDouble(x -> x).toArray();
+    private static double[] values(Map<Integer, Double> metric) {
+        return metric.values().stream().mapToDouble(x -> x).toArray();
     }
 
-    private Sample sample(ExperimentPlan.Cell c, String metric) {
-        return Sample.of(values(rows.figures(c.name(), metric)));
+    private Sample sample(ExperimentPlan.Cell cell, String metric) {
+        return Sample.of(values(rows.figures(cell.name(), metric)));
     }
 
-    private static String text(double d) {
-        return Double.isNaN(d) ? "" : String.format(Locale.ROOT, "%.4f", d);
+    private static String formatted(double value) {
+        return Double.isNaN(value) ? "" : String.format(Locale.ROOT, "%.4f", value);
     }
 
     /** A line a cell: for each figure its mean and interval, and how many seeds. */
     public String csv() {
-        StringBuilder s = new StringBuilder("cell,seeds");
-        for (String m : plan.metrics) s.append(String.format(",%s,%s_low,%s_high", m, m, m));
-        for (ExperimentPlan.Cell c : plan.cells) {
-            s.append('\n').append(c.name()).append(',').append(rows.count(c.name()));
-            for (String m : plan.metrics) {
-                Sample x = sample(c, m);
-                for (double d : new double[] {x.mean(), x.low(), x.high()}) s.append(',').append(text(d));
+        StringBuilder text = new StringBuilder("cell,seeds");
+        for (String metric : plan.metrics) text.append(String.format(",%s,%s_low,%s_high", metric, metric, metric));
+        for (ExperimentPlan.Cell cell : plan.cells) {
+            text.append('\n').append(cell.name()).append(',').append(rows.count(cell.name()));
+            for (String metric : plan.metrics) {
+                Sample sample = sample(cell, metric);
+                for (double value : new double[] {sample.mean(), sample.low(), sample.high()}) {
+                    text.append(',').append(formatted(value));
+                }
             }
         }
-        return s.append('\n').toString();
+        return text.append('\n').toString();
     }
 
     public String json() {
-        JsonObject all = new JsonObject();
-        all.addProperty("plan", plans);
-        all.addProperty("commit", commit);
+        JsonObject report = new JsonObject();
+        report.addProperty("plan", planHash);
+        report.addProperty("commit", commit);
         JsonObject cells = new JsonObject();
-        for (ExperimentPlan.Cell c : plan.cells) {
-            JsonObject o = new JsonObject();
-            o.addProperty("seeds", rows.count(c.name()));
-            for (String m : plan.metrics) {
-                Sample x = sample(c, m);
-                JsonObject f = new JsonObject();
-                if (x.n() > 0) {
-                    f.addProperty("mean", x.mean());
-                    f.addProperty("low", x.low());
-                    f.addProperty("high", x.high());
+        for (ExperimentPlan.Cell cell : plan.cells) {
+            JsonObject metrics = new JsonObject();
+            metrics.addProperty("seeds", rows.count(cell.name()));
+            for (String metric : plan.metrics) {
+                Sample sample = sample(cell, metric);
+                JsonObject statistics = new JsonObject();
+                if (sample.count() > 0) {
+                    statistics.addProperty("mean", sample.mean());
+                    statistics.addProperty("low", sample.low());
+                    statistics.addProperty("high", sample.high());
                 }
-                o.add(m, f);
+                metrics.add(metric, statistics);
             }
-            cells.add(c.name(), o);
+            cells.add(cell.name(), metrics);
         }
-        all.add("cells", cells);
-        return new GsonBuilder().setPrettyPrinting().create().toJson(all) + "\n";
+        report.add("cells", cells);
+        return new GsonBuilder().setPrettyPrinting().create().toJson(report) + "\n";
     }
 
     /** Two policies over the same seeds, in every cell that has both: the difference, its interval, its size. */
@@ -88,21 +91,25 @@
         List<String> lines = new ArrayList<>();
         lines.add(String.format("| cell | figure | %s less %s | 95 %% interval | effect | seeds | |", one, other));
         lines.add("| --- | --- | --- | --- | --- | --- | --- |");
-        for (ExperimentPlan.Cell c : plan.cells) {
-            if (!c.policy().equals(one)) continue;
-            String twin = c.name().replace("policy=" + one, "policy=" + other);
-            for (String m : plan.metrics) {
-                Map<Integer, Double> a = rows.figures(c.name(), m), b = rows.figures(twin, m);
-                double[] d = a.keySet().stream().filter(b::containsKey).mapToDouble(s -> a.get(s) - b.get(s)).toArray();
-                if (d.length == 0) continue;
-                Sample x = Sample.of(d);
-                String word = x.few() ? "too few seeds to tell" : x.low() > 0 ? one + " is higher" : x.high() < 0
+        for (ExperimentPlan.Cell cell : plan.cells) {
+            if (!cell.policy().equals(one)) continue;
+            String otherCell = cell.name().replace("policy=" + one, "policy=" + other);
+            for (String metric : plan.metrics) {
+                Map<Integer, Double> oneBySeed = rows.figures(cell.name(), metric),
+                    otherBySeed = rows.figures(otherCell, metric);
+                double[] differences = oneBySeed.keySet().stream().filter(otherBySeed::containsKey).mapToDouble(s ->
+                    oneBySeed.get(s) - otherBySeed.get(s)).toArray();
+                if (differences.length == 0) continue;
+                Sample sample = Sample.of(differences);
+                String verdict = sample.isTooSmall() ? "too few seeds to tell" : sample.low() > 0 ? one + " is higher"
+                    : sample.high() < 0
                     ? other
                     + " is higher" : "no difference shown";
                 lines.add(String.format(Locale.ROOT, "| %s | %s | %+.4f | %+.4f to %+.4f | %.2f | %d | %s |",
-                    c.name().replace(
-                    " policy=" + one, ""), m, x.mean(), x.low(), x.high(), d.length < 2 ? 0 : Sample.effect(d), x.n(),
-                        word));
+                    cell.name().replace(
+                    " policy=" + one, ""), metric, sample.mean(), sample.low(), sample.high(), differences.length < 2
+                    ? 0 : Sample.effectSize(differences), sample.count(),
+                        verdict));
             }
         }
         return lines;
@@ -113,17 +120,17 @@
         Files.createDirectories(dir);
         Files.writeString(dir.resolve("table.csv"), csv());
         Files.writeString(dir.resolve("table.json"), json());
-        StringBuilder page = new StringBuilder("<!doctype html><meta charset=utf-8><title>").append(plans)
+        StringBuilder page = new StringBuilder("<!doctype html><meta charset=utf-8><title>").append(planHash)
             .append("</title><style>body{font:14px sans-serif;margin:2em}td,th{padding:2px 8px;text-align:right}"
-                + "td:first-child{text-align:left}</style><p>Figures of the emulator, plan ").append(plans)
+                + "td:first-child{text-align:left}</style><p>Figures of the emulator, plan ").append(planHash)
             .append(", commit ")
             .append(commit).append("; intervals are 95 % by bootstrap over seeds.</p>\n");
-        for (String m : plan.metrics) {
-            CategoryChart chart = chart(m);
-            VectorGraphicsEncoder.saveVectorGraphic(chart, dir.resolve(m).toString(),
+        for (String metric : plan.metrics) {
+            CategoryChart chart = chart(metric);
+            VectorGraphicsEncoder.saveVectorGraphic(chart, dir.resolve(metric).toString(),
                 VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
-            BitmapEncoder.saveBitmap(chart, dir.resolve(m).toString(), BitmapEncoder.BitmapFormat.PNG);
-            page.append(String.format("<h2>%s</h2><img src=\"%s.svg\" alt=\"%s\">%n", m, m, m));
+            BitmapEncoder.saveBitmap(chart, dir.resolve(metric).toString(), BitmapEncoder.BitmapFormat.PNG);
+            page.append(String.format("<h2>%s</h2><img src=\"%s.svg\" alt=\"%s\">%n", metric, metric, metric));
         }
         page.append("<table>");
         for (String line : csv().split("\n")) {
@@ -135,24 +142,26 @@
     }
 
     private CategoryChart chart(String metric) {
-        Set<String> where = new LinkedHashSet<>(), policies = new LinkedHashSet<>();
-        for (ExperimentPlan.Cell c : plan.cells) {
-            where.add(c.name().replace(" policy=" + c.policy(), "").replace("policy=" + c.policy(), "all"));
-            policies.add(c.policy());
+        Set<String> settings = new LinkedHashSet<>();
+        Set<String> policies = new LinkedHashSet<>();
+        for (ExperimentPlan.Cell cell : plan.cells) {
+            settings.add(cell.name().replace(" policy=" + cell.policy(), "").replace("policy=" + cell.policy(), "all"));
+            policies.add(cell.policy());
         }
         CategoryChart chart = new CategoryChartBuilder().width(Math.max(700,
-            60 * where.size())).height(420).title(metric)
+            60 * settings.size())).height(420).title(metric)
             .yAxisTitle(metric).build();
         chart.getStyler().setXAxisLabelRotation(60).setErrorBarsColorSeriesColor(true);
-        for (String p : policies) {
-            List<Double> mean = new ArrayList<>(), error = new ArrayList<>();
-            for (String w : where) {
-                Sample x = Sample.of(values(rows.figures(w.equals("all") ? "policy=" + p : w + " policy=" + p,
-                    metric)));
-                mean.add(x.n() == 0 ? 0 : x.mean());
-                error.add(x.n() == 0 ? 0 : x.halfWidth());
+        for (String policy : policies) {
+            List<Double> means = new ArrayList<>();
+            List<Double> errors = new ArrayList<>();
+            for (String setting : settings) {
+                Sample sample = Sample.of(values(rows.figures(setting.equals("all") ? "policy=" + policy : setting
+                    + " policy=" + policy, metric)));
+                means.add(sample.count() == 0 ? 0 : sample.mean());
+                errors.add(sample.count() == 0 ? 0 : sample.halfWidth());
             }
-            chart.addSeries(p, new ArrayList<>(where), mean, error);
+            chart.addSeries(policy, new ArrayList<>(settings), means, errors);
         }
         return chart;
     }
--- a/src/main/java/mothcross/experiment/ResultRows.java
+++ b/src/main/java/mothcross/experiment/ResultRows.java
@@ -20,57 +20,60 @@
  */
 public final class ResultRows {
     private final Path file;
-    private final String head;
+    private final String header;
     // By cell, by seed: the figures in the order of their names.
-    private final Map<String, TreeMap<Integer, double[]>> all = new LinkedHashMap<>();
+    private final Map<String, TreeMap<Integer, double[]>> valuesByCell = new LinkedHashMap<>();
 
     /** {@code plan}: a hash of the experiment file; results of another one are not mixed in. */
-    public ResultRows(Path file, String plan) throws IOException {
+    public ResultRows(Path file, String planHash) throws IOException {
         this.file = file;
-        this.head = "# plan " + plan + "\ncell,seed," + String.join(",", SimulationResult.names()) + "\n";
+        this.header = "# plan " + planHash + "\ncell,seed," + String.join(",", SimulationResult.names()) + "\n";
         if (!Files.exists(file)) {
             Files.createDirectories(file.toAbsolutePath().getParent());
-            Files.writeString(file, head);
+            Files.writeString(file, header);
             return;
         }
         String text = Files.readString(file);
-        if (!text.startsWith(head)) throw new IOException(file + " holds results of another plan; move it away");
-        int whole = text.lastIndexOf('\n') + 1;
-        if (whole < text.length()) Files.writeString(file, text.substring(0, whole));
-        for (String line : text.substring(head.length(), whole).split("\n")) if (!line.isEmpty()) take(line);
+        if (!text.startsWith(header)) throw new IOException(file + " holds results of another plan; move it away");
+        int completeLength = text.lastIndexOf('\n') + 1;
+        if (completeLength < text.length()) Files.writeString(file, text.substring(0, completeLength));
+        for (String line : text.substring(header.length(), completeLength).split("\n")) {
+            if (!line.isEmpty()) parse(line);
+        }
     }
 
-    private void take(String line) {
-        String[] p = line.split(",");
-        double[] v = new double[SimulationResult.names().size()];
-        for (int i = 0; i < v.length; i++) v[i] = Double.parseDouble(p[i + 2]);
-        all.computeIfAbsent(p[0], k -> new TreeMap<>()).put(Integer.parseInt(p[1]), v);
+    private void parse(String line) {
+        String[] fields = line.split(",");
+        double[] values = new double[SimulationResult.names().size()];
+        for (int i = 0; i < values.length; i++) values[i] = Double.parseDouble(fields[i + 2]);
+        valuesByCell.computeIfAbsent(fields[0], k -> new TreeMap<>()).put(Integer.parseInt(fields[1]), values);
     }
 
-    public synchronized boolean has(String cell, int seed) {
-        return all.getOrDefault(cell, new TreeMap<>()).containsKey(seed);
+    public synchronized boolean contains(String cell, int seed) {
+        return valuesByCell.getOrDefault(cell, new TreeMap<>()).containsKey(seed);
     }
 
-    public synchronized void add(String cell, int seed, SimulationResult r) throws IOException {
-        StringBuilder s = new StringBuilder(cell).append(',').append(seed);
-        r.figures().values().forEach(v -> s.append(',').append(String.format(Locale.ROOT, "%.6f", v)));
-        take(s.toString());
-        Files.write(file, s.append('\n').toString().getBytes(StandardCharsets.UTF_8), StandardOpenOption.APPEND);
+    public synchronized void add(String cell, int seed, SimulationResult result) throws IOException {
+        StringBuilder line = new StringBuilder(cell).append(',').append(seed);
+        result.figures().values().forEach(value -> line.append(',').append(String.format(Locale.ROOT, "%.6f", value)));
+        parse(line.toString());
+        Files.write(file, line.append('\n').toString().getBytes(StandardCharsets.UTF_8), StandardOpenOption.APPEND);
     }
 
     public synchronized int count(String cell) {
-        return all.getOrDefault(cell, new TreeMap<>()).size();
+        return valuesByCell.getOrDefault(cell, new TreeMap<>()).size();
     }
 
     /** One figure of a cell by seed. */
     public synchronized Map<Integer, Double> figures(String cell, String metric) {
-        int at = SimulationResult.names().indexOf(metric);
-        Map<Integer, Double> m = new TreeMap<>();
-        all.getOrDefault(cell, new TreeMap<>()).forEach((seed, v) -> m.put(seed, v[at]));
-        return m;
+        int column = SimulationResult.names().indexOf(metric);
+        Map<Integer, Double> figureBySeed = new TreeMap<>();
+        valuesByCell.getOrDefault(cell, new TreeMap<>()).forEach((seed, values) ->
+            figureBySeed.put(seed, values[column]));
+        return figureBySeed;
     }
 
     public synchronized List<String> cells() {
-        return List.copyOf(new HashMap<>(all).keySet()).stream().sorted().toList();
+        return List.copyOf(new HashMap<>(valuesByCell).keySet()).stream().sorted().toList();
     }
 }
--- a/src/main/java/mothcross/experiment/Sample.java
+++ b/src/main/java/mothcross/experiment/Sample.java
@@ -12,35 +12,37 @@
  * difference
  * seed by seed. Owns the statistics; must never call a difference one where its interval holds nothing.
  */
-public record Sample(double mean, double low, double high, int n) {
+public record Sample(double mean, double low, double high, int count) {
     private static final int RESAMPLES = 2000;
     /** Under so many seeds an interval says little. */
-    public static final int FEW = 8;
+    public static final int MIN_SEEDS = 8;
 
     /** 95 % by the percentiles of resampled means; the same numbers give the same interval. */
-    public static Sample of(double[] v) {
-        if (v.length == 0) return new Sample(Double.NaN, Double.NaN, Double.NaN, 0);
-        UniformRandomProvider r = RandomSource.XO_RO_SHI_RO_128_PP.create(Arrays.hashCode(v));
-        double[] means = new double[RESAMPLES], one = new double[v.length];
+    public static Sample of(double[] values) {
+        if (values.length == 0) return new Sample(Double.NaN, Double.NaN, Double.NaN, 0);
+        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(Arrays.hashCode(values));
+        double[] means = new double[RESAMPLES];
+        double[] resample = new double[values.length];
         for (int i = 0; i < RESAMPLES; i++) {
-            for (int k = 0; k < one.length; k++) one[k] = v[r.nextInt(v.length)];
-            means[i] = Mean.of(one).getAsDouble();
+            for (int k = 0; k < resample.length; k++) resample[k] = values[random.nextInt(values.length)];
+            means[i] = Mean.of(resample).getAsDouble();
         }
-        double[] ends = Quantile.withDefaults().evaluate(means, 0.025, 0.975);
-        return new Sample(Mean.of(v).getAsDouble(), ends[0], ends[1], v.length);
+        double[] bounds = Quantile.withDefaults().evaluate(means, 0.025, 0.975);
+        return new Sample(Mean.of(values).getAsDouble(), bounds[0], bounds[1], values.length);
     }
 
     /** How many standard deviations of the differences their mean is from nothing (Cohen's d for pairs). */
-    public static double effect(double[] differences) {
-        double sd = StandardDeviation.of(differences).getAsDouble(), mean = Mean.of(differences).getAsDouble();
-        return sd > 0 ? mean / sd : mean == 0 ? 0 : Math.copySign(Double.POSITIVE_INFINITY, mean);
+    public static double effectSize(double[] differences) {
+        double deviation = StandardDeviation.of(differences).getAsDouble();
+        double mean = Mean.of(differences).getAsDouble();
+        return deviation > 0 ? mean / deviation : mean == 0 ? 0 : Math.copySign(Double.POSITIVE_INFINITY, mean);
     }
 
     public double halfWidth() {
         return (high - low) / 2;
     }
 
-    public boolean few() {
-        return n < FEW;
+    public boolean isTooSmall() {
+        return count < MIN_SEEDS;
     }
 }
--- a/src/main/java/mothcross/experiment/Sweep.java
+++ b/src/main/java/mothcross/experiment/Sweep.java
@@ -25,56 +25,60 @@
     private Sweep() { }
 
     /** How many runs were played; {@code said} hears of progress now and then. */
-    public static int play(ExperimentPlan plan, ResultRows rows, int jobs, Consumer<String> said) throws IOException,
+    public static int run(ExperimentPlan plan, ResultRows rows, int jobs, Consumer<String> progress) throws IOException,
         InterruptedException {
-        ExecutorService threads = Executors.newFixedThreadPool(jobs, r -> {
-            Thread t = new Thread(r, "run");
-            t.setDaemon(true);
-            return t;
+        ExecutorService threads = Executors.newFixedThreadPool(jobs, task -> {
+            Thread thread = new Thread(task, "run");
+            thread.setDaemon(true);
+            return thread;
         });
-        AtomicInteger played = new AtomicInteger();
-        Set<String> enough = ConcurrentHashMap.newKeySet();
-        long begun = System.nanoTime();
+        AtomicInteger completed = new AtomicInteger();
+        Set<String> finishedCells = ConcurrentHashMap.newKeySet();
+        long startNanos = System.nanoTime();
         try {
             // A round of some seeds for all cells at a time: the stop rule is asked between rounds, by whole rounds
             // only.
-            int step = Math.max(1, plan.stopLeast);
-            for (int from = 1; from <= plan.seeds; from += step) {
-                List<Future<?>> round = new ArrayList<>();
-                for (ExperimentPlan.Cell c : plan.cells) {
-                    if (enough.contains(c.name())) continue;
-                    for (int seed = from; seed < from + step && seed <= plan.seeds; seed++) {
-                        if (rows.has(c.name(), seed)) continue;
+            int batchSeeds = Math.max(1, plan.minSeeds);
+            for (int firstSeed = 1; firstSeed <= plan.seeds; firstSeed += batchSeeds) {
+                List<Future<?>> batch = new ArrayList<>();
+                for (ExperimentPlan.Cell cell : plan.cells) {
+                    if (finishedCells.contains(cell.name())) continue;
+                    for (int seed = firstSeed; seed < firstSeed + batchSeeds && seed <= plan.seeds; seed++) {
+                        if (rows.contains(cell.name(), seed)) continue;
                         int s = seed;
-                        round.add(threads.submit(() -> {
-                            rows.add(c.name(), s, Simulation.play(c.town(), FaultSchedule.of(c.faults()),
-                                Baselines.ALL.get(c.policy()), s));
-                            played.incrementAndGet();
+                        batch.add(threads.submit(() -> {
+                            rows.add(cell.name(), s, Simulation.run(cell.scenario(), FaultSchedule.of(cell.faults()),
+                                Baselines.ALL.get(cell.policy()), s));
+                            completed.incrementAndGet();
                             return null;
                         }));
                     }
                 }
-                for (Future<?> f : round) f.get();
-                for (ExperimentPlan.Cell c : plan.cells) if (known(plan, rows, c)) enough.add(c.name());
-                int seeds = Math.min(plan.seeds, from + step - 1);
-                double s = (System.nanoTime() - begun) / 1e9, left = s / seeds * (plan.seeds - seeds);
-                said.accept(String.format(java.util.Locale.ROOT,
+                for (Future<?> future : batch) future.get();
+                for (ExperimentPlan.Cell cell : plan.cells) if (hasEnoughSeeds(plan, rows,
+                    cell)) finishedCells.add(cell.name());
+                int seeds = Math.min(plan.seeds, firstSeed + batchSeeds - 1);
+                double s = (System.nanoTime() - startNanos) / 1e9;
+                double left = s / seeds * (plan.seeds - seeds);
+                progress.accept(String.format(java.util.Locale.ROOT,
                     "%d of %d seeds, %d runs, %d of %d cells known well enough, %.0f s, "
-                    + "at most %.0f s left", seeds, plan.seeds, played.get(), enough.size(), plan.cells.size(), s,
+                    + "at most %.0f s left", seeds, plan.seeds, completed.get(), finishedCells.size(),
+                    plan.cells.size(), s,
                         left));
-                if (enough.size() == plan.cells.size()) break;
+                if (finishedCells.size() == plan.cells.size()) break;
             }
         } catch (ExecutionException e) {
             throw new IOException("a run failed: " + e.getCause(), e.getCause());
         } finally {
             threads.shutdownNow();
         }
-        return played.get();
+        return completed.get();
     }
 
-    private static boolean known(ExperimentPlan plan, ResultRows rows, ExperimentPlan.Cell c) {
-        if (plan.stopWidth <= 0 || rows.count(c.name()) < plan.stopLeast) return false;
-        double[] v = rows.figures(c.name(), plan.metrics.get(0)).values().stream().mapToDouble(x -> x).toArray();
-        return Sample.of(v).halfWidth() <= plan.stopWidth;
+    private static boolean hasEnoughSeeds(ExperimentPlan plan, ResultRows rows, ExperimentPlan.Cell cell) {
+        if (plan.stopHalfWidth <= 0 || rows.count(cell.name()) < plan.minSeeds) return false;
+        double[] values = rows.figures(cell.name(), plan.metrics.get(0)).values().stream().mapToDouble(x ->
+            x).toArray();
+        return Sample.of(values).halfWidth() <= plan.stopHalfWidth;
     }
 }
