--- a/src/test/java/mothcross/emulator/EmulatorTest.java
+++ b/src/test/java/mothcross/emulator/EmulatorTest.java
@@ -19,7 +19,7 @@
         .with("places", 2).with("caches", 3);
 
     private static SimulationResult play(String policy, FaultSchedule s, ScenarioParameters t, long seed) {
-        return Simulation.play(t, s, Baselines.ALL.get(policy), seed);
+        return Simulation.run(t, s, Baselines.ALL.get(policy), seed);
     }
 
     /** Two flows' room: three jobs of 100, 100 and 200 ms at full pace get two thirds each,
@@ -28,14 +28,14 @@
         EventQueue c = new EventQueue();
         BandwidthLink p = new BandwidthLink(c, 2);
         List<String> ends = new ArrayList<>();
-        for (double own : new double[] {100, 100, 200}) p.add(own, () -> ends.add(own + "@" + Math.round(c.now)));
+        for (double own : new double[] {100, 100, 200}) p.add(own, () -> ends.add(own + "@" + Math.round(c.nowMs)));
         BandwidthLink.Job[] dropped = new BandwidthLink.Job[1];
-        c.at(150, () -> dropped[0] = p.add(1000, () -> ends.add("never")));
-        c.at(200, () -> p.drop(dropped[0]));
+        c.schedule(150, () -> dropped[0] = p.add(1000, () -> ends.add("never")));
+        c.schedule(200, () -> p.cancel(dropped[0]));
         c.run(10_000);
         // 0 to 150: two flows for three, 100 each: the first two end; then two jobs at full pace.
         assertEquals(ends, List.of("100.0@150", "100.0@150", "200.0@250"));
-        assertEquals(p.running(), 0);
+        assertEquals(p.activeJobs(), 0);
     }
 
     @Test public void timesPlayInOrder() {
@@ -44,9 +44,9 @@
         List<Double> played = new ArrayList<>();
         for (int i = 0; i < 5000; i++) {
             double t = r.nextInt(300);
-            c.at(t, () -> {
-                played.add(c.now);
-                if (r.nextInt(3) == 0) c.in(r.nextInt(50), () -> played.add(c.now));
+            c.schedule(t, () -> {
+                played.add(c.nowMs);
+                if (r.nextInt(3) == 0) c.scheduleAfter(r.nextInt(50), () -> played.add(c.nowMs));
             });
         }
         c.run(1000);
@@ -74,7 +74,7 @@
 
     @Test public void theSameSeedIsTheSameRunToTheByte() {
         for (String policy : Baselines.ALL.keySet()) {
-            FaultSchedule s = FaultSchedule.drawn(new SplittableRandom(3), 4, SMALL);
+            FaultSchedule s = FaultSchedule.random(new SplittableRandom(3), 4, SMALL);
             String one = play(policy, s, SMALL, 3).line();
             assertEquals(play(policy, FaultSchedule.of(s.toString()), SMALL, 3).line(), one, policy);
             assertNotEquals(play(policy, s, SMALL, 4).line(), one, policy);
@@ -104,8 +104,9 @@
         ScenarioParameters t = SMALL.with("seconds", 24).with("once_only", 0.2);
         for (long seed = 1; seed <= 3; seed++) {
             SimulationResult r = play("decide", FaultSchedule.of(script), t, seed);
-            assertTrue(r.first.isEmpty(), name + " seed " + seed + ": " + r.first);
-            assertTrue(r.wishes() > 1000 && r.inTime(20, 24) > 0.7, name + " seed " + seed + ": " + r.line());
+            assertTrue(r.firstViolations.isEmpty(), name + " seed " + seed + ": " + r.firstViolations);
+            assertTrue(r.requestCount() > 1000 && r.onTimeShare(20, 24) > 0.7, name + " seed " + seed + ": "
+                + r.line());
         }
     }
 
@@ -116,13 +117,14 @@
     @Test public void drawnDaysKeepTheRules() {
         int faults = 0;
         for (long seed = 1; seed <= 40; seed++) {
-            FaultSchedule s = FaultSchedule.drawn(new SplittableRandom(seed), 1 + (int) seed % 6, SMALL);
+            FaultSchedule s = FaultSchedule.random(new SplittableRandom(seed), 1 + (int) seed % 6, SMALL);
             faults += s.size();
             SimulationResult r = play("decide", s, SMALL.with("fresh", seed % 3 == 0 ? 8000 : 0).with("stale", 10_000),
                 seed);
             boolean unseen = s.toString().contains("vanish");
             for (int rule = 1; rule <= 5; rule++) {
-                if (rule != 4 || !unseen) assertEquals(r.broken[rule], 0, "seed " + seed + ": " + r.first + "\n" + s);
+                if (rule != 4 || !unseen) assertEquals(r.violations[rule], 0, "seed " + seed + ": " + r.firstViolations
+                    + "\n" + s);
             }
         }
         assertTrue(faults > 100);
@@ -194,8 +196,8 @@
     }
 
     private static void finds(int rule, DirectorFactory p, String script, ScenarioParameters t) {
-        SimulationResult r = Simulation.play(t, FaultSchedule.of(script), p, 1);
-        assertTrue(r.broken[rule] > 0, "rule " + rule + " is not found broken: " + r.line());
+        SimulationResult r = Simulation.run(t, FaultSchedule.of(script), p, 1);
+        assertTrue(r.violations[rule] > 0, "rule " + rule + " is not found broken: " + r.line());
     }
 
     @Test public void plantedFaultsAreFound() {
@@ -232,8 +234,8 @@
         ScenarioParameters t = SMALL.with("directors", 6).with("boot_ms", 2000).with("speak_ms", 400);
         finds(3, Baselines.ALL.get("decide"), day, t.with("waits_for_news", 0));
         for (long seed = 1; seed <= 5; seed++) {
-            SimulationResult r = Simulation.play(t, FaultSchedule.of(day), Baselines.ALL.get("decide"), seed);
-            assertTrue(r.first.isEmpty(), "seed " + seed + ": " + r.first);
+            SimulationResult r = Simulation.run(t, FaultSchedule.of(day), Baselines.ALL.get("decide"), seed);
+            assertTrue(r.firstViolations.isEmpty(), "seed " + seed + ": " + r.firstViolations);
         }
     }
 
@@ -241,7 +243,7 @@
     @Test public void theColdDayIsKeptByTheModule() {
         SimulationResult r = play("decide", FaultSchedule.of("4000 crash place 0 for 3000"), SMALL.with("load",
             0.9).with("cold_breaks", 1.5), 1);
-        assertTrue(r.first.isEmpty() && r.nearest > 0.1, r.line());
+        assertTrue(r.firstViolations.isEmpty() && r.peakOverloadShare > 0.1, r.line());
     }
 
     @Test public void scriptsAreRefusedWithTheirLine() {
@@ -272,7 +274,7 @@
         FaultSchedule s = FaultSchedule.of("3000 crash caches 0.4 for 3000\n5000 purge by 20 for 1000\n"
             + "6000 kill director 0 for 2000");
         ScenarioParameters t = SMALL.with("seconds", 10).with("once_only", 0.2);
-        assertEquals(Simulation.play(t, s, new EarlierBuild(here).policy(), 5).line(), play("decide", s, t, 5).line());
+        assertEquals(Simulation.run(t, s, new EarlierBuild(here).policy(), 5).line(), play("decide", s, t, 5).line());
         try {
             new EarlierBuild(java.nio.file.Files.createTempDirectory("mothcross"));
             throw new AssertionError("taken");
@@ -285,13 +287,13 @@
     @Test public void theHuntShrinksItsDay() {
         DirectorFactory p = Baselines.ALL.get("rendezvous");
         ScenarioParameters t = SMALL.with("seconds", 16);
-        WorstCaseSearch.Found worst = WorstCaseSearch.worst(t, p, 12, 100, WorstCaseSearch::badness);
-        assertEquals(WorstCaseSearch.worst(t, p, 12, 100, WorstCaseSearch::badness).seed(), worst.seed(),
+        WorstCaseSearch.Candidate worst = WorstCaseSearch.search(t, p, 12, 100, WorstCaseSearch::score);
+        assertEquals(WorstCaseSearch.search(t, p, 12, 100, WorstCaseSearch::score).seed(), worst.seed(),
             "the same day, whoever plays");
-        WorstCaseSearch.Found less = WorstCaseSearch.shrink(t, p, worst, WorstCaseSearch::badness, 0.8);
-        assertTrue(less.script().size() <= worst.script().size() && less.badness() >= 0.8 * Math.min(1000,
-            worst.badness()));
-        assertEquals(FaultSchedule.of(less.script().toString()).toString(), less.script().toString(),
+        WorstCaseSearch.Candidate less = WorstCaseSearch.shrink(t, p, worst, WorstCaseSearch::score, 0.8);
+        assertTrue(less.faults().size() <= worst.faults().size() && less.score() >= 0.8 * Math.min(1000,
+            worst.score()));
+        assertEquals(FaultSchedule.of(less.faults().toString()).toString(), less.faults().toString(),
             "it can be kept as a file");
     }
 
@@ -301,6 +303,6 @@
             .with("caches", 3).with("parents", 20).with("seconds", 3)
             .with("load", 0.2).with("origin_flows", 4000).with("objects", 500);
         SimulationResult r = play("decide", FaultSchedule.of("1000 crash caches 0.1 for 500"), t, 1);
-        assertTrue(r.first.isEmpty() && r.wishes() > 5000, r.line());
+        assertTrue(r.firstViolations.isEmpty() && r.requestCount() > 5000, r.line());
     }
 }
--- a/src/test/java/mothcross/experiment/ExperimentTest.java
+++ b/src/test/java/mothcross/experiment/ExperimentTest.java
@@ -42,17 +42,19 @@
 
     /** Killed in the middle of a line: what is whole stays, the rest is played, and the rows are those of one go. */
     @Test public void rowsOutliveAKill() throws Exception {
-        Path dir = Files.createTempDirectory("mothcross"), one = dir.resolve("one.csv"), two = dir.resolve("two.csv");
+        Path dir = Files.createTempDirectory("mothcross");
+        Path one = dir.resolve("one.csv");
+        Path two = dir.resolve("two.csv");
         ExperimentPlan p = plan(String.format(SMALL, ""));
-        assertEquals(Sweep.play(p, new ResultRows(one, "h"), 4, s -> { }), 24);
+        assertEquals(Sweep.run(p, new ResultRows(one, "h"), 4, s -> { }), 24);
         String[] whole = sorted(one);
         String text = Files.readString(one);
         Files.writeString(two, text.substring(0, text.length() * 2 / 3));
         ResultRows again = new ResultRows(two, "h");
-        int played = Sweep.play(p, again, 2, s -> { });
+        int played = Sweep.run(p, again, 2, s -> { });
         assertTrue(played > 0 && played < 24, "played " + played);
         assertEquals(sorted(two), whole, "the same rows, whoever played them");
-        assertEquals(Sweep.play(p, new ResultRows(two, "h"), 2, s -> { }), 0);
+        assertEquals(Sweep.run(p, new ResultRows(two, "h"), 2, s -> { }), 0);
         try {
             new ResultRows(two, "other");
             fail("rows of another plan are taken");
@@ -71,7 +73,7 @@
     @Test public void stopsWhenKnownWellEnough() throws Exception {
         Path file = Files.createTempDirectory("mothcross").resolve("rows.csv");
         ExperimentPlan p = plan(String.format(SMALL, ", stop: {half_width: 1, least_seeds: 1}"));
-        assertEquals(Sweep.play(p, new ResultRows(file, "h"), 4, s -> { }), 8);
+        assertEquals(Sweep.run(p, new ResultRows(file, "h"), 4, s -> { }), 8);
     }
 
     /** Intervals of 200 samples of 30 hold the true mean about 95 times in a hundred; equal values have none. */
@@ -87,8 +89,8 @@
         }
         assertTrue(held >= 178 && held <= 199, "held " + held);
         assertEquals(Sample.of(new double[] {2, 2, 2}).halfWidth(), 0.0);
-        assertTrue(Sample.of(new double[] {1, 2}).few());
-        assertEquals(Sample.effect(new double[] {1, 3}), Math.sqrt(2), 1e-9);
+        assertTrue(Sample.of(new double[] {1, 2}).isTooSmall());
+        assertEquals(Sample.effectSize(new double[] {1, 3}), Math.sqrt(2), 1e-9);
     }
 
     @Test public void reportsAreMadeOfTheRows() throws Exception {
@@ -96,7 +98,7 @@
         Path dir = Files.createTempDirectory("mothcross");
         ExperimentPlan p = plan(String.format(SMALL, ""));
         ResultRows rows = new ResultRows(dir.resolve("rows.csv"), "h");
-        Sweep.play(p, rows, 4, s -> { });
+        Sweep.run(p, rows, 4, s -> { });
         Report r = new Report(p, rows, "h", "c0ffee");
         r.write(dir);
         assertEquals(Files.readString(dir.resolve("table.csv")).lines().count(), 9);
