--- a/src/main/java/mothcross/emulator/BandwidthLink.java
+++ b/src/main/java/mothcross/emulator/BandwidthLink.java
@@ -3,14 +3,12 @@
 import java.util.PriorityQueue;
 
 /**
- * A link, or what a box can send: so many flows at full pace; with more at a time each gets an equal part. Owns the
- * jobs
- * on it, exactly: all that run advance by the same, so the one that needs least ends first. Must never lose a job but
- * by
- * {@link #cancel}.
+ * A network link or the uplink of a node: carries a number of flows at full rate; above that, all flows get an equal
+ * share. All running jobs advance equally, so the job that needs least ends first. A job leaves the link only by
+ * completion, {@link #cancel} or {@link #cancelAll}.
  */
 final class BandwidthLink {
-    /** One flow: full-pace ms it needs, and what follows its end. */
+    /** One transfer: the work it needs, in ms at full rate, and the action that follows its end. */
     static final class Job implements Comparable<Job> {
         private final double endsAtProgress;
         private final long order;
@@ -48,7 +46,7 @@
         return activeJobs;
     }
 
-    /** How full it is: 1 where each flow just gets full pace. */
+    /** The ratio of active flows to capacity: 1 where each flow just gets full rate. */
     double utilization() {
         return activeJobs / Math.max(1e-9, capacityFlows);
     }
@@ -107,7 +105,7 @@
         advance();
         Job job = jobs.poll();
         if (job == null) return;
-        // Rounding must not leave it a hair short for ever.
+        // Without this, rounding could leave a job just short of its end for ever.
         progressMs = Math.max(progressMs, job.endsAtProgress);
         job.removed = true;
         activeJobs--;
--- a/src/main/java/mothcross/emulator/Baselines.java
+++ b/src/main/java/mothcross/emulator/Baselines.java
@@ -15,12 +15,11 @@
 import mothcross.Topology;
 
 /**
- * What the module is compared with: simple rules through the same interface. They keep rules 1 and 3 and bound ages
- * after a
- * purge, so that runs compare; how they choose, keep and ask again is theirs. Must never be used by a director.
+ * Simple policies that the module is compared with, through the same interface. They keep rules 1 and 3 and bound copy
+ * ages after a purge, so that runs are comparable; node choice, caching and retries differ. For simulation only.
  */
 public final class Baselines {
-    /** By name; {@code decide} is the module itself. */
+    /** Policies by name; {@code decide} is the module itself. */
     public static final Map<String, DirectorFactory> ALL = new LinkedHashMap<>();
 
     static {
@@ -68,7 +67,10 @@
         final List<Node> activeHops = new ArrayList<>();
     }
 
-    /** One choice among the caches of the place, one parent by the object's hash, so many further hops. */
+    /**
+     * Chooses one cache of its zone by one criterion and one parent by the hash of the object, with a fixed number of
+     * further hops.
+     */
     private static final class SimpleDirector implements Director {
         private final Choice choice;
         private final double maxCachedKb;
--- a/src/main/java/mothcross/emulator/CacheStore.java
+++ b/src/main/java/mothcross/emulator/CacheStore.java
@@ -6,12 +6,11 @@
 import java.util.Map;
 
 /**
- * What a cache keeps: the lowest rank goes first, within it what was used longest ago, and nothing goes for a copy of
- * lower
- * rank. Owns the copies and their sizes.
+ * The stored copies of a node, bounded by size. Eviction takes the lowest rank first and the least recently used copy
+ * within a rank; no copy is evicted for one of lower rank.
  */
 final class CacheStore {
-    /** One copy: when the origin gave it out, its size, the group it is of. */
+    /** A stored copy: the time the origin issued it, its size, its group and its rank. */
     record Copy(double issuedAt, double kb, int group, int rank) { }
 
     private static final int RANKS = 4;
@@ -26,7 +25,7 @@
         for (int i = 0; i < RANKS; i++) copiesByRank[i] = new LinkedHashMap<>(16, 0.75f, true);
     }
 
-    /** Uses it. */
+    /** Returns a copy and marks it as used; null where there is none. */
     Copy get(long key) {
         Copy copy = copies.get(key);
         return copy == null ? null : copiesByRank[copy.rank].get(key);
--- a/src/main/java/mothcross/emulator/DirectorFactory.java
+++ b/src/main/java/mothcross/emulator/DirectorFactory.java
@@ -7,7 +7,7 @@
 import mothcross.Topology;
 import mothcross.Workload;
 
-/** Makes the director of one host: the module itself, or what it is compared with. */
+/** Makes the policy of one simulated director: the module itself or a baseline. */
 @FunctionalInterface
 public interface DirectorFactory {
     Director make(long seed, Workload[] workloads, Topology topology, Capabilities capabilities, SiteParameters site,
--- a/src/main/java/mothcross/emulator/EarlierBuild.java
+++ b/src/main/java/mothcross/emulator/EarlierBuild.java
@@ -17,10 +17,9 @@
 import mothcross.RouteConstraints;
 
 /**
- * An earlier build's module as a policy: its classes in a loader of its own, so that both builds are there at once.
- * Owns the way
- * between the two sets of types, by name; what the earlier one does not know (a narrowing) is left out. Must never mix
- * classes of the two.
+ * Runs the module of an earlier build as a policy, in a class loader of its own so that both builds are loaded at
+ * once. It maps values and calls between the two sets of types by name; arguments that the earlier build lacks (route
+ * constraints) are dropped.
  */
 public final class EarlierBuild {
     private final ClassLoader loader;
@@ -29,7 +28,7 @@
     private final Constructor<?> constructor;
     private final Map<String, Method> directorMethods = new HashMap<>();
 
-    /** {@code build}: a jar, or a folder of classes. Throws where it holds no module that can be called. */
+    /** {@code build}: a jar or a directory of classes. Throws where it holds no module that can be called. */
     public EarlierBuild(Path build) throws IOException {
         loader = new URLClassLoader(new URL[] {build.toUri().toURL()}, ClassLoader.getPlatformClassLoader());
         try {
@@ -43,10 +42,10 @@
             throw new IOException(build + " holds no module: " + e.getMessage(), e);
         }
         if (constructor.getParameterCount() != 8) throw new IOException(build
-            + " holds a module that is made otherwise");
+            + " holds a module whose constructor has other parameters");
     }
 
-    /** A type of the module by today's simple name, or by the one it had earlier where the build lacks that. */
+    /** A type of the module by its current simple name, or by its earlier name where the build lacks that. */
     private Class<?> type(String currentName) throws ClassNotFoundException {
         try {
             return loader.loadClass("mothcross." + currentName);
@@ -55,6 +54,7 @@
         }
     }
 
+    /** The earlier module as a policy for simulations. */
     public DirectorFactory policy() {
         return (seed, workloads, places, may, told, caches, parents, purge) -> {
             Object[] args = {seed, workloads, places, may, told, caches, parents, purge};
@@ -62,12 +62,12 @@
             try {
                 return new EarlierDirector(constructor.newInstance(args));
             } catch (ReflectiveOperationException e) {
-                throw new IllegalStateException("the earlier module can't be made", e);
+                throw new IllegalStateException("cannot create the director of the earlier build", e);
             }
         };
     }
 
-    /** A value of ours as one of theirs: records by the names of their parts, constants by name, arrays one by one. */
+    /** Converts a value to the earlier type: records by component name, enum constants by name, arrays by element. */
     private Object convert(Object value, Class<?> targetType) {
         if (value == null || targetType.isInstance(value) || targetType.isPrimitive()) return value;
         try {
@@ -95,16 +95,17 @@
             }
             return targetType.getDeclaredConstructor(types).newInstance(values);
         } catch (ReflectiveOperationException | RuntimeException e) {
-            throw new IllegalStateException("the earlier build has no " + targetType.getSimpleName() + " like ours", e);
+            throw new IllegalStateException("cannot convert a value to " + targetType.getSimpleName()
+                + " of the earlier build", e);
         }
     }
 
-    /** Whether a name in the earlier build is that of today's member, as it is or as it was. */
+    /** Whether a name in the earlier build denotes a current member, by its current or its earlier name. */
     private static boolean isNamed(String earlierName, Class<?> type, String currentName) {
         return earlierName.equals(currentName) || earlierName.equals(EarlierNames.member(type, currentName));
     }
 
-    /** The value of the component of one of our records that the earlier build calls {@code theirs}. */
+    /** The value of the component of a current record that the earlier build calls {@code earlierName}. */
     private static Object component(Object value, String earlierName) throws ReflectiveOperationException {
         for (RecordComponent component : value.getClass().getRecordComponents()) {
             if (isNamed(earlierName, value.getClass(), component.getName())) {
@@ -125,7 +126,7 @@
         }
     }
 
-    /** Calls go on by name; what it writes comes back by name. */
+    /** Forwards calls to the earlier director by name, and its decisions back by name. */
     private final class EarlierDirector implements Director {
         private final Object earlierDirector;
 
--- a/src/main/java/mothcross/emulator/EarlierNames.java
+++ b/src/main/java/mothcross/emulator/EarlierNames.java
@@ -6,7 +6,7 @@
 
 /**
  * The names that types and members of the module had in builds before they were renamed. A member (a method, a record
- * component or an enum constant) is keyed by the simple name that its type has today and by its own.
+ * component or an enum constant) is keyed by the current simple name of its type and its own current name.
  */
 final class EarlierNames {
     private static final Map<String, String> TYPES = Map.of("CacheDirector", "Decide", "EventBatch", "RoundReader");
@@ -60,12 +60,12 @@
 
     private EarlierNames() { }
 
-    /** The earlier simple name of a type; today's where it was not renamed. */
+    /** The earlier simple name of a type; the current one where it was not renamed. */
     static String type(String currentName) {
         return TYPES.getOrDefault(currentName, currentName);
     }
 
-    /** The earlier name of a member of a type; today's where it was not renamed. */
+    /** The earlier name of a member of a type; the current one where it was not renamed. */
     static String member(Class<?> type, String currentName) {
         return MEMBERS.getOrDefault(type.getSimpleName() + "#" + currentName, currentName);
     }
--- a/src/main/java/mothcross/emulator/EventQueue.java
+++ b/src/main/java/mothcross/emulator/EventQueue.java
@@ -3,9 +3,8 @@
 import java.util.Arrays;
 
 /**
- * Virtual time of one run: what is due, earliest first, and in the order in which it was set where times are the
- * same, so
- * that a run is the same to the byte by its seed. Owns the time; must never look at a real clock.
+ * The event queue and simulated clock of one run. Events run in order of their time, and in order of scheduling at
+ * equal times, so that a run is reproducible by its seed. It never reads a real clock.
  */
 final class EventQueue {
     private double[] dueAt = new double[1024];
@@ -44,7 +43,7 @@
         actions[to] = actions[from];
     }
 
-    /** Plays until nothing is due before {@code end}; the number of events played. */
+    /** Runs events until none is due before {@code endMs}; returns the number of events run. */
     long run(double endMs) {
         long executed = 0;
         while (size > 0 && dueAt[0] <= endMs) {
--- a/src/main/java/mothcross/emulator/FaultSchedule.java
+++ b/src/main/java/mothcross/emulator/FaultSchedule.java
@@ -7,12 +7,11 @@
 import mothcross.Director;
 
 /**
- * What goes wrong in a run, as lines of text: a time in ms, what, whom, and for how long; lines overlap as they will.
- * Owns the
- * notation (docs/operate/emulator.md has it); must never depend on what the policy does.
+ * The faults of a run as lines of text: a time in ms, a kind, a target and a duration; faults may overlap. The
+ * notation is described in docs/operate/emulator.md. Faults do not depend on the decisions of the policy.
  */
 public final class FaultSchedule {
-    /** One line, taken apart. */
+    /** One parsed line. */
     private record Line(double atMs, String kind, String target, double value, double durationMs, String text) { }
 
     private static final List<String> KINDS = List.of("crash", "vanish", "drain", "slow", "stall", "purge",
@@ -20,7 +19,7 @@
         "origin-stop", "link", "news", "cut", "hot", "scan", "load", "kill", "rolling");
     private final List<Line> lines = new ArrayList<>();
 
-    /** Throws with the line's number where one can't be read. */
+    /** Parses a schedule; throws with the line number where a line is invalid. */
     public static FaultSchedule of(String text) {
         FaultSchedule schedule = new FaultSchedule();
         int number = 0;
@@ -57,21 +56,23 @@
         }
     }
 
-    /** {@code cache 3}, {@code caches 0.25}, {@code zone 1}, {@code parent 0}, {@code parents 0.5},
-        {@code director 2}, empty. */
+    /**
+     * Checks a target: {@code cache 3}, {@code caches 0.25}, {@code place 1}, {@code parent 0}, {@code parents 0.5},
+     * {@code director 2} or empty.
+     */
     private static void checkTarget(String target, String kind) {
         if (!target.matches("|(cache|parent|place|director) [0-9]+|(caches|parents|directors) [0-9.]+")) {
-            throw new IllegalArgumentException("'" + target + "' names nobody");
+            throw new IllegalArgumentException("'" + target + "' is not a target");
         }
         boolean required = List.of("crash", "vanish", "drain", "slow", "stall", "link", "cut", "kill").contains(kind);
-        if (required && target.isEmpty()) throw new IllegalArgumentException("whom does it befall?");
+        if (required && target.isEmpty()) throw new IllegalArgumentException("a target is required");
     }
 
     public int size() {
         return lines.size();
     }
 
-    /** Without one of its lines: for shrinking a script to what matters. */
+    /** A copy without one line, for shrinking a schedule to the faults that matter. */
     public FaultSchedule without(int index) {
         FaultSchedule schedule = new FaultSchedule();
         schedule.lines.addAll(lines);
@@ -79,7 +80,9 @@
         return schedule;
     }
 
-    /** With each span halved, or each number nearer to harmless: the same kinds in a milder form. */
+    /**
+     * A copy with each duration halved and each factor above 1 moved half way to 1: the same faults in a milder form.
+     */
     public FaultSchedule milder() {
         FaultSchedule schedule = new FaultSchedule();
         for (Line line : lines) {
@@ -93,7 +96,7 @@
         return schedule;
     }
 
-    /** A script drawn by chance: so many faults over a run of these seconds. */
+    /** A random schedule with a number of faults, for a run of the given scenario. */
     public static FaultSchedule random(SplittableRandom random, int faults, ScenarioParameters scenario) {
         StringBuilder text = new StringBuilder();
         int cacheCount = scenario.count("caches") * scenario.count("places");
@@ -129,7 +132,7 @@
         return text.toString();
     }
 
-    // ---- what each does ----
+    // ---- injection ----
 
     void scheduleOn(Simulation simulation) {
         for (Line line : lines) simulation.clock.scheduleAfter(line.atMs, () -> inject(simulation, line));
@@ -150,7 +153,7 @@
         };
     }
 
-    /** Every so manieth, spread over all: the same ones in each run. */
+    /** Selects a share of the list at even distances: the same elements in each run. */
     private static <T> List<T> spread(List<T> all, double share) {
         List<T> selected = new ArrayList<>();
         for (int i = 0; i < all.size(); i++) if ((int) ((i + 1) * share) > (int) (i * share)) selected.add(all.get(i));
@@ -174,7 +177,7 @@
             });
             case "drain" -> nodes(simulation, line.target).forEach(node -> {
                 simulation.publishStatus(node, Director.DRAINING);
-                // A release waits for the news and what is open before it ends the process.
+                // A release waits for discovery updates and open hops before it ends the process.
                 clock.scheduleAfter(4 * simulation.scenario.get("news_ms"), () -> {
                     if (node.status != Director.DRAINING) return;
                     node.stop();
--- a/src/main/java/mothcross/emulator/Hop.java
+++ b/src/main/java/mothcross/emulator/Hop.java
@@ -1,8 +1,10 @@
 package mothcross.emulator;
 
-/** One hop on its way, as boxes see it. Owns what it asks and whether somebody still waits; tells its end once. */
+/** A hop as nodes see it: what it requests and whether a client still waits. It completes at most once. */
 final class Hop {
-    /** How a box ends it: outcome and note in the module's words, and how long its source was waited for. */
+    /**
+     * Receives the outcome and note, as defined by {@link mothcross.Director}, and how long the source was waited for.
+     */
     interface CompletionListener {
         void completed(int outcome, int note, double sourceWaitMs, CacheStore.Copy copy);
     }
@@ -15,10 +17,12 @@
     final double fullRateMs;
     final double maxAgeMs;
     final double sentAt;
-    final SimulatedNode source;             // null: none
+    /** The source of a fill; null for a cache-only hop. */
+    final SimulatedNode source;
     private final CompletionListener listener;
     boolean over;
-    boolean neverRan;                       // its end proved that it did not
+    /** Whether its outcome proves that the request did not run. */
+    boolean neverRan;
     BandwidthLink.Job transfer;
     BandwidthLink transferLink;
 
@@ -42,7 +46,7 @@
         listener.completed(outcome, note, sourceWaitMs, copy);
     }
 
-    /** Nobody waits any more: what is being sent stops. */
+    /** Ends the hop without a completion and stops its transfer. */
     void cancel() {
         over = true;
         if (transfer != null) transferLink.cancel(transfer);
--- a/src/main/java/mothcross/emulator/LoadGenerator.java
+++ b/src/main/java/mothcross/emulator/LoadGenerator.java
@@ -3,12 +3,12 @@
 import java.util.SplittableRandom;
 
 /**
- * The clients of one place: when they ask for what, how long they wait, and that they ask again. Owns arrivals, drawn
- * ahead of
- * any answer; popularity is Zipf's over common and own objects, drifts, and has objects wanted once.
+ * The clients of one zone: arrivals of requests, timeouts and retries. Arrivals do not depend on responses. Object
+ * popularity follows a Zipf distribution over objects common to all zones and objects of the zone; it drifts, and some
+ * objects are requested only once.
  */
 final class LoadGenerator {
-    /** What a client wants, over all its tries; worth is counted once. */
+    /** What a client wants, over all its attempts; it counts once in the result. */
     static final class Request {
         final double startedAtMs;
         final double kb;
@@ -28,7 +28,7 @@
         }
     }
 
-    /** One try of it at one director. */
+    /** One attempt of a request at one director. */
     static final class Lookup {
         final Request request;
         final SimulatedDirector director;
@@ -52,13 +52,17 @@
 
     private static final int GROUPS = 64;
     // hops end with the client's time, and its answer with them
+    // Hops end at the client's timeout, and the response follows them.
     private static final double TIMEOUT_GRACE_MS = 20;
     private final Simulation simulation;
     private final int zone;
     private final SplittableRandom random;
     private final double[] cumulativePopularity;
     private long oneOffCount;
-    /** Times the usual rate, and the share of lookups for one object; faults move both. */
+    /**
+     * Factor on the request rate and shares of requests for one hot object and for one-time objects; faults change
+     * them.
+     */
     double rateFactor = 1;
     double hotShare;
     double scanShare;
@@ -75,7 +79,7 @@
         for (int i = 0; i < count; i++) cumulativePopularity[i] /= sum;
     }
 
-    /** Lookups a second at this place: the load's share of what its caches can send. */
+    /** Requests per ms in this zone, from the load as a share of what its caches can send. */
     double requestsPerMs() {
         ScenarioParameters scenario = simulation.scenario;
         double meanTransferMs = scenario.get("kb") / scenario.get("flow_kb_ms");
@@ -92,7 +96,7 @@
         if (simulation.elapsedMs() >= 1000 * scenario.get("seconds")) return;
         scheduleArrival();
         long object = drawObject();
-        // The size goes by the object, so that it is the same each time.
+        // The size is drawn from the object key, so that it is the same for each request.
         SplittableRandom objectRandom = new SplittableRandom(object * 0x9e3779b97f4a7c15L);
         double sigma = scenario.get("kb_sigma"),
             kb = scenario.get("kb") * Math.exp(sigma * gaussian(objectRandom) - sigma * sigma / 2);
@@ -116,7 +120,7 @@
             if (cumulativePopularity[middle] < uniform) low = middle + 1;
             else high = middle;
         }
-        // Popularity wanders over the objects by so many ranks a second.
+        // Popularity drifts over the objects by a number of ranks a second.
         long shift = (long) (simulation.scenario.get("drift") * simulation.elapsedMs() / 1000);
         long rank = (low + shift) % cumulativePopularity.length;
         boolean common = new SplittableRandom(rank).nextDouble() < simulation.scenario.get("common");
@@ -151,7 +155,10 @@
         director.startLookup(lookup);
     }
 
-    /** Turned away, or its director died: it asks again, a few times, no sooner than it was told. */
+    /**
+     * Retries a request that was rejected or whose director ended, up to the limit and no sooner than the director
+     * asked.
+     */
     void retry(Request request, double minDelayMs) {
         if (request.attempts > simulation.scenario.count("retries")) return;
         double delayMs = Math.max(minDelayMs, simulation.scenario.get("retry_ms") * (0.5 + random.nextDouble()));
--- a/src/main/java/mothcross/emulator/RuleChecker.java
+++ b/src/main/java/mothcross/emulator/RuleChecker.java
@@ -7,15 +7,16 @@
 import mothcross.Director;
 
 /**
- * Watches every send and answer for the five rules, from what was told to whom and what is true; it shares nothing
- * with the
- * module. Owns the counts of breaks and the first of each; must never influence the run.
+ * Checks every hop and every answer against the five rules, from what each director was notified of and the true state
+ * of the simulation. It shares no code with the module, counts violations, keeps the first of each rule, and does not
+ * influence the run.
  */
 final class RuleChecker {
     private final Simulation simulation;
     final long[] violations = new long[6];
     final List<String> firstViolations = new ArrayList<>();
-    // By director: when it was told that a box drains or is gone, and of purges.
+    // By director and node: when the director was notified that the node drains or is removed. By director and group:
+    // the last purge and when the director was notified of it.
     private final Map<Integer, Map<Integer, Double>> outOfServiceSince = new HashMap<>();
     private final Map<Integer, Map<Integer, double[]>> notifiedPurges = new HashMap<>();
 
@@ -41,7 +42,7 @@
             new double[] {purgedAt, simulation.clock.nowMs});
     }
 
-    /** A director that starts anew has been told what its list says, and from then on what it could learn. */
+    /** A director that starts has been notified of what its node list says, and later of all that it could learn. */
     void directorStarted(int director) {
         outOfServiceSince.remove(director);
         notifiedPurges.remove(director);
@@ -67,7 +68,7 @@
         if (rejected && lookup.nonIdempotent && lookup.mayHaveRun) recordViolation(2, "bounced what may have run");
     }
 
-    /** Its time is up; only a running director owes anything. */
+    /** The client's timeout expired; only a running director owes an answer. */
     void timedOut(LoadGenerator.Lookup lookup) {
         if (!lookup.answered && !lookup.director.down && lookup.directorIncarnation == lookup.director.incarnation) {
             recordViolation(1, "no answer");
--- a/src/main/java/mothcross/emulator/SimulatedDirector.java
+++ b/src/main/java/mothcross/emulator/SimulatedDirector.java
@@ -14,9 +14,9 @@
 import mothcross.adapter.LookupIndexAllocator;
 
 /**
- * One director of a run: the policy through its interface, unchanged, and the ways in and out. Owns indices, the hops
- * that are
- * out and the bells; must never let the policy see what its rounds do not bring.
+ * One director of a run: calls the policy through its interface, unchanged, and carries out its decisions. It
+ * allocates lookup indices and tracks open hops and timers. The policy learns nothing but what its event batches
+ * deliver.
  */
 final class SimulatedDirector implements DecisionWriter {
     private final Simulation simulation;
@@ -47,8 +47,8 @@
     }
 
     /**
-     * A fresh start: it takes the list as it stands, is up some time later, and then hears what was told meanwhile:
-     * before it takes the first lookup, or, where it does not wait for that, after.
+     * Starts the director anew. It takes the node list as it stands, runs after the start-up delay, and then receives
+     * the updates that it missed: before its first lookup, or after it where the scenario does not wait for updates.
      */
     void start() {
         double startUpMs = simulation.directors.contains(this) ? simulation.scenario.get("boot_ms") : 0;
@@ -72,7 +72,7 @@
         });
     }
 
-    /** Told while it was not there to hear: it could have learned it, so it counts as told. */
+    /** An update published during the start-up delay. The director could have learned it, so it counts as notified. */
     void addMissedUpdate(Runnable update) {
         missedUpdates.add(update);
     }
@@ -113,6 +113,7 @@
             scenario.get("fresh"), scenario.get("stale"), scenario.get("stale_share"), false);
     }
 
+    /** Ends the director's process: open hops are cancelled and clients retry their lookups. */
     void kill() {
         down = true;
         starting = false;
@@ -128,7 +129,7 @@
             : simulation.scenario.count("places"), node.kind, node.zone, status, node.capacityUnits(), node.startedAt);
     }
 
-    // ---- what comes in ----
+    // ---- events for the policy ----
 
     private void process(EventBatch batch) {
         if (down) return;
@@ -208,7 +209,7 @@
         releaseIndex(index);
     }
 
-    // ---- what the policy decides ----
+    // ---- decisions of the policy ----
 
     private void send(int index, int nodeIndex, int sourceIndex, double giveUpAt, int rank, double maxAge, int flags) {
         LoadGenerator.Lookup lookup = lookups[index];
@@ -237,7 +238,7 @@
             node.cancel(hop);
             hopEnded(index, hopNumber, node, hop, Director.TIMED_OUT, 0, 0, null);
         });
-        // A box that says nothing at all is found when connecting takes too long.
+        // A silent node is detected when the connect timeout expires.
         if (node.silent) simulation.clock.scheduleAfter(simulation.scenario.get("connect_ms"), () -> {
             if (startedIncarnation != incarnation || hop.over) return;
             hop.cancel();
@@ -245,7 +246,7 @@
         });
     }
 
-    /** Unless every hop of it is known not to have run. */
+    /** Whether any hop of the lookup may have run: false only if every hop is known not to have run. */
     private boolean mayHaveRun(int index) {
         for (Hop hop : hopsByLookup.get(index)) if (!hop.neverRan) return true;
         return false;
--- a/src/main/java/mothcross/emulator/SimulatedNode.java
+++ b/src/main/java/mothcross/emulator/SimulatedNode.java
@@ -9,16 +9,16 @@
 import mothcross.Director;
 
 /**
- * A cache, a parent or the origin: what it keeps, what it can send, the fills it runs, how cold it is, and whether it
- * is
- * there. Owns its state; must never know which policy asks, and falls over for good when pushed past what it bears.
+ * A cache, a parent or the origin: its stored copies, its uplink, running fills, warm-up and availability. It does not
+ * know which policy sends requests. A node that is still warming up fails for good when its load exceeds its overload
+ * limit.
  */
 final class SimulatedNode {
     static final int CACHE = 0;
     static final int PARENT = 1;
     static final int ORIGIN = 2;
 
-    /** A fill under way, and the hops that wait for it. */
+    /** A running fill and the hops that wait for it. */
     private static final class Fill {
         final double startedAt;
         final List<Hop> waiting = new ArrayList<>();
@@ -37,7 +37,8 @@
     private final BandwidthLink uplink;
     private final CacheStore store;
     private final Map<Long, Fill> fills = new HashMap<>();
-    private final Map<Integer, Double> purgedAt = new HashMap<>();      // bounded by the groups there are
+    // Bounded by the number of groups.
+    private final Map<Integer, Double> purgedAt = new HashMap<>();
     private final ArrayDeque<double[]> recentWork = new ArrayDeque<>();
     private double recentWorkMs;
     private double slowdownFactor = 1;
@@ -56,7 +57,7 @@
     private double hitRatio = Double.NaN;
     private long reportedRequests;
     private long reportedHits;
-    /** The most that came within a span, as a share of what pushes it over. */
+    /** The highest load within a window while warming up, as a share of the overload limit. */
     double peakOverloadShare;
 
     SimulatedNode(Simulation simulation, int index, int kind, int zone) {
@@ -79,9 +80,9 @@
         return up && !overloaded;
     }
 
-    // ---- what befalls it ----
+    // ---- faults ----
 
-    /** Its process ends: what is open is cut off, what it kept is gone. */
+    /** Ends the process: open hops lose their connections and stored copies are lost. */
     void stop() {
         up = false;
         List<Hop> open = new ArrayList<>(simulation.removeOpenHops(this));
@@ -102,7 +103,7 @@
         updateCapacity();
     }
 
-    /** Its part of full capacity now; a fresh one grows to all of it. */
+    /** The current share of full capacity, which grows to 1 after a start. */
     double warmUpShare() {
         if (kind == ORIGIN || startedAt == 0) return 1;
         double initialShare = simulation.scenario.get(kind == CACHE ? "cold_floor" : "parent_floor");
@@ -121,7 +122,10 @@
         uplink.setCapacity(capacityFlows * warmUpShare() / slowdownFactor);
     }
 
-    /** It drops what it has, and keeps no older copy of the group from now on, whatever a fill still brings. */
+    /**
+     * Drops the stored copies of the group; copies issued before the purge are not stored later either, whichever fill
+     * brings them.
+     */
     void purged(int group, double purgeTime) {
         purgedAt.merge(group, purgeTime, Math::max);
         if (up) store.purge(group, purgeTime);
@@ -131,9 +135,9 @@
         if (copy.issuedAt() >= purgedAt.getOrDefault(copy.group(), Double.NEGATIVE_INFINITY)) store.put(key, copy);
     }
 
-    // ---- lookups ----
+    // ---- hops ----
 
-    /** A lookup comes, as hop or as fill: counted against what a cold box bears. */
+    /** Counts a hop or a fill against the overload limit of a node that is warming up; false if the node fails. */
     private boolean admit(double fullRateMs) {
         if (kind == ORIGIN) return true;
         ScenarioParameters scenario = simulation.scenario;
@@ -192,13 +196,13 @@
         }
     }
 
-    /** A copy no older than the hop takes, or than its fresh time where it does not say. */
+    /** A stored copy no older than the hop accepts, or than the fresh time where the hop sets no limit. */
     private CacheStore.Copy usableCopy(long key, double maxAgeMs) {
         CacheStore.Copy copy = store.get(key);
         if (copy == null) return null;
-        double ageMs = simulation.clock.nowMs - copy.issuedAt(), limitMs = maxAgeMs > 0 ? maxAgeMs
-            : simulation.freshMs() > 0 ? simulation.freshMs()
-            : Double.MAX_VALUE;
+        double ageMs = simulation.clock.nowMs - copy.issuedAt();
+        double defaultLimitMs = simulation.freshMs() > 0 ? simulation.freshMs() : Double.MAX_VALUE;
+        double limitMs = maxAgeMs > 0 ? maxAgeMs : defaultLimitMs;
         return ageMs <= limitMs ? copy : null;
     }
 
@@ -213,7 +217,7 @@
         bytes += (long) hop.kb;
     }
 
-    /** A hop that was given up: what is sent for it stops, a fill goes on. */
+    /** Ends the work for a cancelled hop; a running fill continues. */
     void cancel(Hop hop) {
         if (simulation.hopClosed(this, hop)) activeRequests--;
     }
@@ -264,7 +268,7 @@
         }
     }
 
-    /** As the source of a fill. */
+    /** Serves a fill as its source. */
     private void serveFill(long key, double kb, double fullRateMs, int group, double maxAgeMs, boolean cacheOnly,
         CopyListener listener) {
         if (silent) return;
@@ -296,7 +300,8 @@
             listener.completed(null, Director.SOURCE_MISS);
         } else {
             OriginFetch fetch = originFetches.get(key);
-            // One that began before what is asked for now may bring a copy too old: another is made.
+            // A running fetch that started earlier than the requested age limit may return a copy that is too old, so
+            // another is started.
             if (fetch == null || maxAgeMs > 0 && fetch.startedAt < simulation.clock.nowMs - maxAgeMs) {
                 OriginFetch started = fetch = new OriginFetch(simulation.clock.nowMs);
                 originFetches.put(key, started);
@@ -307,7 +312,7 @@
         }
     }
 
-    /** A parent's fetch, once for all who wait. */
+    /** A parent's fetch from the origin, shared by all fills that wait for it. */
     private static final class OriginFetch {
         final double startedAt;
         final List<CopyListener> waiting = new ArrayList<>();
@@ -317,7 +322,8 @@
         }
     }
 
-    private final Map<Long, OriginFetch> originFetches = new HashMap<>();   // each ends with its answer
+    // Each entry is removed when its fetch completes.
+    private final Map<Long, OriginFetch> originFetches = new HashMap<>();
 
     private void originFetchCompleted(OriginFetch fetch, long key, double fullRateMs, CacheStore.Copy copy) {
         originFetches.remove(key, fetch);
@@ -329,8 +335,10 @@
         }
     }
 
-    /** The origin's own work: it slows by being shared,
-        and turns away past a multiple of what it sends at full pace. */
+    /**
+     * Serves an object from the origin. Transfers share its uplink; above a multiple of its full-rate capacity it
+     * rejects requests.
+     */
     private void serveFromOrigin(long key, double kb, int group, CopyListener listener) {
         if (!up || uplink.utilization() >= simulation.scenario.get("origin_sheds_at")) {
             simulation.originShed++;
@@ -345,7 +353,7 @@
             () -> listener.completed(new CacheStore.Copy(issuedAt, kb, group, 1), Director.FILLED_BY_ORIGIN)));
     }
 
-    /** What answers tell of its load, no fresher than reports are. */
+    /** The load report sent with responses, refreshed at most once per report interval. */
     double[] report() {
         if (lastReport != null && simulation.clock.nowMs < reportedAt + simulation.scenario.get("report_ms")) {
             return lastReport;
--- a/src/main/java/mothcross/emulator/Simulation.java
+++ b/src/main/java/mothcross/emulator/Simulation.java
@@ -9,10 +9,12 @@
 import java.util.SplittableRandom;
 
 /**
- * One run: boxes, links, directors, clients and what befalls them, on one clock and one thread. Owns them all; a run is
- * decided by its town, its script, its policy and its seed, to the byte. Nothing here comes from the operators' bench.
+ * One simulation run: nodes, links, directors, clients and injected faults on one simulated clock and one thread. The
+ * scenario, the fault schedule, the policy and the seed determine every byte of its result. It shares no code with the
+ * operators' test bench.
  */
 public final class Simulation {
+    private static final double ISOLATION_RETRY_MS = 500;
     final ScenarioParameters scenario;
     final EventQueue clock = new EventQueue();
     final List<SimulatedNode> nodes = new ArrayList<>();
@@ -28,15 +30,17 @@
     long originFetches;
     long originShed;
     double originKb;
-    /** Faults: news takes so many times as long; a place hears none. */
+    /** Injected fault: factor by which discovery updates are delayed. */
     double discoveryDelayFactor = 1;
+    /** Injected fault: zones whose directors receive no discovery updates. */
     final Set<Integer> isolatedZones = new HashSet<>();
 
     private Simulation(ScenarioParameters scenario, DirectorFactory policy, long seed) {
         this.scenario = scenario;
         this.random = new SplittableRandom(seed);
         this.result = new SimulationResult(scenario);
-        clock.nowMs = 1_000_000;                              // as Unix ms are: never near 0, which means 'untold'
+        // Like Unix time, never near 0: a time of 0 means that nothing has been received.
+        clock.nowMs = 1_000_000;
         startedAtMs = clock.nowMs;
         int zones = scenario.count("places");
         for (int zone = 0; zone < zones; zone++) zoneLinks.add(new BandwidthLink(clock, scenario.get("link_flows")));
@@ -57,7 +61,7 @@
         for (int zone = 0; zone < zones; zone++) loadGenerators.add(new LoadGenerator(this, zone, random.split()));
     }
 
-    /** Plays a run from its begin to its end. */
+    /** Runs a simulation from start to end and returns its result. */
     public static SimulationResult run(ScenarioParameters scenario, FaultSchedule faults, DirectorFactory policy,
         long seed) {
         Simulation simulation = new Simulation(scenario, policy, seed);
@@ -78,7 +82,7 @@
         return result;
     }
 
-    /** Ms since the begin. */
+    /** Simulated milliseconds since the start of the run. */
     double elapsedMs() {
         return clock.nowMs - startedAtMs;
     }
@@ -99,7 +103,7 @@
         return loadGenerators.get(zone);
     }
 
-    /** The director that a client of this place finds: one that runs, any of them. */
+    /** A random running director of the zone; null where none is running. */
     SimulatedDirector pickDirector(int zone, SplittableRandom random) {
         int count = scenario.count("directors");
         int first = zone * count;
@@ -111,7 +115,7 @@
         return null;
     }
 
-    // ---- what is open at boxes ----
+    // ---- open hops by node ----
 
     void hopOpened(SimulatedNode node, Hop hop) {
         openHops.computeIfAbsent(node, k -> new java.util.LinkedHashSet<>()).add(hop);
@@ -127,6 +131,7 @@
         return hops == null ? List.of() : new ArrayList<>(hops);
     }
 
+    /** Cancels a hop at the node at which it is open. */
     void cancelAtNode(Hop hop) {
         for (SimulatedNode node : nodes) {
             Set<Hop> hops = openHops.get(node);
@@ -136,9 +141,9 @@
         }
     }
 
-    // ---- news ----
+    // ---- discovery updates ----
 
-    /** The list hears of a box, and tells every director somewhat later, each after a delay of its own. */
+    /** Sets the status of a node in the node list and notifies each director after a delay of its own. */
     void publishStatus(SimulatedNode node, int status) {
         node.status = status;
         double startedAt = node.startedAt;
@@ -150,6 +155,7 @@
         }
     }
 
+    /** Purges a group at every node but the origin and notifies each director, each after a delay of its own. */
     void purge(int group) {
         double purgedAt = clock.nowMs;
         for (SimulatedNode node : nodes) {
@@ -166,18 +172,21 @@
         }
     }
 
-    /** Each director hears after a delay of its own, and everything in its order. */
+    /** The delay is random for each director; updates of one director keep their order. */
     private double nextDeliveryTime(SimulatedDirector director) {
         double delay = scenario.get("news_ms") * discoveryDelayFactor * (0.5 + random.nextDouble());
         return director.lastDeliveryAt = Math.max(director.lastDeliveryAt, clock.nowMs + delay);
     }
 
-    /** A place that is cut off from the list hears it when it is back. */
+    /**
+     * Delivers an update. A director in an isolated zone receives it when the isolation ends; a starting one, when it
+     * has started.
+     */
     private void deliver(SimulatedDirector director, int incarnation, Runnable recordNotified, Runnable update) {
         boolean sameIncarnation = director.incarnation == incarnation && !director.down;
         if (!director.starting && !sameIncarnation) return;
         if (isolatedZones.contains(director.zone)) {
-            clock.scheduleAfter(500, () -> deliver(director, incarnation, recordNotified, update));
+            clock.scheduleAfter(ISOLATION_RETRY_MS, () -> deliver(director, incarnation, recordNotified, update));
         } else if (director.starting) {
             recordNotified.run();
             director.addMissedUpdate(update);
--- a/src/main/java/mothcross/emulator/SimulationResult.java
+++ b/src/main/java/mothcross/emulator/SimulationResult.java
@@ -5,9 +5,8 @@
 import java.util.Locale;
 
 /**
- * What came of a run: wishes by second, their answers, and what the origin had to give. Owns the counts; a wish
- * counts once,
- * whatever its tries, in the second in which it arose.
+ * The result of a run: requests by second, their outcomes, and the load on the origin. A request counts once, whatever
+ * the number of its attempts, in the second in which it started.
  */
 public final class SimulationResult {
     private final double seconds;
@@ -26,7 +25,7 @@
     public long overloadedNodes;
     public long[] violations = new long[6];
     public List<String> firstViolations = List.of();
-    /** The most any cold box was sent, as a share of what pushes it over. */
+    /** The highest load on any node that was warming up, as a share of its overload limit. */
     public double peakOverloadShare;
 
     SimulationResult(ScenarioParameters scenario) {
@@ -47,7 +46,7 @@
         request.onTime = finishedAtMs <= request.startedAtMs + targetMs + targetSizeFactor * request.fullRateMs;
     }
 
-    /** The share of wishes of these seconds that were handled by their target time. */
+    /** The share of requests started in these seconds that succeeded by their target time. */
     public double onTimeShare(double fromSecond, double toSecond) {
         long total = 0;
         long onTime = 0;
@@ -63,7 +62,7 @@
         return onTimeShare(0, seconds);
     }
 
-    /** The lowest share over any stretch of so many whole seconds. */
+    /** The lowest on-time share over any span of this many whole seconds. */
     public double minOnTimeShare(int spanSeconds) {
         double min = 1;
         for (int second = 0; second + spanSeconds <= seconds; second++) {
@@ -76,12 +75,12 @@
         return requests.size();
     }
 
-    /** The names of all figures, in their order. */
+    /** The names of all metrics, in their order. */
     public static List<String> names() {
         return List.copyOf(new SimulationResult(new ScenarioParameters()).figures().keySet());
     }
 
-    /** By name, for tables; the order is the table's. */
+    /** Metrics by name, in the order of the table. */
     public java.util.Map<String, Double> figures() {
         java.util.Map<String, Double> figures = new java.util.LinkedHashMap<>();
         figures.put("in_time", onTimeShare());
@@ -102,7 +101,7 @@
         return figures;
     }
 
-    /** One line that is the same to the byte for the same run. */
+    /** One line of text, the same to the byte for the same run. */
     public String line() {
         StringBuilder text = new StringBuilder("wishes ").append(requests.size()).append(", events ").append(events);
         figures().forEach((name, value) -> text.append(", ").append(name).append(' ').append(value == Math.rint(value)
--- a/src/main/java/mothcross/emulator/WorstCaseSearch.java
+++ b/src/main/java/mothcross/emulator/WorstCaseSearch.java
@@ -5,17 +5,16 @@
 import java.util.stream.IntStream;
 
 /**
- * Looks for the day on which a policy does worst, and shrinks it to the shortest script that still shows it. Owns the
- * search;
- * the same seed finds the same day, however many threads play.
+ * Searches random fault schedules for the one under which a policy does worst, and shrinks it to the shortest schedule
+ * that still shows the effect. The same seed finds the same schedule with any number of threads.
  */
 public final class WorstCaseSearch {
-    /** A day: how bad it is, and how many were played to find it. */
+    /** A fault schedule with its score (higher is worse) and the number of runs taken to find it. */
     public record Candidate(long seed, FaultSchedule faults, double score, int runs) { }
 
     private WorstCaseSearch() { }
 
-    /** Breaks of rules first, then how much of the worst 5 s was missed. */
+    /** Rule violations rank first, then the on-time share missed in the worst 5 s and overall. */
     public static double score(SimulationResult result) {
         long violations = 0;
         for (long count : result.violations) violations += count;
@@ -23,6 +22,7 @@
             + (1 - result.onTimeShare());
     }
 
+    /** Runs a random fault schedule for each of {@code runs} seeds and returns the one with the highest score. */
     public static Candidate search(ScenarioParameters scenario, DirectorFactory policy, int runs, long seed,
         ToDoubleFunction<SimulationResult> score) {
         Candidate[] candidates = IntStream.range(0, runs).parallel().mapToObj(i -> {
@@ -37,7 +37,10 @@
         return new Candidate(worst.seed, worst.faults, worst.score, runs);
     }
 
-    /** Leaves out lines and makes the rest milder while the day stays {@code keeps} (0 to 1) as bad. */
+    /**
+     * Removes lines and makes the rest milder while the score stays at least {@code keptShare} (0 to 1) of the
+     * original.
+     */
     public static Candidate shrink(ScenarioParameters scenario, DirectorFactory policy, Candidate from,
         ToDoubleFunction<SimulationResult> score, double keptShare) {
         double minScore = from.score >= 1000 ? 1000 : keptShare * from.score;
--- a/src/main/java/mothcross/experiment/Commands.java
+++ b/src/main/java/mothcross/experiment/Commands.java
@@ -18,14 +18,17 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code mothcross experiment}, on the tools' loader: plays plans, compares, reports, lists what there is. */
+/**
+ * {@code mothcross experiment}, loaded by the tools' class loader: runs and compares experiment plans, writes reports
+ * and lists results.
+ */
 @Command(name = "experiment", description = "Plays experiments on the emulator; results under experiments/.",
     mixinStandardHelpOptions = true, subcommands = {Commands.RunCommand.class, Commands.CompareCommand.class,
         Commands.ReportCommand.class,
         Commands.ListCommand.class})
 public final class Commands implements Callable<Integer> {
     private static final int USAGE = 2;
-    /** Which module is played, by its bytes: rows of two builds are never mixed. */
+    /** Identifies the module by a hash of its bytes, so that rows of two builds are never mixed. */
     private static final String BUILD = buildId();
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -53,7 +56,7 @@
             return out != null ? out : Path.of("experiments", name, BUILD);
         }
 
-        /** Null where it has said what is wrong. */
+        /** The plan; null where it is invalid, after printing the reason. */
         ExperimentPlan plan() throws IOException {
             try {
                 String json = OperatorsFile.evaluated(file);
@@ -88,7 +91,7 @@
         }
     }
 
-    /** What git says is checked out, "unknown" where there is none. */
+    /** The commit that git has checked out; "unknown" where there is none. */
     private static String commit() {
         try {
             Process process = new ProcessBuilder("git", "rev-parse", "--short", "HEAD").redirectError(
--- a/src/main/java/mothcross/experiment/ExperimentPlan.java
+++ b/src/main/java/mothcross/experiment/ExperimentPlan.java
@@ -12,12 +12,11 @@
 import mothcross.emulator.SimulationResult;
 
 /**
- * What an experiment plays: factors with their levels, seeds, faults, figures, and when it may stop. Owns the cells,
- * each
- * named by its levels; must refuse what a run would refuse, before the first run.
+ * The plan of an experiment: factors with their levels, seeds, faults, metrics and a stop rule. Each cell is named by
+ * its levels. A plan rejects everything that a run would reject, before the first run.
  */
 public final class ExperimentPlan {
-    /** One setting of all factors: {@code name} is the same in every play of the same plan. */
+    /** One combination of factor levels; {@code name} is the same in each run of the same plan. */
     public record Cell(String name, String policy, ScenarioParameters scenario, String faults) { }
 
     private static final List<String> FIELDS = List.of("town", "factors", "policies", "faults", "seeds", "metrics",
@@ -28,7 +27,7 @@
     public final List<Cell> cells = new ArrayList<>();
     public final List<String> metrics = new ArrayList<>();
     public final int seeds;
-    /** The half width of the interval of the first metric under which a cell needs no more seeds; 0: all are played. */
+    /** The interval half-width of the first metric below which a cell needs no more seeds; 0: all seeds are run. */
     public final double stopHalfWidth;
     public final int minSeeds;
 
@@ -38,7 +37,7 @@
         this.minSeeds = minSeeds;
     }
 
-    /** {@code all}: the evaluated file. Throws with the field at fault. */
+    /** Reads an evaluated plan file; throws an error that names the invalid field. */
     public static ExperimentPlan of(JsonObject json) {
         for (String field : json.keySet()) if (!FIELDS.contains(field)) throw invalid(field, "is not known; known are "
             + FIELDS);
--- a/src/main/java/mothcross/experiment/Report.java
+++ b/src/main/java/mothcross/experiment/Report.java
@@ -17,9 +17,8 @@
 import org.knowm.xchart.VectorGraphicsEncoder;
 
 /**
- * What rows come to: a table as CSV and JSON, paired comparisons, charts as SVG and PNG, and one page. Owns these
- * files; every
- * figure in them is computed from the rows, and bears the plan's hash and the commit.
+ * Reports on result rows: a table as CSV and JSON, paired comparisons, charts as SVG and PNG, and an HTML page. Every
+ * figure is computed from the rows and carries the plan hash and the commit.
  */
 public final class Report {
     private final ExperimentPlan plan;
@@ -46,7 +45,7 @@
         return Double.isNaN(value) ? "" : String.format(Locale.ROOT, "%.4f", value);
     }
 
-    /** A line a cell: for each figure its mean and interval, and how many seeds. */
+    /** One line per cell: the number of seeds, and the mean and interval of each metric. */
     public String csv() {
         StringBuilder text = new StringBuilder("cell,seeds");
         for (String metric : plan.metrics) text.append(String.format(",%s,%s_low,%s_high", metric, metric, metric));
@@ -86,7 +85,10 @@
         return new GsonBuilder().setPrettyPrinting().create().toJson(report) + "\n";
     }
 
-    /** Two policies over the same seeds, in every cell that has both: the difference, its interval, its size. */
+    /**
+     * Compares two policies over the same seeds in every cell that has both: the difference, its interval and its
+     * effect size.
+     */
     public List<String> compare(String one, String other) {
         List<String> lines = new ArrayList<>();
         lines.add(String.format("| cell | figure | %s less %s | 95 %% interval | effect | seeds | |", one, other));
@@ -115,7 +117,7 @@
         return lines;
     }
 
-    /** One chart a figure, a series a policy; then a page with all of them and the table. */
+    /** Writes one chart per metric with a series per policy, and a page with all charts and the table. */
     public void write(Path dir) throws IOException {
         Files.createDirectories(dir);
         Files.writeString(dir.resolve("table.csv"), csv());
--- a/src/main/java/mothcross/experiment/ResultRows.java
+++ b/src/main/java/mothcross/experiment/ResultRows.java
@@ -14,17 +14,16 @@
 import mothcross.emulator.SimulationResult;
 
 /**
- * The results of an experiment: a CSV with one line a run, appended as runs end, so that a kill loses no more than
- * the runs under
- * way. Owns the file; a last line cut off is dropped when it is read again, and a file of another plan is refused.
+ * The results of an experiment: a CSV file with one line per run, appended as runs end, so that a killed process loses
+ * only the runs in progress. An incomplete last line is dropped on reading; a file of another plan is rejected.
  */
 public final class ResultRows {
     private final Path file;
     private final String header;
-    // By cell, by seed: the figures in the order of their names.
+    // Metrics in the order of their names, by cell and seed.
     private final Map<String, TreeMap<Integer, double[]>> valuesByCell = new LinkedHashMap<>();
 
-    /** {@code plan}: a hash of the experiment file; results of another one are not mixed in. */
+    /** {@code planHash}: a hash of the experiment file; results of another plan are rejected. */
     public ResultRows(Path file, String planHash) throws IOException {
         this.file = file;
         this.header = "# plan " + planHash + "\ncell,seed," + String.join(",", SimulationResult.names()) + "\n";
@@ -64,7 +63,7 @@
         return valuesByCell.getOrDefault(cell, new TreeMap<>()).size();
     }
 
-    /** One figure of a cell by seed. */
+    /** One metric of a cell, by seed. */
     public synchronized Map<Integer, Double> figures(String cell, String metric) {
         int column = SimulationResult.names().indexOf(metric);
         Map<Integer, Double> figureBySeed = new TreeMap<>();
--- a/src/main/java/mothcross/experiment/Sample.java
+++ b/src/main/java/mothcross/experiment/Sample.java
@@ -8,16 +8,15 @@
 import org.apache.commons.statistics.descriptive.StandardDeviation;
 
 /**
- * What some seeds say of a figure: the mean, a bootstrap interval around it, and for two ways over the same seeds the
- * difference
- * seed by seed. Owns the statistics; must never call a difference one where its interval holds nothing.
+ * The mean of a metric over some seeds with a bootstrap interval, and the effect size of paired differences. An
+ * interval that contains 0 does not establish a difference.
  */
 public record Sample(double mean, double low, double high, int count) {
     private static final int RESAMPLES = 2000;
-    /** Under so many seeds an interval says little. */
+    /** With fewer seeds an interval says little. */
     public static final int MIN_SEEDS = 8;
 
-    /** 95 % by the percentiles of resampled means; the same numbers give the same interval. */
+    /** A 95 % interval by the percentiles of resampled means; the same values give the same interval. */
     public static Sample of(double[] values) {
         if (values.length == 0) return new Sample(Double.NaN, Double.NaN, Double.NaN, 0);
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(Arrays.hashCode(values));
@@ -31,7 +30,7 @@
         return new Sample(Mean.of(values).getAsDouble(), bounds[0], bounds[1], values.length);
     }
 
-    /** How many standard deviations of the differences their mean is from nothing (Cohen's d for pairs). */
+    /** The mean of the differences in standard deviations (Cohen's d for pairs). */
     public static double effectSize(double[] differences) {
         double deviation = StandardDeviation.of(differences).getAsDouble();
         double mean = Mean.of(differences).getAsDouble();
--- a/src/main/java/mothcross/experiment/Sweep.java
+++ b/src/main/java/mothcross/experiment/Sweep.java
@@ -16,15 +16,14 @@
 import mothcross.emulator.Simulation;
 
 /**
- * Plays a plan over all cores: every cell with every seed, what is in the rows already left out, seeds in turn so
- * that a cell that is
- * known well enough stops early. Owns the threads; each run stays on one. Must give the same rows whatever the order
- * of ends.
+ * Runs a plan on several threads: every cell with every seed, except runs whose rows exist. Seeds are run in batches,
+ * so that a cell whose interval is narrow enough stops early. Each run stays on one thread; the rows do not depend on
+ * the order in which runs end.
  */
 public final class Sweep {
     private Sweep() { }
 
-    /** How many runs were played; {@code said} hears of progress now and then. */
+    /** Returns the number of runs; {@code progress} receives a line after each batch. */
     public static int run(ExperimentPlan plan, ResultRows rows, int jobs, Consumer<String> progress) throws IOException,
         InterruptedException {
         ExecutorService threads = Executors.newFixedThreadPool(jobs, task -> {
@@ -36,8 +35,7 @@
         Set<String> finishedCells = ConcurrentHashMap.newKeySet();
         long startNanos = System.nanoTime();
         try {
-            // A round of some seeds for all cells at a time: the stop rule is asked between rounds, by whole rounds
-            // only.
+            // One batch runs some seeds of all cells; the stop rule is evaluated between complete batches only.
             int batchSeeds = Math.max(1, plan.minSeeds);
             for (int firstSeed = 1; firstSeed <= plan.seeds; firstSeed += batchSeeds) {
                 List<Future<?>> batch = new ArrayList<>();
--- a/src/test/java/mothcross/emulator/EmulatorTest.java
+++ b/src/test/java/mothcross/emulator/EmulatorTest.java
@@ -12,8 +12,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The emulator: its parts against figures worked out by hand, the same run to the byte,
-    checkers that find planted faults. */
+/**
+ * Tests the parts of the emulator against figures worked out by hand, the reproducibility of runs, and the rule
+ * checker against planted faults.
+ */
 public class EmulatorTest {
     private static final ScenarioParameters SMALL = new ScenarioParameters().with("seconds", 20)
         .with("places", 2).with("caches", 3);
@@ -22,8 +24,10 @@
         return Simulation.run(t, s, Baselines.ALL.get(policy), seed);
     }
 
-    /** Two flows' room: three jobs of 100, 100 and 200 ms at full pace get two thirds each,
-        then the last goes alone. */
+    /**
+     * Capacity of two flows: three jobs of 100, 100 and 200 ms at full rate get two thirds each until two of them end;
+     * the last then runs at full rate.
+     */
     @Test public void aPipeIsSharedExactly() {
         EventQueue c = new EventQueue();
         BandwidthLink p = new BandwidthLink(c, 2);
@@ -33,7 +37,8 @@
         c.schedule(150, () -> dropped[0] = p.add(1000, () -> ends.add("never")));
         c.schedule(200, () -> p.cancel(dropped[0]));
         c.run(10_000);
-        // 0 to 150: two flows for three, 100 each: the first two end; then two jobs at full pace.
+        // From 0 to 150 ms, three jobs share two flows and progress 100 ms each, so the first two end; then at most
+        // two jobs run at full rate.
         assertEquals(ends, List.of("100.0@150", "100.0@150", "200.0@250"));
         assertEquals(p.activeJobs(), 0);
     }
@@ -54,7 +59,10 @@
         assertTrue(played.size() > 6000);
     }
 
-    /** Lower ranks go first, then what was used longest ago; nothing goes for a copy of lower rank. */
+    /**
+     * Eviction takes lower ranks first, then the least recently used copy; nothing is evicted for a copy of lower
+     * rank.
+     */
     @Test public void aStoreKeepsByRankThenUse() {
         CacheStore s = new CacheStore(300);
         s.put(1, new CacheStore.Copy(0, 100, 1, 1));
@@ -99,7 +107,7 @@
                 + "4000 origin-slow by 3 for 5000\n5000 kill director 1 for 2000\n6000 drain cache 0 for 2000"}};
     }
 
-    /** The module keeps every rule, also with once-only lookups, and comes back by the end. */
+    /** The module keeps every rule, also with non-idempotent lookups, and recovers by the end of the run. */
     @Test(dataProvider = "faults") public void theModuleKeepsTheRules(String name, String script) {
         ScenarioParameters t = SMALL.with("seconds", 24).with("once_only", 0.2);
         for (long seed = 1; seed <= 3; seed++) {
@@ -111,8 +119,9 @@
     }
 
     /**
-     * Drawn days, overlapping: forty seeds, no rule broken, but for rule 4 where a box vanishes and is back before a
-     * director has noticed or heard: nobody could have told it that the box is cold.
+     * Forty seeds of random, overlapping faults break no rule. Rule 4 is not checked where a node vanishes and returns
+     * before a director has detected it or received an update: nothing could have told the director that the node is
+     * cold.
      */
     @Test public void drawnDaysKeepTheRules() {
         int faults = 0;
@@ -130,9 +139,9 @@
         assertTrue(faults > 100);
     }
 
-    // ---- planted faults: a module that is spoilt in one way, and the rule that has to be found broken ----
+    // ---- planted faults: a director with one defect, and the rule whose violation must be detected ----
 
-    /** Passes all on to the module, but for what a test spoils. */
+    /** Passes everything on to the module, except for what a test changes. */
     private abstract static class Spoilt implements Director {
         Director in;
 
@@ -226,8 +235,9 @@
     }
 
     /**
-     * A director that starts on a list taken before a drain was told, and serves before it has heard of it: found, and
-     * not broken by one that waits for the news. Before, a start knew the list as it stood, so it could not be seen.
+     * A director that starts from a node list taken before a drain was published, and serves lookups before it
+     * receives the update, breaks rule 3; one that waits for the updates does not. A start used to read the current
+     * list, which hid this fault.
      */
     @Test public void anOldListAtAStartIsFound() {
         String day = "2500 kill directors 0.7 for 100\n2700 drain caches 0.5 for 4000";
@@ -239,7 +249,7 @@
         }
     }
 
-    /** The same day with the module as it is breaks none of them. */
+    /** The module itself breaks no rule under the faults planted for rule 4. */
     @Test public void theColdDayIsKeptByTheModule() {
         SimulationResult r = play("decide", FaultSchedule.of("4000 crash place 0 for 3000"), SMALL.with("load",
             0.9).with("cold_breaks", 1.5), 1);
@@ -247,9 +257,9 @@
     }
 
     @Test public void scriptsAreRefusedWithTheirLine() {
-        String[][] cases = {{"x crash cache 1", "line 1 "}, {"1 crash", "whom does it befall?"}, {"\n2 melt cache 1",
+        String[][] cases = {{"x crash cache 1", "line 1 "}, {"1 crash", "a target is required"}, {"\n2 melt cache 1",
             "line 2 "},
-            {"1 crash cats 1", "names nobody"}, {"1 slow cache 1 by", "is expected"}};
+            {"1 crash cats 1", "is not a target"}, {"1 slow cache 1 by", "is expected"}};
         for (String[] c : cases) {
             try {
                 FaultSchedule.of(c[0]);
@@ -262,11 +272,14 @@
             new ScenarioParameters().with("cashes", 3);
             throw new AssertionError("taken");
         } catch (IllegalArgumentException e) {
-            assertTrue(e.getMessage().startsWith("a town has no 'cashes'"), e.getMessage());
+            assertTrue(e.getMessage().startsWith("unknown scenario parameter 'cashes'"), e.getMessage());
         }
     }
 
-    /** The same build through a loader of its own plays the same run to the byte; a folder without one is refused. */
+    /**
+     * The same build in a class loader of its own gives the same run to the byte; a directory without a build is
+     * rejected.
+     */
     @Test public void anEarlierBuildPlaysBesideThisOne() throws Exception {
         java.nio.file.Path here =
             java.nio.file.Path.of(mothcross.CacheDirector.class.getProtectionDomain().getCodeSource()
@@ -283,7 +296,9 @@
         }
     }
 
-    /** The hunt finds the day it is pointed at, and what it shrinks to is shorter and still bad. */
+    /**
+     * The worst-case search finds the same faults again, and shrinks them to a schedule that is shorter and still bad.
+     */
     @Test public void theHuntShrinksItsDay() {
         DirectorFactory p = Baselines.ALL.get("rendezvous");
         ScenarioParameters t = SMALL.with("seconds", 16);
@@ -297,7 +312,7 @@
             "it can be kept as a file");
     }
 
-    /** Two thousand directors at two hundred places, each with a module of its own, in one run. */
+    /** Two thousand directors in two hundred zones, each with a module of its own, in one run. */
     @Test public void twoThousandDirectorsInOneRun() {
         ScenarioParameters t = new ScenarioParameters().with("places", 200).with("directors", 10)
             .with("caches", 3).with("parents", 20).with("seconds", 3)
--- a/src/test/java/mothcross/experiment/ExperimentTest.java
+++ b/src/test/java/mothcross/experiment/ExperimentTest.java
@@ -12,7 +12,10 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** Plans, rows that outlive a kill, statistics against known cases, and reports made of nothing but the rows. */
+/**
+ * Tests experiment plans, result rows that survive a killed process, statistics against known cases, and reports,
+ * which are computed from the rows alone.
+ */
 public class ExperimentTest {
     private static final String SMALL = "{town: {seconds: 4, places: 1, caches: 2, objects: 300}, "
         + "factors: {load: [0.3, 0.6]}, "
@@ -26,7 +29,8 @@
     @Test public void plansAreRefusedWithTheirField() {
         String[][] cases = {{"{sedes: 3}", "sedes is not known"}, {"{seeds: 1.5}", "seeds = 1.5 is no whole"},
             {"{seeds: 0}", "seeds"},
-            {"{town: {cashes: 3}}", "town.cashes a town has no"}, {"{factors: {load: [-1]}}", "factors.load"},
+            {"{town: {cashes: 3}}", "town.cashes unknown scenario parameter 'cashes'"},
+            {"{factors: {load: [-1]}}", "factors.load"},
             {"{policies: ['best']}", "has no 'best'"}, {"{metrics: ['speed']}", "has no 'speed'"},
             {"{faults: {a: '1 melt'}}", "faults.a line 1"}, {"{factors: {load: [1, 2, 3], zipf: [1], kb: [5]}}", null}};
         for (String[] c : cases) {
@@ -40,7 +44,10 @@
         assertEquals(plan(String.format(SMALL, "")).cells.size(), 8);
     }
 
-    /** Killed in the middle of a line: what is whole stays, the rest is played, and the rows are those of one go. */
+    /**
+     * A process killed while it writes a row: complete rows are kept, the remaining runs are run, and the result
+     * equals that of one uninterrupted sweep.
+     */
     @Test public void rowsOutliveAKill() throws Exception {
         Path dir = Files.createTempDirectory("mothcross");
         Path one = dir.resolve("one.csv");
@@ -69,14 +76,17 @@
         return lines;
     }
 
-    /** With a width that all meet, only the least number of seeds is played. */
+    /** With an interval width that every cell meets, only the minimum number of seeds is run. */
     @Test public void stopsWhenKnownWellEnough() throws Exception {
         Path file = Files.createTempDirectory("mothcross").resolve("rows.csv");
         ExperimentPlan p = plan(String.format(SMALL, ", stop: {half_width: 1, least_seeds: 1}"));
         assertEquals(Sweep.run(p, new ResultRows(file, "h"), 4, s -> { }), 8);
     }
 
-    /** Intervals of 200 samples of 30 hold the true mean about 95 times in a hundred; equal values have none. */
+    /**
+     * The intervals of 200 samples of 30 values contain the true mean about 95 % of the time; equal values have a
+     * width of 0.
+     */
     @Test public void intervalsHoldTheTruth() {
         SplittableRandom r = new SplittableRandom(11);
         int held = 0;
