--- a/src/main/java/mothcross/emulator/Baselines.java
+++ b/src/main/java/mothcross/emulator/Baselines.java
@@ -23,14 +23,14 @@
     public static final Map<String, DirectorFactory> ALL = new LinkedHashMap<>();
 
     static {
-        ALL.put("decide", (seed, w, places, may, told, caches, parents, purge) ->
-            new CacheDirector(seed, w, places, may, told, caches, parents, purge));
+        ALL.put("decide", (seed, workloads, topology, capabilities, site, caches, parents, purge) ->
+            new CacheDirector(seed, workloads, topology, capabilities, site, caches, parents, purge));
         ALL.put("random", simple(Choice.RANDOM, 0, 1));
         ALL.put("least-out", simple(Choice.LEAST_ACTIVE, 0, 1));
         ALL.put("rendezvous", simple(Choice.RENDEZVOUS, 0, 1));
         ALL.put("threshold", simple(Choice.RENDEZVOUS, 1500, 1));
-        ALL.put("no-cold-budget", (seed, w, places, may, told, caches, parents, purge) ->
-            new CacheDirector(seed, w, places, may, told,
+        ALL.put("no-cold-budget", (seed, workloads, topology, capabilities, site, caches, parents, purge) ->
+            new CacheDirector(seed, workloads, topology, capabilities, site,
                 new SlowStartLimits(1, 0, caches.overloadFactor(), caches.overloadWindowMs()),
                 new SlowStartLimits(1, 0, parents.overloadFactor(), parents.overloadWindowMs()), purge));
         ALL.put("all-hops", simple(Choice.RENDEZVOUS, 0, 99));
@@ -41,8 +41,8 @@
     private Baselines() { }
 
     private static DirectorFactory simple(Choice choice, double maxCachedKb, int maxRetries) {
-        return (seed, w, places, may, told, caches, parents, purge) ->
-            new SimpleDirector(choice, maxCachedKb, maxRetries, seed, places, may, purge);
+        return (seed, workloads, topology, capabilities, site, caches, parents, purge) ->
+            new SimpleDirector(choice, maxCachedKb, maxRetries, seed, topology, capabilities, purge);
     }
 
     private static final class Node {
@@ -199,7 +199,7 @@
 
         @Override public void probeCompleted(int node, int outcome, double spent, double[] report) { }
 
-        @Override public void listStarted(int news) { }
+        @Override public void listStarted(int kind) { }
 
         @Override public void nodeListed(int index, String address, int zone, int kind, int cell, int status,
             double units,
--- a/src/main/java/mothcross/emulator/EarlierBuild.java
+++ b/src/main/java/mothcross/emulator/EarlierBuild.java
@@ -56,8 +56,8 @@
 
     /** The earlier module as a policy for simulations. */
     public DirectorFactory policy() {
-        return (seed, workloads, places, may, told, caches, parents, purge) -> {
-            Object[] args = {seed, workloads, places, may, told, caches, parents, purge};
+        return (seed, workloads, topology, capabilities, site, caches, parents, purge) -> {
+            Object[] args = {seed, workloads, topology, capabilities, site, caches, parents, purge};
             for (int i = 0; i < args.length; i++) args[i] = convert(args[i], constructor.getParameterTypes()[i]);
             try {
                 return new EarlierDirector(constructor.newInstance(args));
@@ -196,14 +196,14 @@
             forward("probeCompleted", node, outcome, spent, report);
         }
 
-        @Override public void listStarted(int news) {
-            forward("listStarted", news);
+        @Override public void listStarted(int kind) {
+            forward("listStarted", kind);
         }
 
-        @Override public void nodeListed(int node, String address, int place, int kind, int cell, int standing,
+        @Override public void nodeListed(int node, String address, int zone, int kind, int cell, int status,
             double units,
                                      double startedAt) {
-            forward("nodeListed", node, address, place, kind, cell, standing, units, startedAt);
+            forward("nodeListed", node, address, zone, kind, cell, status, units, startedAt);
         }
 
         @Override public void listFinished() {
--- a/src/main/java/mothcross/emulator/FaultSchedule.java
+++ b/src/main/java/mothcross/emulator/FaultSchedule.java
@@ -15,8 +15,7 @@
     private record Line(double atMs, String kind, String target, double value, double durationMs, String text) { }
 
     private static final List<String> KINDS = List.of("crash", "vanish", "drain", "slow", "stall", "purge",
-        "origin-slow",
-        "origin-stop", "link", "news", "cut", "hot", "scan", "load", "kill", "rolling");
+        "origin-slow", "origin-stop", "link", "news", "cut", "hot", "scan", "load", "kill", "rolling");
     private final List<Line> lines = new ArrayList<>();
 
     /** Parses a schedule; throws with the line number where a line is invalid. */
@@ -35,9 +34,9 @@
         String[] words = line.split(" +");
         try {
             double atMs = Double.parseDouble(words[0]);
-            if (!KINDS.contains(words[1])) throw new IllegalArgumentException("no such fault '" + words[1]
-                + "', known are "
-                + KINDS);
+            if (!KINDS.contains(words[1])) {
+                throw new IllegalArgumentException("no such fault '" + words[1] + "', known are " + KINDS);
+            }
             String target = "";
             double value = 1;
             double durationMs = 0;
@@ -87,11 +86,11 @@
         FaultSchedule schedule = new FaultSchedule();
         for (Line line : lines) {
             double value = line.value > 1 ? 1 + (line.value - 1) / 2 : line.value;
-            Line milder = new Line(line.atMs, line.kind, line.target, value, line.durationMs / 2, null);
-            schedule.lines.add(new Line(line.atMs, line.kind, line.target, value, line.durationMs / 2, milder.atMs
-                + " " + milder.kind + (milder.target.isEmpty()
-                ? "" : " " + milder.target)
-                + String.format(Locale.ROOT, " by %s for %s", value, milder.durationMs)));
+            double durationMs = line.durationMs / 2;
+            String target = line.target.isEmpty() ? "" : " " + line.target;
+            String text = line.atMs + " " + line.kind + target
+                + String.format(Locale.ROOT, " by %s for %s", value, durationMs);
+            schedule.lines.add(new Line(line.atMs, line.kind, line.target, value, durationMs, text));
         }
         return schedule;
     }
@@ -101,10 +100,10 @@
         StringBuilder text = new StringBuilder();
         int cacheCount = scenario.count("caches") * scenario.count("places");
         for (int i = 0; i < faults; i++) {
-            int atMs = 2000 + random.nextInt((int) (700 * scenario.get("seconds"))), durationMs = 1000
-                + random.nextInt(9000);
-            String cache = "cache " + random.nextInt(cacheCount), caches = String.format(Locale.ROOT, "caches %.2f", 0.1
-                + 0.4 * random.nextDouble());
+            int atMs = 2000 + random.nextInt((int) (700 * scenario.get("seconds")));
+            int durationMs = 1000 + random.nextInt(9000);
+            String cache = "cache " + random.nextInt(cacheCount);
+            String caches = String.format(Locale.ROOT, "caches %.2f", 0.1 + 0.4 * random.nextDouble());
             String fault = switch (random.nextInt(14)) {
                 case 0 -> "crash " + (random.nextBoolean() ? cache : caches);
                 case 1 -> "vanish " + cache;
--- a/src/main/java/mothcross/emulator/SimulatedDirector.java
+++ b/src/main/java/mothcross/emulator/SimulatedDirector.java
@@ -19,6 +19,7 @@
  * deliver.
  */
 final class SimulatedDirector implements DecisionWriter {
+    private static final double RETRY_AFTER_KILL_MS = 500;
     private final Simulation simulation;
     final int number;
     final int zone;
@@ -119,8 +120,10 @@
         starting = false;
         missedUpdates.clear();
         for (List<Hop> hops : hopsByLookup) for (Hop hop : hops) if (hop != null && !hop.over) hop.cancel();
-        for (LoadGenerator.Lookup lookup : lookups) if (lookup != null
-            && !lookup.answered) simulation.loadGenerator(zone).retry(lookup.request, 500);
+        for (LoadGenerator.Lookup lookup : lookups) {
+            if (lookup == null || lookup.answered) continue;
+            simulation.loadGenerator(zone).retry(lookup.request, RETRY_AFTER_KILL_MS);
+        }
     }
 
     private void listNode(Director receiver, SimulatedNode node, int status) {
@@ -213,8 +216,8 @@
 
     private void send(int index, int nodeIndex, int sourceIndex, double giveUpAt, int rank, double maxAge, int flags) {
         LoadGenerator.Lookup lookup = lookups[index];
-        SimulatedNode node = simulation.nodes.get(nodeIndex), source = sourceIndex == nodeIndex ? null
-            : simulation.nodes.get(sourceIndex);
+        SimulatedNode node = simulation.nodes.get(nodeIndex);
+        SimulatedNode source = sourceIndex == nodeIndex ? null : simulation.nodes.get(sourceIndex);
         lookup.mayHaveRun = mayHaveRun(index);
         simulation.ruleChecker.hopSent(number, lookup, node, source);
         hopsSent++;
--- a/src/main/java/mothcross/emulator/SimulatedNode.java
+++ b/src/main/java/mothcross/emulator/SimulatedNode.java
@@ -257,8 +257,9 @@
     private void fillCompleted(Fill fill, Hop first, CacheStore.Copy copy, int note) {
         fills.remove(first.key, fill);
         if (!up) return;
-        if (copy != null && first.rank > 0) storeCopy(first.key,
-            new CacheStore.Copy(copy.issuedAt(), copy.kb(), copy.group(), first.rank));
+        if (copy != null && first.rank > 0) {
+            storeCopy(first.key, new CacheStore.Copy(copy.issuedAt(), copy.kb(), copy.group(), first.rank));
+        }
         double waitedMs = simulation.clock.nowMs - fill.startedAt;
         for (Hop hop : fill.waiting) {
             if (hop.over) continue;
--- a/src/main/java/mothcross/experiment/Commands.java
+++ b/src/main/java/mothcross/experiment/Commands.java
@@ -22,7 +22,7 @@
  * {@code mothcross experiment}, loaded by the tools' class loader: runs and compares experiment plans, writes reports
  * and lists results.
  */
-@Command(name = "experiment", description = "Plays experiments on the emulator; results under experiments/.",
+@Command(name = "experiment", description = "Runs experiments on the emulator; results under experiments/.",
     mixinStandardHelpOptions = true, subcommands = {Commands.RunCommand.class, Commands.CompareCommand.class,
         Commands.ReportCommand.class,
         Commands.ListCommand.class})
@@ -106,7 +106,7 @@
         }
     }
 
-    @Command(name = "run", description = "Plays what has not been played yet; a killed one goes on where it was.",
+    @Command(name = "run", description = "Runs what has not been run yet; a killed sweep continues where it ended.",
         mixinStandardHelpOptions = true)
     static final class RunCommand implements Callable<Integer> {
         @CommandLine.Mixin private PlanOptions planOptions;
@@ -161,12 +161,12 @@
     @Command(name = "list", description = "The experiments that have results.", mixinStandardHelpOptions = true)
     static final class ListCommand implements Callable<Integer> {
         @Override public Integer call() throws IOException {
-            Path all = Path.of("experiments");
-            if (!Files.isDirectory(all)) return 0;
-            try (Stream<Path> files = Files.find(all, 3, (p, a) -> p.endsWith("rows.csv"))) {
+            Path root = Path.of("experiments");
+            if (!Files.isDirectory(root)) return 0;
+            try (Stream<Path> files = Files.find(root, 3, (p, a) -> p.endsWith("rows.csv"))) {
                 for (Path rows : files.sorted().toList()) {
                     try (Stream<String> lines = Files.lines(rows)) {
-                        System.out.println(all.relativize(rows.getParent()) + ": " + (lines.count() - 2) + " runs");
+                        System.out.println(root.relativize(rows.getParent()) + ": " + (lines.count() - 2) + " runs");
                     }
                 }
             }
--- a/src/main/java/mothcross/experiment/ExperimentPlan.java
+++ b/src/main/java/mothcross/experiment/ExperimentPlan.java
@@ -43,8 +43,9 @@
             + FIELDS);
         JsonObject stop = json.has("stop") ? json.getAsJsonObject("stop") : new JsonObject();
         int seeds = integer(json, "seeds", 20, 1, MAX_SEEDS);
-        ExperimentPlan plan = new ExperimentPlan(seeds, stop.has("half_width") ? stop.get("half_width").getAsDouble()
-            : 0, integer(stop, "least_seeds", Math.min(8, seeds), 1, MAX_SEEDS));
+        double halfWidth = stop.has("half_width") ? stop.get("half_width").getAsDouble() : 0;
+        int minSeeds = integer(stop, "least_seeds", Math.min(8, seeds), 1, MAX_SEEDS);
+        ExperimentPlan plan = new ExperimentPlan(seeds, halfWidth, minSeeds);
         ScenarioParameters baseScenario = new ScenarioParameters();
         if (json.has("town")) {
             for (Map.Entry<String, JsonElement> e : json.getAsJsonObject("town").entrySet()) {
@@ -66,42 +67,46 @@
         List<String> policies = new ArrayList<>();
         if (json.has("policies")) json.getAsJsonArray("policies").forEach(e -> policies.add(e.getAsString()));
         if (policies.isEmpty()) policies.add("decide");
-        for (String policy : policies) if (!Baselines.ALL.containsKey(policy)) throw invalid("policies", "has no '"
-            + policy
-            + "'; there are "
-            + Baselines.ALL.keySet());
+        for (String policy : policies) {
+            if (!Baselines.ALL.containsKey(policy)) {
+                throw invalid("policies", "has no '" + policy + "'; there are " + Baselines.ALL.keySet());
+            }
+        }
         if (json.has("metrics")) json.getAsJsonArray("metrics").forEach(e -> plan.metrics.add(e.getAsString()));
         if (plan.metrics.isEmpty()) plan.metrics.add("in_time");
-        for (String metric : plan.metrics) if (!SimulationResult.names().contains(metric)) throw invalid("metrics",
-            "has no '" + metric
-            + "'; there are "
-            + SimulationResult.names());
+        for (String metric : plan.metrics) {
+            if (!SimulationResult.names().contains(metric)) {
+                throw invalid("metrics", "has no '" + metric + "'; there are " + SimulationResult.names());
+            }
+        }
         List<Map.Entry<String, ScenarioParameters>> scenarios = new ArrayList<>(List.of(Map.entry("", baseScenario)));
         if (json.has("factors")) {
-            for (Map.Entry<String, JsonElement> f : json.getAsJsonObject("factors").entrySet()) {
+            for (Map.Entry<String, JsonElement> factor : json.getAsJsonObject("factors").entrySet()) {
                 List<Map.Entry<String, ScenarioParameters>> expanded = new ArrayList<>();
-                for (Map.Entry<String, ScenarioParameters> t : scenarios) {
-                    for (JsonElement level : f.getValue().getAsJsonArray()) {
-                        String name = (t.getKey().isEmpty() ? "" : t.getKey() + " ") + f.getKey() + "="
+                for (Map.Entry<String, ScenarioParameters> base : scenarios) {
+                    for (JsonElement level : factor.getValue().getAsJsonArray()) {
+                        String name = (base.getKey().isEmpty() ? "" : base.getKey() + " ") + factor.getKey() + "="
                             + level.getAsString();
-                        expanded.add(Map.entry(name, with(t.getValue(), "factors." + f.getKey(), f.getKey(),
-                            level.getAsDouble())));
+                        expanded.add(Map.entry(name, with(base.getValue(), "factors." + factor.getKey(),
+                            factor.getKey(), level.getAsDouble())));
                     }
                 }
                 scenarios = expanded;
             }
         }
-        for (Map.Entry<String, ScenarioParameters> t : scenarios) {
-            for (Map.Entry<String, String> f : faults.entrySet()) {
+        for (Map.Entry<String, ScenarioParameters> base : scenarios) {
+            for (Map.Entry<String, String> factor : faults.entrySet()) {
                 for (String policy : policies) {
-                    String name = (t.getKey().isEmpty() ? "" : t.getKey() + " ") + "faults=" + f.getKey() + " policy="
+                    String name = (base.getKey().isEmpty() ? "" : base.getKey() + " ") + "faults=" + factor.getKey()
+                        + " policy="
                         + policy;
-                    plan.cells.add(new Cell(name, policy, t.getValue(), f.getValue()));
+                    plan.cells.add(new Cell(name, policy, base.getValue(), factor.getValue()));
                 }
             }
         }
-        if (plan.cells.size() > MAX_CELLS) throw invalid("factors", "make " + plan.cells.size() + " cells, " + MAX_CELLS
-            + " at most");
+        if (plan.cells.size() > MAX_CELLS) {
+            throw invalid("factors", "make " + plan.cells.size() + " cells, " + MAX_CELLS + " at most");
+        }
         return plan;
     }
 
@@ -116,9 +121,9 @@
     private static int integer(JsonObject json, String field, int defaultValue, int min, int max) {
         if (!json.has(field)) return defaultValue;
         double value = json.get(field).getAsDouble();
-        if (value != Math.rint(value) || value < min || value > max)
-            throw invalid(field, "= " + value + " is no whole number from "
-            + min + " to " + max);
+        if (value != Math.rint(value) || value < min || value > max) {
+            throw invalid(field, "= " + value + " is no whole number from " + min + " to " + max);
+        }
         return (int) value;
     }
 
--- a/src/test/java/mothcross/experiment/ExperimentTest.java
+++ b/src/test/java/mothcross/experiment/ExperimentTest.java
@@ -26,7 +26,7 @@
         return ExperimentPlan.of(JsonParser.parseString(json).getAsJsonObject());
     }
 
-    @Test public void plansAreRefusedWithTheirField() {
+    @Test public void invalidPlansAreRejected() {
         String[][] cases = {{"{sedes: 3}", "sedes is not known"}, {"{seeds: 1.5}", "seeds = 1.5 is no whole"},
             {"{seeds: 0}", "seeds"},
             {"{town: {cashes: 3}}", "town.cashes unknown scenario parameter 'cashes'"},
@@ -48,20 +48,20 @@
      * A process killed while it writes a row: complete rows are kept, the remaining runs are run, and the result
      * equals that of one uninterrupted sweep.
      */
-    @Test public void rowsOutliveAKill() throws Exception {
+    @Test public void rowsSurviveKilledProcess() throws Exception {
         Path dir = Files.createTempDirectory("mothcross");
         Path one = dir.resolve("one.csv");
         Path two = dir.resolve("two.csv");
-        ExperimentPlan p = plan(String.format(SMALL, ""));
-        assertEquals(Sweep.run(p, new ResultRows(one, "h"), 4, s -> { }), 24);
-        String[] whole = sorted(one);
+        ExperimentPlan plan = plan(String.format(SMALL, ""));
+        assertEquals(Sweep.run(plan, new ResultRows(one, "h"), 4, s -> { }), 24);
+        String[] expected = sorted(one);
         String text = Files.readString(one);
         Files.writeString(two, text.substring(0, text.length() * 2 / 3));
-        ResultRows again = new ResultRows(two, "h");
-        int played = Sweep.run(p, again, 2, s -> { });
-        assertTrue(played > 0 && played < 24, "played " + played);
-        assertEquals(sorted(two), whole, "the same rows, whoever played them");
-        assertEquals(Sweep.run(p, new ResultRows(two, "h"), 2, s -> { }), 0);
+        ResultRows reopened = new ResultRows(two, "h");
+        int runs = Sweep.run(plan, reopened, 2, s -> { });
+        assertTrue(runs > 0 && runs < 24, "played " + runs);
+        assertEquals(sorted(two), expected, "the same rows, whoever played them");
+        assertEquals(Sweep.run(plan, new ResultRows(two, "h"), 2, s -> { }), 0);
         try {
             new ResultRows(two, "other");
             fail("rows of another plan are taken");
@@ -77,48 +77,51 @@
     }
 
     /** With an interval width that every cell meets, only the minimum number of seeds is run. */
-    @Test public void stopsWhenKnownWellEnough() throws Exception {
+    @Test public void stopsAtNarrowInterval() throws Exception {
         Path file = Files.createTempDirectory("mothcross").resolve("rows.csv");
-        ExperimentPlan p = plan(String.format(SMALL, ", stop: {half_width: 1, least_seeds: 1}"));
-        assertEquals(Sweep.run(p, new ResultRows(file, "h"), 4, s -> { }), 8);
+        ExperimentPlan plan = plan(String.format(SMALL, ", stop: {half_width: 1, least_seeds: 1}"));
+        assertEquals(Sweep.run(plan, new ResultRows(file, "h"), 4, s -> { }), 8);
     }
 
     /**
      * The intervals of 200 samples of 30 values contain the true mean about 95 % of the time; equal values have a
      * width of 0.
      */
-    @Test public void intervalsHoldTheTruth() {
-        SplittableRandom r = new SplittableRandom(11);
-        int held = 0;
+    @Test public void intervalsContainTrueMean() {
+        SplittableRandom random = new SplittableRandom(11);
+        int covered = 0;
         for (int i = 0; i < 200; i++) {
-            double[] v = new double[30];
-            for (int k = 0; k < v.length; k++) v[k] = 5 + (r.nextDouble() + r.nextDouble() + r.nextDouble() - 1.5);
-            Sample s = Sample.of(v);
-            if (s.low() <= 5 && s.high() >= 5) held++;
-            assertEquals(Sample.of(v), s, "the same numbers, the same interval");
+            double[] values = new double[30];
+            for (int k = 0; k < values.length; k++) {
+                values[k] = 5 + (random.nextDouble() + random.nextDouble() + random.nextDouble() - 1.5);
+            }
+            Sample sample = Sample.of(values);
+            if (sample.low() <= 5 && sample.high() >= 5) covered++;
+            assertEquals(Sample.of(values), sample, "the same numbers, the same interval");
         }
-        assertTrue(held >= 178 && held <= 199, "held " + held);
+        assertTrue(covered >= 178 && covered <= 199, "held " + covered);
         assertEquals(Sample.of(new double[] {2, 2, 2}).halfWidth(), 0.0);
         assertTrue(Sample.of(new double[] {1, 2}).isTooSmall());
         assertEquals(Sample.effectSize(new double[] {1, 3}), Math.sqrt(2), 1e-9);
     }
 
-    @Test public void reportsAreMadeOfTheRows() throws Exception {
+    @Test public void reportsAreComputedFromRows() throws Exception {
         System.setProperty("java.awt.headless", "true");
         Path dir = Files.createTempDirectory("mothcross");
-        ExperimentPlan p = plan(String.format(SMALL, ""));
+        ExperimentPlan plan = plan(String.format(SMALL, ""));
         ResultRows rows = new ResultRows(dir.resolve("rows.csv"), "h");
-        Sweep.run(p, rows, 4, s -> { });
-        Report r = new Report(p, rows, "h", "c0ffee");
-        r.write(dir);
+        Sweep.run(plan, rows, 4, s -> { });
+        Report report = new Report(plan, rows, "h", "c0ffee");
+        report.write(dir);
         assertEquals(Files.readString(dir.resolve("table.csv")).lines().count(), 9);
         assertTrue(Files.readString(dir.resolve("table.json")).contains("\"commit\": \"c0ffee\""));
         assertTrue(Files.readString(dir.resolve("in_time.svg")).contains("<svg")
             && Files.size(dir.resolve("in_time.png")) > 1000);
         assertTrue(Files.readString(dir.resolve("index.html")).contains("in_time.svg"));
-        String lines = String.join("\n", r.compare("decide", "random"));
+        String lines = String.join("\n", report.compare("decide", "random"));
         assertEquals(lines.lines().count(), 2 + 4 * 2, lines);
         assertTrue(lines.contains("too few seeds to tell"), lines);
-        assertTrue(String.join("\n", r.compare("decide", "decide")).contains("+0.0000"), "no difference to itself");
+        assertTrue(String.join("\n", report.compare("decide", "decide")).contains("+0.0000"),
+            "no difference to itself");
     }
 }
