--- a/src/main/java/mothcross/emulator/Baselines.java
+++ b/src/main/java/mothcross/emulator/Baselines.java
@@ -103,8 +103,7 @@
         }
 
         @Override public void lookup(int index, int workload, double expires, long object, int part, int group,
-            double sizeKb,
-                                     boolean repeat, boolean write, RouteConstraints by) {
+            double sizeKb, boolean repeat, boolean write, RouteConstraints by) {
             Lookup lookup = new Lookup();
             lookup.index = index;
             lookup.key = object;
@@ -141,8 +140,10 @@
         }
 
         private boolean sendHop(Lookup lookup) {
-            if (!lookup.open || now >= lookup.expiresAt || lookup.hops >= Math.min(capabilities.maxHops(), 1
-                + maxRetries)) return false;
+            if (!lookup.open || now >= lookup.expiresAt || lookup.hops >= Math.min(capabilities.maxHops(),
+                1 + maxRetries)) {
+                return false;
+            }
             if (lookup.nonIdempotent && lookup.mayHaveRun) return false;
             Node node = chooseNode(0, lookup, choice);
             if (node == null) return false;
@@ -170,8 +171,7 @@
         }
 
         @Override public void hopEnded(int index, int hop, int node, int outcome, boolean last, int note,
-            double elapsedMs,
-                                       double sourceWait, double[] report) {
+            double elapsedMs, double sourceWait, double[] report) {
             Lookup lookup = lookups.get(index);
             if (lookup == null || hop >= lookup.activeHops.size()) return;
             Node target = lookup.activeHops.get(hop);
@@ -202,8 +202,7 @@
         @Override public void listStarted(int kind) { }
 
         @Override public void nodeListed(int index, String address, int zone, int kind, int cell, int status,
-            double units,
-                                     double startedAt) {
+            double units, double startedAt) {
             int tier = kind == topology.parentKind() ? 1 : kind == topology.originKind() ? 2 : 0;
             if (tier == 0 && zone != topology.ownZone()) return;
             Node node = nodes.computeIfAbsent(index, k -> new Node());
--- a/src/main/java/mothcross/emulator/CacheStore.java
+++ b/src/main/java/mothcross/emulator/CacheStore.java
@@ -35,9 +35,8 @@
         remove(key);
         if (copy.kb > capacityKb) return;
         for (int rank = 0; rank <= copy.rank && usedKb + copy.kb > capacityKb; rank++) {
-            for (Iterator<Map.Entry<Long,
-                Copy>> iterator = copiesByRank[rank].entrySet().iterator(); iterator.hasNext() && usedKb
-                + copy.kb > capacityKb;) {
+            Iterator<Map.Entry<Long, Copy>> iterator = copiesByRank[rank].entrySet().iterator();
+            while (iterator.hasNext() && usedKb + copy.kb > capacityKb) {
                 Map.Entry<Long, Copy> evicted = iterator.next();
                 iterator.remove();
                 copies.remove(evicted.getKey());
--- a/src/main/java/mothcross/emulator/EarlierBuild.java
+++ b/src/main/java/mothcross/emulator/EarlierBuild.java
@@ -201,8 +201,7 @@
         }
 
         @Override public void nodeListed(int node, String address, int zone, int kind, int cell, int status,
-            double units,
-                                     double startedAt) {
+            double units, double startedAt) {
             forward("nodeListed", node, address, zone, kind, cell, status, units, startedAt);
         }
 
--- a/src/main/java/mothcross/emulator/LoadGenerator.java
+++ b/src/main/java/mothcross/emulator/LoadGenerator.java
@@ -98,8 +98,8 @@
         long object = drawObject();
         // The size is drawn from the object key, so that it is the same for each request.
         SplittableRandom objectRandom = new SplittableRandom(object * 0x9e3779b97f4a7c15L);
-        double sigma = scenario.get("kb_sigma"),
-            kb = scenario.get("kb") * Math.exp(sigma * gaussian(objectRandom) - sigma * sigma / 2);
+        double sigma = scenario.get("kb_sigma");
+        double kb = scenario.get("kb") * Math.exp(sigma * gaussian(objectRandom) - sigma * sigma / 2);
         kb = Math.min(kb, scenario.get("kb") * 20);
         Request request = new Request(simulation.elapsedMs(), kb, kb / scenario.get("flow_kb_ms"), object,
             (int) Math.floorMod(object, (long) GROUPS));
@@ -108,9 +108,9 @@
     }
 
     private long drawObject() {
-        if (random.nextDouble() < simulation.scenario.get("one_offs") + scanShare)
-            return (1L << 50) + ((long) zone << 40)
-            + oneOffCount++;
+        if (random.nextDouble() < simulation.scenario.get("one_offs") + scanShare) {
+            return (1L << 50) + ((long) zone << 40) + oneOffCount++;
+        }
         if (random.nextDouble() < hotShare) return 7;
         double uniform = random.nextDouble();
         int low = 0;
--- a/src/main/java/mothcross/experiment/Report.java
+++ b/src/main/java/mothcross/experiment/Report.java
@@ -97,21 +97,18 @@
             if (!cell.policy().equals(one)) continue;
             String otherCell = cell.name().replace("policy=" + one, "policy=" + other);
             for (String metric : plan.metrics) {
-                Map<Integer, Double> oneBySeed = rows.figures(cell.name(), metric),
-                    otherBySeed = rows.figures(otherCell, metric);
+                Map<Integer, Double> oneBySeed = rows.figures(cell.name(), metric);
+                Map<Integer, Double> otherBySeed = rows.figures(otherCell, metric);
                 double[] differences = oneBySeed.keySet().stream().filter(otherBySeed::containsKey).mapToDouble(s ->
                     oneBySeed.get(s) - otherBySeed.get(s)).toArray();
                 if (differences.length == 0) continue;
                 Sample sample = Sample.of(differences);
-                String verdict = sample.isTooSmall() ? "too few seeds to tell" : sample.low() > 0 ? one + " is higher"
-                    : sample.high() < 0
-                    ? other
-                    + " is higher" : "no difference shown";
+                String verdict = sample.isTooSmall() ? "too few seeds to tell"
+                    : sample.low() > 0 ? one + " is higher"
+                    : sample.high() < 0 ? other + " is higher" : "no difference shown";
                 lines.add(String.format(Locale.ROOT, "| %s | %s | %+.4f | %+.4f to %+.4f | %.2f | %d | %s |",
-                    cell.name().replace(
-                    " policy=" + one, ""), metric, sample.mean(), sample.low(), sample.high(), differences.length < 2
-                    ? 0 : Sample.effectSize(differences), sample.count(),
-                        verdict));
+                    cell.name().replace(" policy=" + one, ""), metric, sample.mean(), sample.low(), sample.high(),
+                    differences.length < 2 ? 0 : Sample.effectSize(differences), sample.count(), verdict));
             }
         }
         return lines;
--- a/src/main/java/mothcross/experiment/Sweep.java
+++ b/src/main/java/mothcross/experiment/Sweep.java
@@ -43,26 +43,26 @@
                     if (finishedCells.contains(cell.name())) continue;
                     for (int seed = firstSeed; seed < firstSeed + batchSeeds && seed <= plan.seeds; seed++) {
                         if (rows.contains(cell.name(), seed)) continue;
-                        int seconds = seed;
+                        int runSeed = seed;
                         batch.add(threads.submit(() -> {
-                            rows.add(cell.name(), seconds, Simulation.run(cell.scenario(),
-                                FaultSchedule.of(cell.faults()), Baselines.ALL.get(cell.policy()), seconds));
+                            rows.add(cell.name(), runSeed, Simulation.run(cell.scenario(),
+                                FaultSchedule.of(cell.faults()), Baselines.ALL.get(cell.policy()), runSeed));
                             completed.incrementAndGet();
                             return null;
                         }));
                     }
                 }
                 for (Future<?> future : batch) future.get();
-                for (ExperimentPlan.Cell cell : plan.cells) if (hasEnoughSeeds(plan, rows,
-                    cell)) finishedCells.add(cell.name());
+                for (ExperimentPlan.Cell cell : plan.cells) {
+                    if (hasEnoughSeeds(plan, rows, cell)) finishedCells.add(cell.name());
+                }
                 int seeds = Math.min(plan.seeds, firstSeed + batchSeeds - 1);
                 double seconds = (System.nanoTime() - startNanos) / 1e9;
                 double remainingSeconds = seconds / seeds * (plan.seeds - seeds);
                 progress.accept(String.format(java.util.Locale.ROOT,
                     "%d of %d seeds, %d runs, %d of %d cells known well enough, %.0f s, "
                     + "at most %.0f s left", seeds, plan.seeds, completed.get(), finishedCells.size(),
-                    plan.cells.size(), seconds,
-                        remainingSeconds));
+                    plan.cells.size(), seconds, remainingSeconds));
                 if (finishedCells.size() == plan.cells.size()) break;
             }
         } catch (ExecutionException e) {
