--- a/src/main/java/mothcross/cli/EmulateCommand.java
+++ b/src/main/java/mothcross/cli/EmulateCommand.java
@@ -58,7 +58,7 @@
             script = faults != null ? FaultSchedule.of(Files.readString(faults))
                 : FaultSchedule.drawn(new SplittableRandom(seed), draw, town);
         } catch (IllegalArgumentException e) {
-            return Main.plainly(e.getMessage());
+            return Main.printError(e.getMessage());
         }
         if (against != null) {
             Baselines.ALL.put("against", new EarlierBuild(against).policy());
@@ -70,7 +70,7 @@
         System.out.print(script);
         for (String name : policies) {
             DirectorFactory p = Baselines.ALL.get(name);
-            if (p == null) return Main.plainly("no policy '" + name + "'; there are " + Baselines.ALL.keySet());
+            if (p == null) return Main.printError("no policy '" + name + "'; there are " + Baselines.ALL.keySet());
             long begun = System.nanoTime();
             SimulationResult r = Simulation.play(town, script, p, seed);
             System.out.println(name + ": " + r.line());
@@ -89,7 +89,7 @@
     private int hunt(ScenarioParameters town) {
         for (String name : policies) {
             DirectorFactory p = Baselines.ALL.get(name);
-            if (p == null) return Main.plainly("no policy '" + name + "'; there are " + Baselines.ALL.keySet());
+            if (p == null) return Main.printError("no policy '" + name + "'; there are " + Baselines.ALL.keySet());
             WorstCaseSearch.Found worst = WorstCaseSearch.worst(town, p, hunt, seed, WorstCaseSearch::badness);
             WorstCaseSearch.Found shrunk = WorstCaseSearch.shrink(town, p, worst, WorstCaseSearch::badness, 0.8);
             System.out.printf(Locale.ROOT, "# %s: the worst of %d days is seed %d, badness %.3f; shrunk to %.3f "
--- a/src/main/java/mothcross/cli/ExperimentCommand.java
+++ b/src/main/java/mothcross/cli/ExperimentCommand.java
@@ -11,6 +11,6 @@
     @Parameters(arity = "0..*", hidden = true) private List<String> args = List.of();
 
     @Override public Integer call() throws Exception {
-        return Tools.run("mothcross.experiment.Commands", args.toArray(String[]::new));
+        return ToolLauncher.run("mothcross.experiment.Commands", args.toArray(String[]::new));
     }
 }
--- a/src/main/java/mothcross/cli/ExprCommand.java
+++ b/src/main/java/mothcross/cli/ExprCommand.java
@@ -32,14 +32,14 @@
     }
 
     /** {@code told} null: workloads and hops of the settings are not checked. */
-    static RouteTable compiled(RouteRules rules, StartupConfig told, List<String> faults) {
+    static RouteTable compile(RouteRules rules, StartupConfig told, List<String> faults) {
         return RouteTable.compile(rules, told == null ? null : told.directorSettings.workloads,
             told == null ? null : told.directorSettings.workloadTable,
             told == null ? 1 : told.directorSettings.directorsInZone, told == null ? NO_HOPS_TOLD : told.maxHops, null,
             faults);
     }
 
-    private static final class Which {
+    private static final class RoutesOptions {
         @Parameters(paramLabel = "FILE", description = "the operators' file") private Path file;
 
         @Option(names = "--config", paramLabel = "FILE",
@@ -53,9 +53,9 @@
             try {
                 RouteRules rules = OperatorsFile.read(file).part(SettingsPart.ROUTES);
                 if (rules == null) faults.add(file + " has no routes");
-                else t = compiled(rules, config == null ? null : StartupConfig.read(config, null, false), faults);
+                else t = compile(rules, config == null ? null : StartupConfig.read(config, null, false), faults);
             } catch (OperatorsFile.InvalidOperatorsFileException e) {
-                for (String fault : e.faults()) faults.add(file + ": " + fault);
+                for (String fault : e.problems()) faults.add(file + ": " + fault);
             }
             for (String fault : faults) System.err.println("mothcross: " + fault);
             return t;
@@ -65,7 +65,7 @@
     @Command(name = "check", description = "Compiles every expression: costs, what can never matter, or every fault.",
         mixinStandardHelpOptions = true)
     static final class Check implements Callable<Integer> {
-        @Mixin private Which which;
+        @Mixin private RoutesOptions which;
 
         @Override public Integer call() throws StartupConfig.InvalidConfigException {
             RouteTable t = which.table();
@@ -82,7 +82,7 @@
     @Command(name = "explain", description = "Which rule takes a request, with each part's value and cost.",
         mixinStandardHelpOptions = true)
     static final class Explain implements Callable<Integer> {
-        @Mixin private Which which;
+        @Mixin private RoutesOptions which;
 
         @Option(names = "--target", paramLabel = "TARGET", description = "as in /api/v2/WORKLOAD/OBJECT/piece-3")
         private String target;
@@ -96,9 +96,9 @@
         @Override public Integer call() throws Exception {
             RouteTable t = which.table();
             if (t == null) return USAGE;
-            if (target == null == (head == null)) return Main.plainly("give --target, or --head");
-            Head h = new Head(head != null ? Files.readString(head) : target + "\n" + String.join("\n", headers),
-                t.headers());
+            if (target == null == (head == null)) return Main.printError("give --target, or --head");
+            RequestHead h = new RequestHead(head != null ? Files.readString(head) : target
+                + "\n" + String.join("\n", headers), t.headers());
             double now = System.currentTimeMillis();
             RouteTable.Outcome o = t.route(h, -1, NO_HOPS_TOLD, now);
             long steps = t.steps();
@@ -119,7 +119,7 @@
     @Command(name = "bench", description = "How long routing a request takes here, for a short look.",
         mixinStandardHelpOptions = true)
     static final class Bench implements Callable<Integer> {
-        @Mixin private Which which;
+        @Mixin private RoutesOptions which;
 
         @Option(names = "--target", paramLabel = "TARGET", required = true) private String target;
 
@@ -128,7 +128,7 @@
         @Override public Integer call() throws StartupConfig.InvalidConfigException {
             RouteTable t = which.table();
             if (t == null) return USAGE;
-            Head h = new Head(target + "\n" + String.join("\n", headers), t.headers());
+            RequestHead h = new RequestHead(target + "\n" + String.join("\n", headers), t.headers());
             int n = 200_000;
             double best = Double.MAX_VALUE;
             for (int round = 0; round < 10; round++) {
@@ -145,7 +145,7 @@
         mixinStandardHelpOptions = true)
     static final class Shell implements Callable<Integer> {
         @Override public Integer call() throws Exception {
-            return Tools.run("mothcross.cli.ExprShell");
+            return ToolLauncher.run("mothcross.cli.ExprShell");
         }
     }
 }
--- a/src/main/java/mothcross/cli/ExprShell.java
+++ b/src/main/java/mothcross/cli/ExprShell.java
@@ -88,7 +88,8 @@
         try {
             Program.Expression e = p.compile(line, BUDGET);
             Frame f = new Frame(p);
-            f.begin(new Head(target + "\n" + String.join("\n", headers), inputs.headers()), System.currentTimeMillis());
+            f.begin(new RequestHead(target + "\n" + String.join("\n", headers), inputs.headers()),
+                System.currentTimeMillis());
             String value = e.describe(f);
             return value + "   " + e.type() + ", " + f.steps() + " of at most " + e.cost() + " steps"
                 + (e.notes().isEmpty() ? "" : "\n" + String.join("\n", e.notes()));
--- a/src/main/java/mothcross/cli/FleetCommand.java
+++ b/src/main/java/mothcross/cli/FleetCommand.java
@@ -38,25 +38,26 @@
     @Spec private CommandSpec spec;
 
     /** The member that the operators' part asks for, before it begins. */
-    static FleetNode node(FleetSettings d, StartupConfig start, String relay, long skewMs, DoubleConsumer share) {
+    static FleetNode createNode(FleetSettings d, StartupConfig start, String relay, long skewMs, DoubleConsumer share) {
         FailureDetectorSettings u = FailureDetectorSettings.DEFAULTS;
         FailureDetectorSettings pace = new FailureDetectorSettings(d.periodMs(), 0.3 * d.periodMs(),
             u.indirectProbes(), u.suspicionRounds(), u.rings(), u.lowShare(),
-            u.highShare(), d.silentMs(), u.proposalDelayMs(), d.holdMs(), u.forgetAfterMs());
-        int fixed = d.directors() > 0 ? d.directors() : start.directorSettings.directorsInZone;
-        List<InetSocketAddress> seeds = d.seeds().stream().map(FleetCommand::socket).toList();
-        return new FleetNode(d.fleet(), start.name, socket(d.listen()), seeds, keys(d), d.file(), pace,
-            new LimitShare(fixed, d.leaseMs(), 4 * d.periodMs()), relay == null ? null : socket(relay), skewMs, share);
+            u.highShare(), d.evictionDelayMs(), u.proposalDelayMs(), d.rejoinDelayMs(), u.forgetAfterMs());
+        int fixed = d.fixedDirectorCount() > 0 ? d.fixedDirectorCount() : start.directorSettings.directorsInZone;
+        List<InetSocketAddress> seeds = d.seeds().stream().map(FleetCommand::parseAddress).toList();
+        return new FleetNode(d.fleet(), start.name, parseAddress(d.listen()), seeds, keys(d), d.stateFile(), pace,
+            new LimitShare(fixed, d.leaseMs(), 4 * d.periodMs()), relay == null ? null : parseAddress(relay), skewMs,
+            share);
     }
 
     /** Says farewell before the director ends. */
-    static Main.Beside ending(FleetNode n) {
-        return new Main.Beside() {
-            @Override public void before() {
+    static Main.FleetService closeBeforeStop(FleetNode n) {
+        return new Main.FleetService() {
+            @Override public void beforeStop() {
                 n.close();
             }
 
-            @Override public void after() { }
+            @Override public void afterStop() { }
         };
     }
 
@@ -65,7 +66,7 @@
             k.secret().getBytes(StandardCharsets.UTF_8))).toList();
     }
 
-    static InetSocketAddress socket(String at) {
+    static InetSocketAddress parseAddress(String at) {
         int colon = at.lastIndexOf(':');
         return new InetSocketAddress(at.substring(0, colon), Integer.parseInt(at.substring(colon + 1)));
     }
@@ -76,7 +77,7 @@
     }
 
     /** Whom to ask, and with which key. */
-    static final class Whom {
+    static final class AdminTarget {
         @Option(names = "--operators", paramLabel = "FILE", required = true,
             description = "the operators' file, for the fleet's name and keys") private Path operators;
 
@@ -85,15 +86,15 @@
         @Option(names = "--at", paramLabel = "HOST:PORT",
             description = "the director's address in the fleet (default: the file's)") private String at;
 
-        JsonObject ask(String what) throws IOException, OperatorsFile.InvalidOperatorsFileException {
-            return ask(what, new byte[0]);
+        JsonObject request(String what) throws IOException, OperatorsFile.InvalidOperatorsFileException {
+            return request(what, new byte[0]);
         }
 
-        JsonObject ask(String what, byte[] body) throws IOException, OperatorsFile.InvalidOperatorsFileException {
+        JsonObject request(String what, byte[] body) throws IOException, OperatorsFile.InvalidOperatorsFileException {
             if (known == null) known = OperatorsFile.read(operators).part(SettingsPart.FLEET);
             FleetSettings d = known;
             if (d == null) throw new IOException("the file has no part fleet");
-            InetSocketAddress to = socket(at == null ? d.listen() : at);
+            InetSocketAddress to = parseAddress(at == null ? d.listen() : at);
             try {
                 String answer = AdminClient.request(to, d.fleet(), keys(d), what, body);
                 return JsonParser.parseString(answer).getAsJsonObject();
@@ -103,9 +104,9 @@
         }
     }
 
-    static int failed(Exception e) {
-        return e instanceof OperatorsFile.InvalidOperatorsFileException u ? Main.plainly(u)
-            : Main.plainly(e.getMessage());
+    static int reportFailure(Exception e) {
+        return e instanceof OperatorsFile.InvalidOperatorsFileException u ? Main.printError(u)
+            : Main.printError(e.getMessage());
     }
 
     /** One line for the view, one for each member; the exit state. */
@@ -130,27 +131,28 @@
 
     @Command(name = "status", description = "The view, its members, and how each is judged.",
         mixinStandardHelpOptions = true)
-    int status(@picocli.CommandLine.Mixin Whom whom, @Option(names = "--json") boolean json) {
+    int status(@picocli.CommandLine.Mixin AdminTarget whom, @Option(names = "--json") boolean json) {
         try {
-            JsonObject o = whom.ask("status");
+            JsonObject o = whom.request("status");
             if (!json) return show(o, true);
             System.out.println(o);
             return OK;
         } catch (IOException | OperatorsFile.InvalidOperatorsFileException e) {
-            return failed(e);
+            return reportFailure(e);
         }
     }
 
     @Command(name = "watch", description = "A line whenever the view or a judgement changes.",
         mixinStandardHelpOptions = true)
-    int watch(@picocli.CommandLine.Mixin Whom whom, @Option(names = "--for", paramLabel = "S", defaultValue = "1e9",
+    int watch(@picocli.CommandLine.Mixin AdminTarget whom,
+              @Option(names = "--for", paramLabel = "S", defaultValue = "1e9",
         description = "ends after so many seconds") double seconds) throws InterruptedException {
         long end = System.nanoTime() + (long) Math.min(9e18, seconds * 1e9);
         String before = "";
         int state = OK;
         try {
             while (System.nanoTime() < end) {
-                JsonObject o = whom.ask("status");
+                JsonObject o = whom.request("status");
                 o.remove("counts");
                 if (!o.toString().equals(before)) state = show(o, false);
                 before = o.toString();
@@ -158,22 +160,22 @@
             }
             return state;
         } catch (IOException | OperatorsFile.InvalidOperatorsFileException e) {
-            return failed(e);
+            return reportFailure(e);
         }
     }
 
     @Command(name = "explain", description = "Why a name is judged as it is: which edges, whose word.",
         mixinStandardHelpOptions = true)
-    int explain(@picocli.CommandLine.Mixin Whom whom, @Parameters(paramLabel = "NAME") String name) {
+    int explain(@picocli.CommandLine.Mixin AdminTarget whom, @Parameters(paramLabel = "NAME") String name) {
         try {
-            JsonObject o = whom.ask("explain " + name);
+            JsonObject o = whom.request("explain " + name);
             var lines = o.getAsJsonArray("lines");
-            if (lines.isEmpty()) return Main.plainly(name + " is not known there");
+            if (lines.isEmpty()) return Main.printError(name + " is not known there");
             lines.forEach(l -> System.out.println(l.getAsString()));
             return lines.get(0).getAsString().contains("judged FINE") && lines.get(0).getAsString().contains(" is IN ")
                 ? OK : TROUBLE;
         } catch (IOException | OperatorsFile.InvalidOperatorsFileException e) {
-            return failed(e);
+            return reportFailure(e);
         }
     }
 }
--- a/src/main/java/mothcross/cli/ListCommand.java
+++ b/src/main/java/mothcross/cli/ListCommand.java
@@ -33,7 +33,7 @@
         return 2;
     }
 
-    private static final class Which {
+    private static final class SnapshotOptions {
         @Parameters(paramLabel = "FILE", description = "the kept list") private Path file;
 
         @Option(names = "--operators", paramLabel = "FILE", description = "whose ages count, and which fleet")
@@ -58,7 +58,7 @@
         }
     }
 
-    private static int refused(Which which, SnapshotFormat.Result r) {
+    private static int refused(SnapshotOptions which, SnapshotFormat.Result r) {
         System.err.println("mothcross: " + which.file + ": " + (r == null ? "there is no such file"
             : r.error() + ", " + r.text()));
         return UNREADABLE;
@@ -78,7 +78,7 @@
 
     @Command(name = "show", description = "The entries, with age, standing and why.", mixinStandardHelpOptions = true)
     static final class Show implements Callable<Integer> {
-        @picocli.CommandLine.Mixin private Which which;
+        @picocli.CommandLine.Mixin private SnapshotOptions which;
 
         @Override public Integer call() throws OperatorsFile.InvalidOperatorsFileException {
             double now = System.currentTimeMillis();
@@ -104,7 +104,7 @@
     @Command(name = "verify", description = "Says whether a director could start from it now: exit 0 yes, 1 all in it "
         + "is too old, drains or is gone, 3 it can't be used.", mixinStandardHelpOptions = true)
     static final class Verify implements Callable<Integer> {
-        @picocli.CommandLine.Mixin private Which which;
+        @picocli.CommandLine.Mixin private SnapshotOptions which;
 
         @Override public Integer call() throws OperatorsFile.InvalidOperatorsFileException {
             double now = System.currentTimeMillis();
--- a/src/main/java/mothcross/cli/Main.java
+++ b/src/main/java/mothcross/cli/Main.java
@@ -63,7 +63,7 @@
         }
     }
 
-    private static final class Told {
+    private static final class ConfigOptions {
         @Option(names = "--config", paramLabel = "FILE", defaultValue = "${env:ROUTER_CONFIG}",
             description = "what the director is told, as JSON (default: $ROUTER_CONFIG)")
         private Path config;
@@ -77,32 +77,32 @@
         private Path operators;
 
         /** Both files, or neither: what can't be used in one leaves the other unused as well. */
-        Both read() throws StartupConfig.InvalidConfigException, OperatorsFile.InvalidOperatorsFileException {
+        LoadedConfig read() throws StartupConfig.InvalidConfigException, OperatorsFile.InvalidOperatorsFileException {
             OperatorsFile features = operators == null ? null : OperatorsFile.read(operators);
             MembershipSettings list = features == null ? null : features.part(SettingsPart.MEMBERSHIP);
             StartupConfig start = config == null ? null : StartupConfig.read(config, listen, list == null);
-            return new Both(start, features, list, features == null ? null : features.part(SettingsPart.ROUTES),
+            return new LoadedConfig(start, features, list, features == null ? null : features.part(SettingsPart.ROUTES),
                 features == null ? null : features.part(SettingsPart.FLEET), features == null ? null
                 : features.part(SettingsPart.POLICY));
         }
     }
 
-    private record Both(StartupConfig start, OperatorsFile features, MembershipSettings list, RouteRules routes,
+    private record LoadedConfig(StartupConfig start, OperatorsFile features, MembershipSettings list, RouteRules routes,
                         FleetSettings fleet, PolicySettings changes) { }
 
     /** What {@code serve} begins beside the director, and has to end: before it ends itself, and after. */
-    interface Beside {
-        default void before() { }
+    interface FleetService {
+        default void beforeStop() { }
 
-        void after() throws InterruptedException;
+        void afterStop() throws InterruptedException;
     }
 
-    static int plainly(OperatorsFile.InvalidOperatorsFileException e) {
-        for (String fault : e.faults()) plainly(e.file() + ": " + fault);
+    static int printError(OperatorsFile.InvalidOperatorsFileException e) {
+        for (String fault : e.problems()) printError(e.file() + ": " + fault);
         return USAGE;
     }
 
-    static int plainly(String text) {
+    static int printError(String text) {
         System.err.println("mothcross: " + text);
         return USAGE;
     }
@@ -110,7 +110,7 @@
     @Command(name = "serve", description = "One director on sockets, until SIGTERM.",
         mixinStandardHelpOptions = true)
     static final class Serve implements Callable<Integer> {
-        @CommandLine.Mixin private Told told;
+        @CommandLine.Mixin private ConfigOptions told;
 
         @Option(names = "--fleet-relay", paramLabel = "HOST:PORT", hidden = true,
             description = "of tests only: where messages to other directors go, led by their address")
@@ -124,13 +124,13 @@
             description = "of tests only: answers name the plan that decided them")
         private boolean tellsPlan;
 
-        private volatile Beside beside;
+        private volatile FleetService beside;
 
         @Override public Integer call() throws InterruptedException {
             try {
-                Both both = told.read();
+                LoadedConfig both = told.read();
                 StartupConfig start = both.start;
-                if (start == null) return plainly("no configuration: give --config or set ROUTER_CONFIG");
+                if (start == null) return printError("no configuration: give --config or set ROUTER_CONFIG");
                 DirectorServer life = new DirectorServer(start, both.list, both.routes);
                 if (both.fleet != null) life.scaleLimits(0);  // until it knows which part is its own
                 Thread end = new Thread(() -> end(life), "end");
@@ -138,22 +138,22 @@
                 CountDownLatch serves = new CountDownLatch(1);
                 Signal.handle(new Signal("HUP"), s -> reload(life, serves));
                 try {
-                    if (both.changes != null) beside = PolicyCommand.begin(both.fleet, both.changes, start, life, relay,
-                        skewMs, tellsPlan, b -> beside = b);
+                    if (both.changes != null) beside = PolicyCommand.joinFleet(both.fleet, both.changes, start, life,
+                        relay, skewMs, tellsPlan, b -> beside = b);
                     life.start();
                 } catch (java.io.IOException | StartupConfig.InvalidConfigException e) {
                     Runtime.getRuntime().removeShutdownHook(end);
-                    return plainly(e instanceof StartupConfig.InvalidConfigException ? e.getMessage()
+                    return printError(e instanceof StartupConfig.InvalidConfigException ? e.getMessage()
                         : "can't begin at " + start.listen + ": " + e.getMessage());
                 }
                 if (both.fleet != null && both.changes == null) {
                     try {
-                        FleetNode n = FleetCommand.node(both.fleet, start, relay, skewMs, life::scaleLimits);
+                        FleetNode n = FleetCommand.createNode(both.fleet, start, relay, skewMs, life::scaleLimits);
                         n.start();
-                        beside = FleetCommand.ending(n);
+                        beside = FleetCommand.closeBeforeStop(n);
                     } catch (java.io.IOException e) {
                         Runtime.getRuntime().removeShutdownHook(end);
-                        return plainly("can't take part in the fleet at " + both.fleet.listen() + ": "
+                        return printError("can't take part in the fleet at " + both.fleet.listen() + ": "
                             + e.getMessage());
                     }
                 }
@@ -161,16 +161,16 @@
                 life.await();
                 return 0;
             } catch (StartupConfig.InvalidConfigException e) {
-                return plainly(e.getMessage());
+                return printError(e.getMessage());
             } catch (OperatorsFile.InvalidOperatorsFileException e) {
-                return plainly(e);
+                return printError(e);
             }
         }
 
         private synchronized void reload(DirectorServer life, CountDownLatch serves) {
             try {
                 serves.await();
-                Both both = told.read();
+                LoadedConfig both = told.read();
                 life.reload(both.start, both.list, both.routes);
             } catch (StartupConfig.InvalidConfigException | OperatorsFile.InvalidOperatorsFileException e) {
                 life.reloadFailed(e.getMessage());
@@ -182,10 +182,10 @@
         /** The signal's own exit status is not ours: what was taken is answered, then it ends with 0. */
         private void end(DirectorServer life) {
             try {
-                Beside b = beside;
-                if (b != null) b.before();
+                FleetService b = beside;
+                if (b != null) b.beforeStop();
                 life.stop();
-                if (b != null) b.after();
+                if (b != null) b.afterStop();
                 Runtime.getRuntime().halt(0);
             } catch (InterruptedException e) {
                 Runtime.getRuntime().halt(1);
@@ -196,34 +196,34 @@
     @Command(name = "check", description = "Reads a configuration and says what it holds, without serving.",
         mixinStandardHelpOptions = true)
     static final class Check implements Callable<Integer> {
-        @CommandLine.Mixin private Told told;
+        @CommandLine.Mixin private ConfigOptions told;
 
         @Option(names = "--show", description = "prints the operators' file as it was understood, defaults filled in")
         private boolean show;
 
         @Override public Integer call() {
             try {
-                Both both = told.read();
+                LoadedConfig both = told.read();
                 StartupConfig s = both.start;
                 if (both.routes != null) {
                     List<String> faults = new ArrayList<>();
-                    RouteTable t = ExprCommand.compiled(both.routes, s, faults);
-                    for (String fault : faults) plainly(fault);
+                    RouteTable t = ExprCommand.compile(both.routes, s, faults);
+                    for (String fault : faults) printError(fault);
                     if (t == null) return USAGE;
                     for (String note : t.notes()) System.err.println("mothcross: " + note);
                 }
                 if (show && both.features != null) System.out.println(both.features.show());
                 if (s == null && both.features == null) {
-                    return plainly("no configuration: give --config or set ROUTER_CONFIG, or --operators");
+                    return printError("no configuration: give --config or set ROUTER_CONFIG, or --operators");
                 }
                 if (s != null) System.out.println(s.name + " listens on " + s.listen + ", discovery " + s.discovery
                     + ", workloads " + s.directorSettings.workloads.keySet() + ", places " + s.directorSettings.zones
                     + ", kinds " + s.directorSettings.kinds);
                 return 0;
             } catch (StartupConfig.InvalidConfigException e) {
-                return plainly(e.getMessage());
+                return printError(e.getMessage());
             } catch (OperatorsFile.InvalidOperatorsFileException e) {
-                return plainly(e);
+                return printError(e);
             }
         }
     }
--- a/src/main/java/mothcross/cli/PolicyCommand.java
+++ b/src/main/java/mothcross/cli/PolicyCommand.java
@@ -55,17 +55,17 @@
     // ---- for serve ----
 
     /** Joins the fleet, learns the policy that is decided, and comes back when this director may serve by it. */
-    static Main.Beside begin(FleetSettings d, PolicySettings c, StartupConfig start, DirectorServer life,
-                             String relay, long skewMs, boolean tellsPlan, Consumer<Main.Beside> ends)
+    static Main.FleetService joinFleet(FleetSettings d, PolicySettings c, StartupConfig start, DirectorServer life,
+                             String relay, long skewMs, boolean tellsPlan, Consumer<Main.FleetService> ends)
         throws IOException, InterruptedException {
-        FleetNode fleet = FleetCommand.node(d, start, relay, skewMs, life::scaleLimits);
-        InetSocketAddress at = FleetCommand.socket(d.listen());
+        FleetNode fleet = FleetCommand.createNode(d, start, relay, skewMs, life::scaleLimits);
+        InetSocketAddress at = FleetCommand.parseAddress(d.listen());
         PolicyNode policy = new PolicyNode(d.fleet(), start.name, fleet.initialIncarnation(), at.getHostString(),
-            at.getPort(), c.voters(), fleet::members, c.leaseMs(), c.dir(), new Tables(life), fleet::send);
+            at.getPort(), c.voters(), fleet::members, c.leaseMs(), c.stateDirectory(), new Tables(life), fleet::send);
         fleet.attach(policy);
         life.usePolicy(policy, tellsPlan);
-        Main.Beside b = new Main.Beside() {
-            @Override public void after() throws InterruptedException {
+        Main.FleetService b = new Main.FleetService() {
+            @Override public void afterStop() throws InterruptedException {
                 policy.leave();
                 fleet.close();
                 policy.close();
@@ -85,11 +85,11 @@
     private record Tables(DirectorServer life) implements PolicyActivator {
         @Override public Object compile(String digest, byte[] text, List<String> faults) {
             try {
-                RouteRules r = OperatorsFile.policy("policy", new String(text, StandardCharsets.UTF_8))
+                RouteRules r = OperatorsFile.parsePolicy("policy", new String(text, StandardCharsets.UTF_8))
                     .part(SettingsPart.ROUTES);
                 return r == null ? NO_RULES : life.compilePolicy(r, faults);
             } catch (OperatorsFile.InvalidOperatorsFileException e) {
-                faults.addAll(e.faults());
+                faults.addAll(e.problems());
                 return null;
             }
         }
@@ -110,15 +110,15 @@
         return USAGE;
     }
 
-    private interface Asks {
+    private interface AdminAction {
         int ask() throws IOException, OperatorsFile.InvalidOperatorsFileException, InterruptedException;
     }
 
-    private static int asked(Asks a) {
+    private static int runAction(AdminAction a) {
         try {
             return a.ask();
         } catch (IOException | OperatorsFile.InvalidOperatorsFileException e) {
-            return FleetCommand.failed(e);
+            return FleetCommand.reportFailure(e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return OPEN;
@@ -135,20 +135,20 @@
     }
 
     /** Until the director says how the step went; null where it has not by then. */
-    private static String outcome(FleetCommand.Whom whom, String key, double untilMs)
+    private static String outcome(FleetCommand.AdminTarget whom, String key, double untilMs)
         throws IOException, OperatorsFile.InvalidOperatorsFileException, InterruptedException {
         while (true) {
-            JsonObject o = checked(whom.ask("policy tried " + key));
+            JsonObject o = checked(whom.request("policy tried " + key));
             if (o.has("outcome")) return o.get("outcome").getAsString();
             if (System.nanoTime() / 1e6 >= untilMs) return null;
             Thread.sleep(LOOKS_EVERY_MS);
         }
     }
 
-    private static int step(FleetCommand.Whom whom, String what, double seconds)
+    private static int step(FleetCommand.AdminTarget whom, String what, double seconds)
         throws IOException, OperatorsFile.InvalidOperatorsFileException, InterruptedException {
         String key = key(), word = what.substring(0, what.indexOf(' '));
-        checked(whom.ask("policy " + word + " " + key + what.substring(word.length())));
+        checked(whom.request("policy " + word + " " + key + what.substring(word.length())));
         String how = outcome(whom, key, System.nanoTime() / 1e6 + seconds * 1000);
         System.out.println(how == null ? "not decided yet: policy explain says who does not answer" : how);
         return how == null ? OPEN : how.startsWith("done") ? OK : NO;
@@ -174,12 +174,12 @@
     }
 
     /** Proposes, and follows the change until it is through, aborted, on trial, or time is up. */
-    private static int propose(FleetCommand.Whom whom, String digest, String note, String mode, String deadline,
+    private static int propose(FleetCommand.AdminTarget whom, String digest, String note, String mode, String deadline,
                                Plan.Canary canary, Boolean leases)
         throws IOException, OperatorsFile.InvalidOperatorsFileException, InterruptedException {
         String id = key();
         double ms = 1000 * seconds(deadline), until = System.nanoTime() / 1e6 + ms * AFTER_DEADLINE;
-        JsonObject before = checked(whom.ask("policy status"));
+        JsonObject before = checked(whom.request("policy status"));
         Map<String, Object> p = new LinkedHashMap<>();
         p.put("id", id);
         p.put("digest", digest);
@@ -188,7 +188,7 @@
         p.put("deadlineMs", ms);
         p.put("canary", canary);
         p.put("leases", leases == null ? before.getAsJsonObject("plan").get("leases").getAsBoolean() : leases);
-        checked(whom.ask("policy propose", new Gson().toJson(p).getBytes(StandardCharsets.UTF_8)));
+        checked(whom.request("policy propose", new Gson().toJson(p).getBytes(StandardCharsets.UTF_8)));
         String how = outcome(whom, id, until);
         if (how == null || !how.startsWith("done")) {
             System.out.println(how == null ? "not decided yet: policy explain says who does not answer" : how);
@@ -197,10 +197,10 @@
         return follow(whom, id, until);
     }
 
-    private static int follow(FleetCommand.Whom whom, String id, double until)
+    private static int follow(FleetCommand.AdminTarget whom, String id, double until)
         throws IOException, OperatorsFile.InvalidOperatorsFileException, InterruptedException {
         while (true) {
-            JsonObject o = checked(whom.ask("policy status"));
+            JsonObject o = checked(whom.request("policy status"));
             for (JsonElement e : o.getAsJsonArray("lately")) {
                 JsonObject x = e.getAsJsonObject();
                 if (!x.get("id").getAsString().equals(id)) continue;
@@ -222,13 +222,13 @@
         }
     }
 
-    private static String bring(FleetCommand.Whom whom, String json)
+    private static String bring(FleetCommand.AdminTarget whom, String json)
         throws IOException, OperatorsFile.InvalidOperatorsFileException, InterruptedException {
         byte[] text = json.getBytes(StandardCharsets.UTF_8);
         String digest = digest(text);
-        checked(whom.ask("policy bring " + digest, text));
+        checked(whom.request("policy bring " + digest, text));
         while (true) {
-            String s = checked(whom.ask("policy brought " + digest)).get("state").getAsString();
+            String s = checked(whom.request("policy brought " + digest)).get("state").getAsString();
             if (s.equals("kept")) return digest;
             if (!s.equals("checking")) throw new IOException(s);
             Thread.sleep(LOOKS_EVERY_MS);
@@ -245,31 +245,32 @@
 
     @Command(name = "propose", description = "One change for the whole fleet; waits until it is through or aborted.",
         mixinStandardHelpOptions = true)
-    int propose(@Mixin FleetCommand.Whom whom, @Parameters(paramLabel = "FILE", description = "Jsonnet: the parts that "
-                + "all directors share, routes") Path file,
+    int propose(@Mixin FleetCommand.AdminTarget whom,
+                @Parameters(paramLabel = "FILE", description = "Jsonnet: the parts that all directors share, routes")
+                Path file,
                 @Option(names = "--deadline", defaultValue = "30s") String deadline,
                 @Option(names = "--mode", defaultValue = "hold", description = "hold or stop") String mode,
                 @Option(names = "--canary", paramLabel = "share=S|names=A,B",
                     description = "first for a part") String part,
                 @Option(names = "--note", defaultValue = "") String note) {
-        return asked(() -> {
-            if (!List.of("hold", "stop").contains(mode)) return Main.plainly("--mode is hold or stop");
+        return runAction(() -> {
+            if (!List.of("hold", "stop").contains(mode)) return Main.printError("--mode is hold or stop");
             try {
-                String json = OperatorsFile.evaluated(file);
-                OperatorsFile.policy(file.toString(), json);
+                String json = OperatorsFile.evaluate(file);
+                OperatorsFile.parsePolicy(file.toString(), json);
                 return propose(whom, bring(whom, json), note, mode, deadline, canary(part), null);
             } catch (IllegalArgumentException e) {
-                return Main.plainly(e.getMessage());
+                return Main.printError(e.getMessage());
             }
         });
     }
 
     @Command(name = "undo", description = "A new change, back to the text before the one in force.",
         mixinStandardHelpOptions = true)
-    int undo(@Mixin FleetCommand.Whom whom, @Option(names = "--deadline", defaultValue = "30s") String deadline,
+    int undo(@Mixin FleetCommand.AdminTarget whom, @Option(names = "--deadline", defaultValue = "30s") String deadline,
              @Option(names = "--mode", defaultValue = "hold") String mode) {
-        return asked(() -> {
-            JsonObject o = checked(whom.ask("policy status"));
+        return runAction(() -> {
+            JsonObject o = checked(whom.request("policy status"));
             return propose(whom, o.get("previous_text").getAsString(), "undo of plan "
                 + o.getAsJsonObject("plan").get("number").getAsString(), mode, deadline, Plan.Canary.NONE, null);
         });
@@ -277,11 +278,11 @@
 
     @Command(name = "leases", description = "Turns leases on or off for the fleet: they are what mode stop needs.",
         mixinStandardHelpOptions = true)
-    int leases(@Mixin FleetCommand.Whom whom, @Parameters(paramLabel = "on|off") String to,
+    int leases(@Mixin FleetCommand.AdminTarget whom, @Parameters(paramLabel = "on|off") String to,
                @Option(names = "--deadline", defaultValue = "30s") String deadline) {
-        if (!List.of("on", "off").contains(to)) return Main.plainly("on or off");
-        return asked(() -> {
-            JsonObject o = checked(whom.ask("policy status"));
+        if (!List.of("on", "off").contains(to)) return Main.printError("on or off");
+        return runAction(() -> {
+            JsonObject o = checked(whom.request("policy status"));
             return propose(whom, o.getAsJsonObject("plan").get("main").getAsString(), "leases " + to, "hold", deadline,
                 Plan.Canary.NONE, to.equals("on"));
         });
@@ -289,14 +290,14 @@
 
     @Command(name = "abort", description = "Ends a change that is not committed; one on trial is taken back.",
         mixinStandardHelpOptions = true)
-    int abort(@Mixin FleetCommand.Whom whom, @Parameters(paramLabel = "ID") String id) {
-        return asked(() -> step(whom, "abort " + id, 10));
+    int abort(@Mixin FleetCommand.AdminTarget whom, @Parameters(paramLabel = "ID") String id) {
+        return runAction(() -> step(whom, "abort " + id, 10));
     }
 
     @Command(name = "promote", description = "What is on trial, for all.", mixinStandardHelpOptions = true)
-    int promote(@Mixin FleetCommand.Whom whom, @Parameters(paramLabel = "ID") String id,
+    int promote(@Mixin FleetCommand.AdminTarget whom, @Parameters(paramLabel = "ID") String id,
                 @Option(names = "--within", defaultValue = "60s") String within) {
-        return asked(() -> {
+        return runAction(() -> {
             int s = step(whom, "promote " + id, 10);
             return s != OK ? s : follow(whom, id, System.nanoTime() / 1e6 + 1000 * seconds(within));
         });
@@ -304,21 +305,21 @@
 
     @Command(name = "strike", description = "Takes a director off the roll: your word that it does not run.",
         mixinStandardHelpOptions = true)
-    int strike(@Mixin FleetCommand.Whom whom, @Parameters(paramLabel = "NAME") String name) {
-        return asked(() -> step(whom, "strike " + name, 10));
+    int strike(@Mixin FleetCommand.AdminTarget whom, @Parameters(paramLabel = "NAME") String name) {
+        return runAction(() -> step(whom, "strike " + name, 10));
     }
 
     @Command(name = "voters", description = "Other voters; one that is new, or whose disk is, with its mark.",
         mixinStandardHelpOptions = true)
-    int voters(@Mixin FleetCommand.Whom whom, @Parameters(paramLabel = "NAME[=MARK],...") String set) {
-        return asked(() -> step(whom, "voters " + set, 10));
+    int voters(@Mixin FleetCommand.AdminTarget whom, @Parameters(paramLabel = "NAME[=MARK],...") String set) {
+        return runAction(() -> step(whom, "voters " + set, 10));
     }
 
     @Command(name = "status", description = "The plan in force, the change under way, voters and roll.",
         mixinStandardHelpOptions = true)
-    int status(@Mixin FleetCommand.Whom whom, @Option(names = "--json") boolean json) {
-        return asked(() -> {
-            JsonObject o = checked(whom.ask("policy status"));
+    int status(@Mixin FleetCommand.AdminTarget whom, @Option(names = "--json") boolean json) {
+        return runAction(() -> {
+            JsonObject o = checked(whom.request("policy status"));
             if (json) System.out.println(o);
             else say(o);
             return o.has("change") || !o.get("stopped").getAsString().equals("NO") ? NO : OK;
@@ -344,11 +345,11 @@
 
     @Command(name = "explain", description = "Why a change is not through: who has not answered, since when.",
         mixinStandardHelpOptions = true)
-    int explain(@Mixin FleetCommand.Whom whom) {
-        return asked(() -> {
-            checked(whom.ask("policy probe " + key()));
+    int explain(@Mixin FleetCommand.AdminTarget whom) {
+        return runAction(() -> {
+            checked(whom.request("policy probe " + key()));
             Thread.sleep(PROBE_MS);                         // for the voters' answers; those that are late show as such
-            JsonObject o = checked(whom.ask("policy status"));
+            JsonObject o = checked(whom.request("policy status"));
             say(o);
             List<String> lines = new ArrayList<>();
             int silent = 0, voters = o.getAsJsonArray("voters").size();
@@ -376,9 +377,9 @@
     }
 
     @Command(name = "log", description = "How the last changes ended.", mixinStandardHelpOptions = true)
-    int log(@Mixin FleetCommand.Whom whom) {
-        return asked(() -> {
-            for (JsonElement e : checked(whom.ask("policy status")).getAsJsonArray("lately")) {
+    int log(@Mixin FleetCommand.AdminTarget whom) {
+        return runAction(() -> {
+            for (JsonElement e : checked(whom.request("policy status")).getAsJsonArray("lately")) {
                 JsonObject x = e.getAsJsonObject();
                 String text = x.get("digest").getAsString();
                 System.out.println(x.get("id").getAsString() + " " + x.get("outcome").getAsString() + " by "
@@ -394,11 +395,11 @@
     @Command(name = "diff",
         description = "Lines of the text in force and of a file, both evaluated: exit state 1 where "
         + "they differ.", mixinStandardHelpOptions = true)
-    int diff(@Mixin FleetCommand.Whom whom, @Parameters(paramLabel = "FILE") Path file) {
-        return asked(() -> {
-            String now = checked(whom.ask("policy status")).getAsJsonObject("plan").get("main").getAsString();
-            String a = now.isEmpty() ? "{}" : checked(whom.ask("policy text " + now)).get("text").getAsString();
-            List<String> lines = Lines.differ(pretty(a), pretty(OperatorsFile.evaluated(file)));
+    int diff(@Mixin FleetCommand.AdminTarget whom, @Parameters(paramLabel = "FILE") Path file) {
+        return runAction(() -> {
+            String now = checked(whom.request("policy status")).getAsJsonObject("plan").get("main").getAsString();
+            String a = now.isEmpty() ? "{}" : checked(whom.request("policy text " + now)).get("text").getAsString();
+            List<String> lines = Lines.differ(pretty(a), pretty(OperatorsFile.evaluate(file)));
             lines.forEach(System.out::println);
             return lines.isEmpty() ? OK : NO;
         });
--- a/src/main/java/mothcross/cli/Head.java
+++ b/src/main/java/mothcross/cli/RequestHead.java
@@ -13,14 +13,14 @@
  * it;
  * the director itself reads heads where they stand and never uses this.
  */
-final class Head implements Frame.Request {
+final class RequestHead implements Frame.Request {
     private final byte[] target;
     private final String[] parts;
     private final String[] names;
     private final List<String[]> fields = new ArrayList<>();
 
     /** {@code head}: a request line's target, then lines {@code Name: value}. */
-    Head(String head, String[] headers) {
+    RequestHead(String head, String[] headers) {
         String[] lines = head.split("\r?\n");
         String first = lines[0].strip();
         String t = first.startsWith("GET ") ? first.split(" ")[1] : first;
--- a/src/main/java/mothcross/cli/RigCommand.java
+++ b/src/main/java/mothcross/cli/RigCommand.java
@@ -86,7 +86,7 @@
             if (over != null) System.out.println(over);
             return over != null ? BROKEN : state;
         } catch (IllegalArgumentException e) {
-            return Main.plainly(e.getMessage());
+            return Main.printError(e.getMessage());
         }
     }
 
@@ -159,7 +159,7 @@
                 + e.name() + (e.members().isEmpty() ? "" : " " + e.number() + " " + e.members()) + " " + e.text()));
             return said(v.check(), v.history.events.size());
         } catch (IllegalArgumentException e) {
-            return Main.plainly(e.getMessage());
+            return Main.printError(e.getMessage());
         }
     }
 
@@ -176,7 +176,7 @@
             System.out.print(all.shrunk(s -> fails(s, seed), System.err::println));
             return BROKEN;
         } catch (IllegalArgumentException e) {
-            return Main.plainly(e.getMessage());
+            return Main.printError(e.getMessage());
         }
     }
 
@@ -227,7 +227,7 @@
         @Parameters(arity = "0..*", hidden = true) private List<String> args = List.of();
 
         @Override public Integer call() throws Exception {
-            return Tools.run("mothcross.rig.explore.Explore", args.toArray(String[]::new));
+            return ToolLauncher.run("mothcross.rig.explore.Explore", args.toArray(String[]::new));
         }
     }
 
--- a/src/main/java/mothcross/cli/Tools.java
+++ b/src/main/java/mothcross/cli/ToolLauncher.java
@@ -16,8 +16,8 @@
  * Runs a tool with the libraries that only tools use, which lie beside those of a director and are not on its class
  * path. Owns the loader for that; must never be needed by {@code serve}.
  */
-final class Tools {
-    private Tools() { }
+final class ToolLauncher {
+    private ToolLauncher() { }
 
     /** Calls {@code run(String[])} of the class, loaded with all libraries. */
     static int run(String className, String... args) throws Exception {
@@ -30,7 +30,7 @@
     private static URL[] urls() throws IOException, URISyntaxException {
         List<URL> all = new ArrayList<>();
         for (String p : System.getProperty("java.class.path").split(File.pathSeparator)) add(all, Path.of(p));
-        Path here = Path.of(Tools.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+        Path here = Path.of(ToolLauncher.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         for (Path lib : List.of(here.resolveSibling("lib"), here.resolveSibling("lib").resolve("more"))) {
             if (!Files.isDirectory(lib)) continue;
             try (Stream<Path> jars = Files.list(lib)) {
--- a/src/main/java/mothcross/experiment/Commands.java
+++ b/src/main/java/mothcross/experiment/Commands.java
@@ -56,7 +56,7 @@
         /** Null where it has said what is wrong. */
         ExperimentPlan plan() throws IOException {
             try {
-                String json = OperatorsFile.evaluated(file);
+                String json = OperatorsFile.evaluate(file);
                 hash = hash(json) + "-" + BUILD;
                 return ExperimentPlan.of(JsonParser.parseString(json).getAsJsonObject());
             } catch (OperatorsFile.InvalidOperatorsFileException | IllegalArgumentException | IllegalStateException
--- a/src/main/java/mothcross/net/DirectorServer.java
+++ b/src/main/java/mothcross/net/DirectorServer.java
@@ -106,7 +106,7 @@
         desk = new Dispatcher(start.directorSettings, connector, start.maxHops);
         limits();
         remembered = remembering == null ? null : new PersistentMembership(desk, remembering.ages(),
-            new WriteScheduler(remembering.urgentMs(), remembering.gatherMs()),
+            new WriteScheduler(remembering.urgentWriteDelayMs(), remembering.writeIntervalMs()),
             keeper, remembering.fleet(), start.name, System.currentTimeMillis());
         watch = new DiscoveryWatch(desk, remembered == null ? new DiscoveryListener.Direct(desk) : remembered,
             start.discovery);
@@ -250,7 +250,8 @@
             }
             boolean others = waits || !anew.settings.equals(start.settings);
             if (!waits && features != null && !features.equals(remembering)) {
-                remembered.takes(features.ages(), new WriteScheduler(features.urgentMs(), features.gatherMs()));
+                remembered.takes(features.ages(), new WriteScheduler(features.urgentWriteDelayMs(),
+                    features.writeIntervalMs()));
                 remembering = features;
             }
             start = anew;
--- a/src/main/java/mothcross/operators/OperatorsFile.java
+++ b/src/main/java/mothcross/operators/OperatorsFile.java
@@ -12,19 +12,19 @@
 import java.util.Map;
 
 /**
- * The operators' own file, evaluated and checked: what each feature that it names is set to. Owns the way from
- * the evaluated text to the parts; must never give out a part while any field of the file is at fault.
+ * The operators' settings file, evaluated and checked: the settings of each feature that it names. A settings part is
+ * given out only if no field of the whole file has a problem.
  */
 public final class OperatorsFile {
-    /** The file can't be used; each fault is a line of its own. */
+    /** The file cannot be used; each problem is one line. */
     public static final class InvalidOperatorsFileException extends Exception {
         private static final long serialVersionUID = 1;
-        private final transient List<String> faults;
+        private final transient List<String> problems;
         private final transient Path file;
 
-        InvalidOperatorsFileException(Path file, List<String> faults) {
-            super(file + ": " + String.join("; ", faults));
-            this.faults = List.copyOf(faults);
+        InvalidOperatorsFileException(Path file, List<String> problems) {
+            super(file + ": " + String.join("; ", problems));
+            this.problems = List.copyOf(problems);
             this.file = file;
         }
 
@@ -32,8 +32,8 @@
             return file;
         }
 
-        public List<String> faults() {
-            return faults;
+        public List<String> problems() {
+            return problems;
         }
     }
 
@@ -42,65 +42,67 @@
 
     private OperatorsFile() { }
 
+    /** Evaluates and checks the operators' file of one director. */
     public static OperatorsFile read(Path file) throws InvalidOperatorsFileException {
-        TemplateEvaluation e = TemplateEvaluation.of(file);
-        if (e.fault() != null) throw new InvalidOperatorsFileException(file, List.of(e.fault()));
-        return of(file, e.text());
+        return parse(file, evaluate(file));
     }
 
-    /** A template of another kind, evaluated within the same bounds: its value as JSON. */
-    public static String evaluated(Path file) throws InvalidOperatorsFileException {
-        TemplateEvaluation e = TemplateEvaluation.of(file);
-        if (e.fault() != null) throw new InvalidOperatorsFileException(file, List.of(e.fault()));
-        return e.text();
+    /** Evaluates any Jsonnet file within the bounds of {@link TemplateEvaluation} and returns its value as JSON. */
+    public static String evaluate(Path file) throws InvalidOperatorsFileException {
+        TemplateEvaluation evaluation = TemplateEvaluation.of(file);
+        if (evaluation.error() != null) throw new InvalidOperatorsFileException(file, List.of(evaluation.error()));
+        return evaluation.json();
     }
 
-    /** A text of the fleet's policy, evaluated: only parts that all directors share may stand in it. */
-    public static OperatorsFile policy(String what, String json) throws InvalidOperatorsFileException {
-        OperatorsFile all = of(Path.of(what), json);
-        List<String> faults = new ArrayList<>();
-        for (SettingsPart<?> p : all.parts.keySet()) {
-            if (!SettingsPart.SHARED.contains(p)) faults.add(p.name()
-                + " is each director's own and stays in its file");
+    /** Parses an evaluated text of the fleet's policy, which may only hold parts that all directors share. */
+    public static OperatorsFile parsePolicy(String name, String json) throws InvalidOperatorsFileException {
+        OperatorsFile policy = parse(Path.of(name), json);
+        List<String> problems = new ArrayList<>();
+        for (SettingsPart<?> part : policy.parts.keySet()) {
+            if (!SettingsPart.SHARED.contains(part)) {
+                problems.add(part.name() + " is each director's own and stays in its file");
+            }
         }
-        if (!faults.isEmpty()) throw new InvalidOperatorsFileException(Path.of(what), faults);
-        return all;
+        if (!problems.isEmpty()) throw new InvalidOperatorsFileException(Path.of(name), problems);
+        return policy;
     }
 
-    static OperatorsFile of(Path file, String json) throws InvalidOperatorsFileException {
-        List<String> faults = new ArrayList<>();
-        OperatorsFile all = new OperatorsFile();
-        JsonElement e;
+    static OperatorsFile parse(Path file, String json) throws InvalidOperatorsFileException {
+        List<String> problems = new ArrayList<>();
+        OperatorsFile result = new OperatorsFile();
+        JsonElement root;
         try {
-            e = JsonParser.parseString(json);
-        } catch (JsonParseException | StackOverflowError x) {
+            root = JsonParser.parseString(json);
+        } catch (JsonParseException | StackOverflowError e) {
             throw new InvalidOperatorsFileException(file, List.of("its value is no JSON that can be read"));
         }
-        if (!e.isJsonObject()) throw new InvalidOperatorsFileException(file, List.of("its value is no object"));
-        Section top = new Section("", e.getAsJsonObject(), faults);
-        for (SettingsPart<?> p : SettingsPart.ALL) {
-            Section s = top.section(p.name());
-            if (s == null) continue;
-            all.parts.put(p, p.reads().apply(s));
-            s.end();
+        if (!root.isJsonObject()) throw new InvalidOperatorsFileException(file, List.of("its value is no object"));
+        Section top = new Section("", root.getAsJsonObject(), problems);
+        for (SettingsPart<?> part : SettingsPart.ALL) {
+            Section section = top.section(part.name());
+            if (section == null) continue;
+            result.parts.put(part, part.reader().apply(section));
+            section.rejectUnknownFields();
         }
-        top.end();
-        boolean both = all.parts.containsKey(SettingsPart.POLICY) && all.parts.containsKey(SettingsPart.ROUTES);
-        if (both) faults.add("routes come by mothcross policy propose where policy is set: take them out of this file");
-        if (all.parts.containsKey(SettingsPart.POLICY) && !all.parts.containsKey(SettingsPart.FLEET)) {
-            faults.add("policy needs the part fleet: directors talk by it");
+        top.rejectUnknownFields();
+        boolean hasPolicy = result.parts.containsKey(SettingsPart.POLICY);
+        if (hasPolicy && result.parts.containsKey(SettingsPart.ROUTES)) {
+            problems.add("routes come by mothcross policy propose where policy is set: take them out of this file");
         }
-        all.effective = top.effective();
-        if (!faults.isEmpty()) throw new InvalidOperatorsFileException(file, faults);
-        return all;
+        if (hasPolicy && !result.parts.containsKey(SettingsPart.FLEET)) {
+            problems.add("policy needs the part fleet: directors talk by it");
+        }
+        result.effective = top.effective();
+        if (!problems.isEmpty()) throw new InvalidOperatorsFileException(file, problems);
+        return result;
     }
 
-    /** What the file sets this feature to; null where it leaves it off. */
-    public <T> T part(SettingsPart<T> p) {
-        return p.type().cast(parts.get(p));
+    /** The settings of one feature; null if the file leaves the feature off. */
+    public <T> T part(SettingsPart<T> part) {
+        return part.type().cast(parts.get(part));
     }
 
-    /** The file as it was understood, defaults filled in. */
+    /** The file as JSON with the defaults filled in. */
     public String show() {
         return new GsonBuilder().setPrettyPrinting().disableHtmlEscaping().create().toJson(effective);
     }
--- a/src/main/java/mothcross/operators/PolicySettings.java
+++ b/src/main/java/mothcross/operators/PolicySettings.java
@@ -4,21 +4,25 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** The part {@code policy}: who decides on changes of the policy, where a director keeps its part, and its lease. */
-public record PolicySettings(Set<String> voters, Path dir, double leaseMs) {
-    private static final int MOST_VOTERS = 9;
+/**
+ * The settings part {@code policy}: the directors that vote on changes of the policy, the directory for this
+ * director's state of it, and the length of its lease.
+ */
+public record PolicySettings(Set<String> voters, Path stateDirectory, double leaseMs) {
+    private static final int MAX_VOTERS = 9;
 
-    static PolicySettings read(Section s) {
+    static PolicySettings read(Section section) {
         Set<String> voters = new TreeSet<>();
-        for (Section v : s.list("voters", MOST_VOTERS)) {
-            String name = v.text("name", "the name of a director", 100, null);
-            v.require(voters.add(name) || name.isEmpty(), "name", "is given twice");
-            v.end();
+        for (Section voter : section.sections("voters", MAX_VOTERS)) {
+            String name = voter.string("name", "the name of a director", 100, null);
+            voter.require(voters.add(name) || name.isEmpty(), "name", "is given twice");
+            voter.rejectUnknownFields();
         }
-        s.require(!voters.isEmpty(), "voters", "is to name the directors that decide, 3 or 5 as a rule, at most "
-            + MOST_VOTERS);
-        String dir = s.text("dir", "the path of a folder that lasts, this director's own", 4096, null);
-        double lease = s.number("lease_s", "seconds", 0.2, 3600, 3);
-        return new PolicySettings(voters, Path.of(dir.indexOf('\0') >= 0 ? "" : dir), lease * 1000);
+        section.require(!voters.isEmpty(), "voters",
+            "is to name the directors that decide, 3 or 5 as a rule, at most " + MAX_VOTERS);
+        String directory = section.string("dir", "the path of a folder that lasts, this director's own", 4096, null);
+        double leaseS = section.number("lease_s", "seconds", 0.2, 3600, 3);
+        Path stateDirectory = Path.of(directory.indexOf('\0') >= 0 ? "" : directory);
+        return new PolicySettings(voters, stateDirectory, leaseS * 1000);
     }
 }
--- a/src/main/java/mothcross/operators/Section.java
+++ b/src/main/java/mothcross/operators/Section.java
@@ -9,24 +9,30 @@
 import java.util.Map;
 
 /**
- * One object of the operators' file, read field by field. Owns the checks that every feature shares: type, unit,
- * range, fields that nobody knows; every fault goes to one list, so that all are told at once. Must never stop at
- * the first, and never let a field pass that was not asked for.
+ * One object of the operators' file, read field by field, with the checks that every feature shares: type, unit, range
+ * and unknown fields. Every problem is added to one list, so that all of them are reported at once; reading never
+ * stops at the first. A field that no feature asked for is a problem too.
  */
 public final class Section {
-    private static final int NEAR = 3;
+    /** The largest edit distance at which a known field is suggested in place of an unknown one. */
+    private static final int MAX_SUGGESTION_DISTANCE = 3;
+    private static final int MAX_SHOWN_VALUE_CHARS = 60;
+    private static final String ELLIPSIS = "...";
+    /** Every whole number below this is exact as a double. */
+    private static final double MAX_FORMATTED_INTEGER = 1e15;
 
     private final String path;
-    private final JsonObject in;
-    private final List<String> faults;
-    /** What was read, with the defaults filled in: what {@code check --show} prints. */
+    private final JsonObject json;
+    private final List<String> problems;
+    /** The values read, with the defaults filled in: the output of {@code check --show}. */
     private final JsonObject effective = new JsonObject();
-    private final Map<String, String> known = new LinkedHashMap<>();     // field to what it holds
+    /** The fields asked for, each with a description of its valid values. */
+    private final Map<String, String> knownFields = new LinkedHashMap<>();
 
-    Section(String path, JsonObject in, List<String> faults) {
+    Section(String path, JsonObject json, List<String> problems) {
         this.path = path;
-        this.in = in;
-        this.faults = faults;
+        this.json = json;
+        this.problems = problems;
     }
 
     public JsonObject effective() {
@@ -34,194 +40,207 @@
     }
 
     public boolean has(String field) {
-        return in.has(field);
-    }
-
-    /** A number in the unit that its name ends with; {@code otherwise} NaN: it has to be given. */
-    public double number(String field, String unit, double least, double most, double otherwise) {
-        known.put(field, "a number of " + unit + " from " + plain(least) + " to " + plain(most));
-        JsonElement e = in.get(field);
-        if (e == null && Double.isNaN(otherwise)) return fault(field, null, "is missing; it is " + known.get(field));
-        double v = otherwise;
-        if (e != null) {
-            boolean number = e.isJsonPrimitive() && e.getAsJsonPrimitive().isNumber();
-            if (!number) return fault(field, e, "is not " + known.get(field));
-            v = e.getAsDouble();
-            if (!(v >= least && v <= most)) return fault(field, e, "is out of range; it is " + known.get(field));
+        return json.has(field);
+    }
+
+    /** A number in the unit that the name of the field ends with; required if {@code defaultValue} is NaN. */
+    public double number(String field, String unit, double min, double max, double defaultValue) {
+        knownFields.put(field, "a number of " + unit + " from " + format(min) + " to " + format(max));
+        JsonElement element = json.get(field);
+        if (element == null && Double.isNaN(defaultValue)) {
+            return addProblem(field, null, "is missing; it is " + knownFields.get(field));
         }
-        effective.addProperty(field, v);
-        return v;
+        double value = defaultValue;
+        if (element != null) {
+            boolean isNumber = element.isJsonPrimitive() && element.getAsJsonPrimitive().isNumber();
+            if (!isNumber) return addProblem(field, element, "is not " + knownFields.get(field));
+            value = element.getAsDouble();
+            boolean inRange = value >= min && value <= max;
+            if (!inRange) return addProblem(field, element, "is out of range; it is " + knownFields.get(field));
+        }
+        effective.addProperty(field, value);
+        return value;
     }
 
-    /** {@code otherwise} under {@code least}: it has to be given. */
-    public int whole(String field, String unit, int least, int most, int otherwise) {
-        double v = number(field, unit, least, most, otherwise < least ? Double.NaN : otherwise);
-        if (Double.isNaN(v) || v == Math.rint(v)) return Double.isNaN(v) ? otherwise : (int) v;
-        fault(field, in.get(field), "is not whole; it is " + known.get(field));
-        return otherwise;
+    /** A whole number; required if {@code defaultValue} is less than {@code min}. */
+    public int integer(String field, String unit, int min, int max, int defaultValue) {
+        double value = number(field, unit, min, max, defaultValue < min ? Double.NaN : defaultValue);
+        if (Double.isNaN(value)) return defaultValue;
+        if (value == Math.rint(value)) return (int) value;
+        addProblem(field, json.get(field), "is not whole; it is " + knownFields.get(field));
+        return defaultValue;
     }
 
-    /** A text of 1 to {@code longest} characters; {@code otherwise} null: it has to be given. */
-    public String text(String field, String what, int longest, String otherwise) {
-        known.put(field, "a text, " + what + ", of 1 to " + longest + " characters");
-        JsonElement e = in.get(field);
-        if (e == null && otherwise == null) {
-            fault(field, null, "is missing; it is " + known.get(field));
+    /** A string of 1 to {@code maxLength} characters; required if {@code defaultValue} is null. */
+    public String string(String field, String description, int maxLength, String defaultValue) {
+        knownFields.put(field, "a text, " + description + ", of 1 to " + maxLength + " characters");
+        JsonElement element = json.get(field);
+        if (element == null && defaultValue == null) {
+            addProblem(field, null, "is missing; it is " + knownFields.get(field));
             return "";
         }
-        String v = otherwise;
-        if (e != null) {
-            boolean text = e.isJsonPrimitive() && e.getAsJsonPrimitive().isString();
-            v = text ? e.getAsString() : "";
-            if (v.isEmpty() || v.length() > longest) {
-                fault(field, e, "is not " + known.get(field));
+        String value = defaultValue;
+        if (element != null) {
+            value = isString(element) ? element.getAsString() : "";
+            if (value.isEmpty() || value.length() > maxLength) {
+                addProblem(field, element, "is not " + knownFields.get(field));
                 return "";
             }
         }
-        effective.addProperty(field, v);
-        return v;
-    }
-
-    /** A text that nobody is to read: neither what is shown nor a fault has it. Spaces around it are none of it. */
-    public String secret(String field, int shortest, int longest) {
-        known.put(field, "a secret of " + shortest + " to " + longest + " characters");
-        JsonElement e = in.get(field);
-        boolean text = e != null && e.isJsonPrimitive() && e.getAsJsonPrimitive().isString();
-        String v = text ? e.getAsString().strip() : "";
-        if (v.length() < shortest || v.length() > longest) {
-            fault(field, null, (e == null ? "is missing; it is " : "is not ") + known.get(field));
+        effective.addProperty(field, value);
+        return value;
+    }
+
+    /** A required string that neither {@link #effective} nor a problem shows; surrounding white space is ignored. */
+    public String secret(String field, int minLength, int maxLength) {
+        knownFields.put(field, "a secret of " + minLength + " to " + maxLength + " characters");
+        JsonElement element = json.get(field);
+        String value = element != null && isString(element) ? element.getAsString().strip() : "";
+        if (value.length() < minLength || value.length() > maxLength) {
+            String reason = element == null ? "is missing; it is " : "is not ";
+            addProblem(field, null, reason + knownFields.get(field));
             return "";
         }
-        effective.addProperty(field, "(" + v.length() + " characters)");
-        return v;
+        effective.addProperty(field, "(" + value.length() + " characters)");
+        return value;
     }
 
-    /** An object within this one; null where it is not there. */
+    private static boolean isString(JsonElement element) {
+        return element.isJsonPrimitive() && element.getAsJsonPrimitive().isString();
+    }
+
+    /** An object within this one; null if it is missing or not an object. */
     public Section section(String field) {
-        known.put(field, "an object");
-        JsonElement e = in.get(field);
-        if (e == null) return null;
-        if (!e.isJsonObject()) {
-            fault(field, e, "is not an object");
+        knownFields.put(field, "an object");
+        JsonElement element = json.get(field);
+        if (element == null) return null;
+        if (!element.isJsonObject()) {
+            addProblem(field, element, "is not an object");
             return null;
         }
-        Section s = new Section(under(field), e.getAsJsonObject(), faults);
-        effective.add(field, s.effective);
-        return s;
-    }
-
-    public boolean flag(String field, boolean otherwise) {
-        known.put(field, "true or false");
-        JsonElement e = in.get(field);
-        boolean truth = e != null && e.isJsonPrimitive() && e.getAsJsonPrimitive().isBoolean();
-        if (e != null && !truth) fault(field, e, "is not true or false");
-        boolean v = truth ? e.getAsBoolean() : otherwise;
-        effective.addProperty(field, v);
-        return v;
-    }
-
-    /** The objects of a list, in order; empty where it is not there. */
-    public List<Section> list(String field, int most) {
-        known.put(field, "a list of at most " + most + " objects");
-        List<Section> all = new ArrayList<>();
-        JsonElement e = in.get(field);
-        if (e == null) return all;
-        if (!e.isJsonArray() || e.getAsJsonArray().size() > most) {
-            fault(field, e, "is not " + known.get(field));
-            return all;
+        Section section = new Section(pathOf(field), element.getAsJsonObject(), problems);
+        effective.add(field, section.effective);
+        return section;
+    }
+
+    public boolean flag(String field, boolean defaultValue) {
+        knownFields.put(field, "true or false");
+        JsonElement element = json.get(field);
+        boolean isBoolean = element != null && element.isJsonPrimitive() && element.getAsJsonPrimitive().isBoolean();
+        if (element != null && !isBoolean) addProblem(field, element, "is not true or false");
+        boolean value = isBoolean ? element.getAsBoolean() : defaultValue;
+        effective.addProperty(field, value);
+        return value;
+    }
+
+    /** The objects of a list, in order; empty if the list is missing. */
+    public List<Section> sections(String field, int maxCount) {
+        knownFields.put(field, "a list of at most " + maxCount + " objects");
+        List<Section> sections = new ArrayList<>();
+        JsonElement element = json.get(field);
+        if (element == null) return sections;
+        if (!element.isJsonArray() || element.getAsJsonArray().size() > maxCount) {
+            addProblem(field, element, "is not " + knownFields.get(field));
+            return sections;
         }
-        JsonArray shown = new JsonArray();
-        for (JsonElement x : e.getAsJsonArray()) {
-            String name = field + "[" + shown.size() + "]";
-            boolean object = x.isJsonObject();
-            if (!object) fault(name, x, "is not an object");
-            Section s = new Section(under(name), object ? x.getAsJsonObject() : new JsonObject(), faults);
-            if (object) all.add(s);
-            shown.add(s.effective);
+        JsonArray effectiveItems = new JsonArray();
+        for (JsonElement item : element.getAsJsonArray()) {
+            String name = field + "[" + effectiveItems.size() + "]";
+            boolean isObject = item.isJsonObject();
+            if (!isObject) addProblem(name, item, "is not an object");
+            JsonObject object = isObject ? item.getAsJsonObject() : new JsonObject();
+            Section section = new Section(pathOf(name), object, problems);
+            if (isObject) sections.add(section);
+            effectiveItems.add(section.effective);
         }
-        effective.add(field, shown);
-        return all;
-    }
-
-    /** The objects within an object whose fields are named by the operators. */
-    public Map<String, Section> each(String field) {
-        Map<String, Section> all = new LinkedHashMap<>();
-        Section s = section(field);
-        if (s != null) for (String k : s.in.keySet()) {
-            Section x = s.section(k);
-            if (x != null) all.put(k, x);
+        effective.add(field, effectiveItems);
+        return sections;
+    }
+
+    /** The objects within an object whose field names the operators choose. */
+    public Map<String, Section> sectionsByName(String field) {
+        Map<String, Section> sections = new LinkedHashMap<>();
+        Section parent = section(field);
+        if (parent == null) return sections;
+        for (String name : parent.json.keySet()) {
+            Section section = parent.section(name);
+            if (section != null) sections.put(name, section);
         }
-        return all;
+        return sections;
     }
 
-    /** The texts within an object whose fields are named by the operators. */
-    public Map<String, String> texts(String field, String what, int longest) {
-        Map<String, String> all = new LinkedHashMap<>();
-        Section s = section(field);
-        if (s != null) for (String k : s.in.keySet()) all.put(k, s.text(k, what, longest, null));
-        return all;
+    /** The strings within an object whose field names the operators choose. */
+    public Map<String, String> strings(String field, String description, int maxLength) {
+        Map<String, String> strings = new LinkedHashMap<>();
+        Section parent = section(field);
+        if (parent == null) return strings;
+        for (String name : parent.json.keySet()) strings.put(name, parent.string(name, description, maxLength, null));
+        return strings;
     }
 
-    private String under(String field) {
+    private String pathOf(String field) {
         return path.isEmpty() ? field : path + "." + field;
     }
 
-    /** A fault between fields that are each in order. */
-    public void require(boolean holds, String field, String reason) {
-        if (!holds) fault(field, in.get(field), reason);
+    /** Adds a problem unless the condition holds, for example between fields that are each valid on their own. */
+    public void require(boolean condition, String field, String reason) {
+        if (!condition) addProblem(field, json.get(field), reason);
     }
 
-    /** To be called when all known fields were asked for: what is left is nobody's. */
-    void end() {
-        for (Map.Entry<String, JsonElement> e : in.entrySet()) {
-            if (known.containsKey(e.getKey())) continue;
-            String near = nearest(e.getKey());
-            fault(e.getKey(), e.getValue(), "is not known" + (near == null
-                ? "; known here: " + String.join(", ", known.keySet()) : "; did you mean " + near + "?"));
+    /** Adds a problem for each field that was not asked for; to be called once all known fields were. */
+    void rejectUnknownFields() {
+        for (Map.Entry<String, JsonElement> entry : json.entrySet()) {
+            String field = entry.getKey();
+            if (knownFields.containsKey(field)) continue;
+            String suggestion = closestKnownField(field);
+            String hint = suggestion == null ? "; known here: " + String.join(", ", knownFields.keySet())
+                : "; did you mean " + suggestion + "?";
+            addProblem(field, entry.getValue(), "is not known" + hint);
         }
     }
 
-    private double fault(String field, JsonElement value, String reason) {
-        String at = under(field);
-        String shown = value == null ? "" : " = " + shortly(value.toString());
-        faults.add(at + shown + " " + reason);
+    private double addProblem(String field, JsonElement value, String reason) {
+        String shownValue = value == null ? "" : " = " + abbreviate(value.toString());
+        problems.add(pathOf(field) + shownValue + " " + reason);
         return Double.NaN;
     }
 
-    private static String shortly(String value) {
-        String s = value.replaceAll("(\"secret\":)\"[^\"]*\"", "$1...");
-        return s.length() <= 60 ? s : s.substring(0, 57) + "...";
+    private static String abbreviate(String value) {
+        String redacted = value.replaceAll("(\"secret\":)\"[^\"]*\"", "$1...");
+        if (redacted.length() <= MAX_SHOWN_VALUE_CHARS) return redacted;
+        return redacted.substring(0, MAX_SHOWN_VALUE_CHARS - ELLIPSIS.length()) + ELLIPSIS;
     }
 
-    private static String plain(double d) {
-        return d == Math.rint(d) && Math.abs(d) < 1e15 ? Long.toString((long) d) : Double.toString(d);
+    private static String format(double number) {
+        boolean isInteger = number == Math.rint(number) && Math.abs(number) < MAX_FORMATTED_INTEGER;
+        return isInteger ? Long.toString((long) number) : Double.toString(number);
     }
 
-    private String nearest(String wrong) {
-        String best = null;
-        int least = NEAR + 1;
-        for (String k : known.keySet()) {
-            int d = distance(wrong, k);
-            if (d >= least) continue;
-            least = d;
-            best = k;
+    private String closestKnownField(String unknown) {
+        String closest = null;
+        int leastDistance = MAX_SUGGESTION_DISTANCE + 1;
+        for (String field : knownFields.keySet()) {
+            int distance = editDistance(unknown, field);
+            if (distance >= leastDistance) continue;
+            leastDistance = distance;
+            closest = field;
         }
-        return best;
+        return closest;
     }
 
-    /** How many letters have to be put in, left out or changed to make one of the other. */
-    static int distance(String a, String b) {
-        int[] row = new int[b.length() + 1];
+    /** The Levenshtein distance: how many letters have to be inserted, deleted or replaced. */
+    static int editDistance(String first, String second) {
+        int[] row = new int[second.length() + 1];
         for (int j = 0; j < row.length; j++) row[j] = j;
-        for (int i = 1; i <= a.length(); i++) {
-            int corner = row[0];
+        for (int i = 1; i <= first.length(); i++) {
+            int diagonal = row[0];
             row[0] = i;
-            for (int j = 1; j <= b.length(); j++) {
-                int swap = corner + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
-                corner = row[j];
-                row[j] = Math.min(swap, 1 + Math.min(row[j], row[j - 1]));
+            for (int j = 1; j <= second.length(); j++) {
+                int replace = diagonal + (first.charAt(i - 1) == second.charAt(j - 1) ? 0 : 1);
+                diagonal = row[j];
+                row[j] = Math.min(replace, 1 + Math.min(row[j], row[j - 1]));
             }
         }
-        return row[b.length()];
+        return row[second.length()];
     }
 }
--- a/src/main/java/mothcross/operators/Template.java
+++ b/src/main/java/mothcross/operators/Template.java
@@ -19,71 +19,84 @@
 import sjsonnet.StaticResolvedFile;
 
 /**
- * The child process that evaluates one Jsonnet file to standard output. Owns what a template may read: files in
- * its own folder and below, links followed; never anything else, no environment, no other input.
+ * The main class of the child process that evaluates one Jsonnet file to standard output. A template may read files in
+ * its own directory and below, after links are resolved, and nothing else: no environment and no other input.
  */
 final class Template {
-    private static final long LARGEST = 1 << 20;
+    private static final long MAX_FILE_BYTES = 1 << 20;
 
     private Template() { }
 
     public static void main(String[] args) throws IOException {
         Path file = Path.of(args[0]).toRealPath();
-        Path folder = file.getParent();
-        Importer importer = new Importer() {
-            @Override public Option<sjsonnet.Path> resolve(sjsonnet.Path from, String name) {
-                try {
-                    Path base = ((OsPath) from).p().toNIO();
-                    Path wanted = base.resolve(name).toRealPath();
-                    return wanted.startsWith(folder) && Files.isRegularFile(wanted)
-                        ? Option.apply(path(wanted)) : Option.empty();
-                } catch (IOException e) {
-                    return Option.empty();
-                }
-            }
-
-            @Override public Option<ResolvedFile> read(sjsonnet.Path at) {
-                try {
-                    Path p = ((OsPath) at).p().toNIO();
-                    if (Files.size(p) > LARGEST) return Option.empty();
-                    return Option.apply(new StaticResolvedFile(Files.readString(p)));
-                } catch (IOException e) {
-                    return Option.empty();
-                }
-            }
-        };
-        Function1<sjsonnet.Position, BoxedUnit> noPlace = p -> BoxedUnit.UNIT;
-        Function1<String, BoxedUnit> noWarning = w -> BoxedUnit.UNIT;
-        scala.collection.immutable.Map<String, String> none = Map$.MODULE$.empty();
-        Interpreter in = new Interpreter(none, none, path(folder), importer, new DefaultParseCache(),
-            new Settings(false, false, false, false, false, false), noPlace, noWarning,
-                Interpreter$.MODULE$.$lessinit$greater$default$9());
+        Interpreter interpreter = interpreter(file.getParent());
         int status = 0;
-        String text;
-        if (Files.size(file) > LARGEST) {
-            text = "larger than " + LARGEST + " bytes";
-            status = TemplateEvaluation.AT_FAULT;
+        String output;
+        if (Files.size(file) > MAX_FILE_BYTES) {
+            output = "larger than " + MAX_FILE_BYTES + " bytes";
+            status = TemplateEvaluation.TEMPLATE_ERROR_STATUS;
         } else {
             try {
-                Either<String, ujson.Value> value = in.interpret(Files.readString(file), path(file));
-                text = value.isRight() ? value.toOption().get().toString() : plain(value.left().toOption().get());
-                if (value.isLeft()) status = TemplateEvaluation.AT_FAULT;
+                Either<String, ujson.Value> result = interpreter.interpret(Files.readString(file), sjsonnetPath(file));
+                output = result.isRight() ? result.toOption().get().toString()
+                    : singleLine(result.left().toOption().get());
+                if (result.isLeft()) status = TemplateEvaluation.TEMPLATE_ERROR_STATUS;
             } catch (StackOverflowError e) {
-                text = "calls itself too deeply";
-                status = TemplateEvaluation.AT_FAULT;
+                output = "calls itself too deeply";
+                status = TemplateEvaluation.TEMPLATE_ERROR_STATUS;
             }
         }
-        System.out.write(text.getBytes(StandardCharsets.UTF_8));
+        System.out.write(output.getBytes(StandardCharsets.UTF_8));
         System.out.flush();
         System.exit(status);
     }
 
-    private static OsPath path(Path p) {
-        return new OsPath(os.Path$.MODULE$.apply(p, os.PathConvertible.NioPathConvertible$.MODULE$));
+    private static Interpreter interpreter(Path directory) {
+        Function1<sjsonnet.Position, BoxedUnit> ignorePosition = position -> BoxedUnit.UNIT;
+        Function1<String, BoxedUnit> ignoreWarning = warning -> BoxedUnit.UNIT;
+        scala.collection.immutable.Map<String, String> noVariables = Map$.MODULE$.empty();
+        Settings settings = new Settings(false, false, false, false, false, false);
+        return new Interpreter(noVariables, noVariables, sjsonnetPath(directory), new DirectoryImporter(directory),
+            new DefaultParseCache(), settings, ignorePosition, ignoreWarning,
+            Interpreter$.MODULE$.$lessinit$greater$default$9());
+    }
+
+    /** Imports regular files of bounded size whose real path is within one directory. */
+    private static final class DirectoryImporter extends Importer {
+        private final Path directory;
+
+        DirectoryImporter(Path directory) {
+            this.directory = directory;
+        }
+
+        @Override public Option<sjsonnet.Path> resolve(sjsonnet.Path from, String name) {
+            try {
+                Path base = ((OsPath) from).p().toNIO();
+                Path wanted = base.resolve(name).toRealPath();
+                return wanted.startsWith(directory) && Files.isRegularFile(wanted)
+                    ? Option.apply(sjsonnetPath(wanted)) : Option.empty();
+            } catch (IOException e) {
+                return Option.empty();
+            }
+        }
+
+        @Override public Option<ResolvedFile> read(sjsonnet.Path from) {
+            try {
+                Path file = ((OsPath) from).p().toNIO();
+                if (Files.size(file) > MAX_FILE_BYTES) return Option.empty();
+                return Option.apply(new StaticResolvedFile(Files.readString(file)));
+            } catch (IOException e) {
+                return Option.empty();
+            }
+        }
+    }
+
+    private static OsPath sjsonnetPath(Path path) {
+        return new OsPath(os.Path$.MODULE$.apply(path, os.PathConvertible.NioPathConvertible$.MODULE$));
     }
 
-    /** One line of what the library says: the error, and where it arose. */
-    private static String plain(String error) {
+    /** An error of the library, which is the message and where it arose, in one line. */
+    private static String singleLine(String error) {
         return error.strip().replaceAll("\\s*\\n\\s*", ", ");
     }
 }
--- a/src/main/java/mothcross/operators/TemplateEvaluation.java
+++ b/src/main/java/mothcross/operators/TemplateEvaluation.java
@@ -11,76 +11,90 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Evaluates the operators' template in a process of its own, with a heap, a stack, a time and an output that are
- * bounded whatever the template does, and whose library the director itself never loads. Owns that process;
- * must never outlive it, nor wait for it longer than the bound.
+ * The result of evaluating the operators' template: its value as JSON, or the error. Evaluation runs in a child process
+ * whose heap, stack, time and output are bounded whatever the template does, and whose Jsonnet library is never loaded
+ * by the director itself. The child is ended, and no longer waited for, once the time is up.
  */
-record TemplateEvaluation(String text, String fault) {
-    static final int HEAP_MB = 96, TIME_MS = 20_000, LONGEST = 4 << 20;
-    /** How the child ends where the template is at fault; its standard output then holds the reason. */
-    static final int AT_FAULT = 4;
+record TemplateEvaluation(String json, String error) {
+    static final int MAX_HEAP_MB = 96;
+    static final int TIMEOUT_MS = 20_000;
+    static final int MAX_OUTPUT_BYTES = 4 << 20;
+    /** The exit status of the child for an error in the template; its standard output then holds the reason. */
+    static final int TEMPLATE_ERROR_STATUS = 4;
 
     static TemplateEvaluation of(Path file) {
-        return of(file, HEAP_MB, TIME_MS);
+        return of(file, MAX_HEAP_MB, TIMEOUT_MS);
     }
 
-    static TemplateEvaluation of(Path file, int heapMb, int timeMs) {
-        if (!Files.isReadable(file)) return bad("can't be read");
-        String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        Process p;
+    static TemplateEvaluation of(Path file, int heapMb, int timeoutMs) {
+        if (!Files.isReadable(file)) return failed("can't be read");
+        Process child;
         try {
-            p = new ProcessBuilder(java, "-Xmx" + heapMb + "m", "-Xss2m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-                "-XX:+ExitOnOutOfMemoryError", "-XX:-UsePerfData", "-cp", classPath(), Template.class.getName(),
-                file.toAbsolutePath().toString()).redirectError(ProcessBuilder.Redirect.DISCARD).start();
+            child = startChild(file, heapMb);
         } catch (IOException e) {
-            return bad("no process to evaluate it can be started: " + e.getMessage());
+            return failed("no process to evaluate it can be started: " + e.getMessage());
         }
-        Thread end = new Thread(() -> {
-            try {
-                if (!p.waitFor(timeMs, TimeUnit.MILLISECONDS)) p.destroyForcibly();
-            } catch (InterruptedException e) {
-                p.destroyForcibly();
+        Thread watchdog = startWatchdog(child, timeoutMs);
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+        try (InputStream output = child.getInputStream()) {
+            byte[] bytes = output.readNBytes(MAX_OUTPUT_BYTES + 1);
+            if (bytes.length > MAX_OUTPUT_BYTES) {
+                return failed("its value is longer than " + MAX_OUTPUT_BYTES + " bytes");
             }
-        }, "evaluation");
-        end.setDaemon(true);
-        end.start();
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeMs);
-        try (InputStream in = p.getInputStream()) {
-            byte[] out = in.readNBytes(LONGEST + 1);
-            if (out.length > LONGEST) return bad("its value is longer than " + LONGEST + " bytes");
-            int status = p.waitFor();
-            String text = new String(out, StandardCharsets.UTF_8);
+            int status = child.waitFor();
+            String text = new String(bytes, StandardCharsets.UTF_8);
             if (status == 0) return new TemplateEvaluation(text, null);
-            if (status == AT_FAULT) return bad(text.strip());
-            if (System.nanoTime() >= until) return bad("not evaluated within " + timeMs / 1000.0 + " s");
-            return bad("not evaluated within a heap of " + heapMb + " MB");
+            if (status == TEMPLATE_ERROR_STATUS) return failed(text.strip());
+            if (System.nanoTime() >= deadlineNs) return failed("not evaluated within " + timeoutMs / 1000.0 + " s");
+            return failed("not evaluated within a heap of " + heapMb + " MB");
         } catch (IOException e) {
-            return bad("its evaluation can't be read: " + e.getMessage());
+            return failed("its evaluation can't be read: " + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return bad("interrupted");
+            return failed("interrupted");
         } finally {
-            p.destroyForcibly();
-            end.interrupt();
+            child.destroyForcibly();
+            watchdog.interrupt();
         }
     }
 
-    private static TemplateEvaluation bad(String why) {
-        return new TemplateEvaluation(null, why);
+    private static TemplateEvaluation failed(String reason) {
+        return new TemplateEvaluation(null, reason);
+    }
+
+    private static Process startChild(Path file, int heapMb) throws IOException {
+        String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
+        return new ProcessBuilder(java, "-Xmx" + heapMb + "m", "-Xss2m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
+            "-XX:+ExitOnOutOfMemoryError", "-XX:-UsePerfData", "-cp", classPath(), Template.class.getName(),
+            file.toAbsolutePath().toString()).redirectError(ProcessBuilder.Redirect.DISCARD).start();
+    }
+
+    /** Starts a thread that ends the child when the time is up, or when the thread is interrupted. */
+    private static Thread startWatchdog(Process child, int timeoutMs) {
+        Thread watchdog = new Thread(() -> {
+            try {
+                if (!child.waitFor(timeoutMs, TimeUnit.MILLISECONDS)) child.destroyForcibly();
+            } catch (InterruptedException e) {
+                child.destroyForcibly();
+            }
+        }, "evaluation");
+        watchdog.setDaemon(true);
+        watchdog.start();
+        return watchdog;
     }
 
-    /** What this program runs from, and the libraries beside it that only tools use. */
+    /** The class path of this process, and the libraries beside it that only the command-line tools use. */
     private static String classPath() {
-        StringBuilder s = new StringBuilder(System.getProperty("java.class.path"));
+        StringBuilder classPath = new StringBuilder(System.getProperty("java.class.path"));
         try {
             Path here = Path.of(TemplateEvaluation.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-            Path more = here.resolveSibling("lib").resolve("more");
-            for (String part : List.of(here.toString(), more + File.separator + "*")) {
-                s.append(File.pathSeparator).append(part);
+            Path toolLibraries = here.resolveSibling("lib").resolve("more");
+            for (String entry : List.of(here.toString(), toolLibraries + File.separator + "*")) {
+                classPath.append(File.pathSeparator).append(entry);
             }
         } catch (URISyntaxException e) {
-            throw new IllegalStateException(e);             // a place that a class was loaded from is a URI
+            throw new IllegalStateException(e);             // the location that a class was loaded from is a URI
         }
-        return s.toString();
+        return classPath.toString();
     }
 }
--- a/src/test/java/mothcross/operators/OperatorsTest.java
+++ b/src/test/java/mothcross/operators/OperatorsTest.java
@@ -6,47 +6,52 @@
 
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.List;
 import org.testng.annotations.Test;
 
-/** The operators' file: what is taken, what is refused, all faults at once, and evaluation within its bounds. */
+/**
+ * The operators' file: which values are valid, which are refused with which message, that all problems are reported at
+ * once, and that evaluation stays within its bounds.
+ */
 public class OperatorsTest {
     private static final Path FILE = Path.of("operators.jsonnet");
 
-    private static String faults(String json) {
+    private static String problems(String json) {
         try {
-            OperatorsFile.of(FILE, json);
+            OperatorsFile.parse(FILE, json);
             return "";
         } catch (OperatorsFile.InvalidOperatorsFileException e) {
-            return String.join("\n", e.faults());
+            return String.join("\n", e.problems());
         }
     }
 
-    private static String with(String fields) {
+    private static String membership(String fields) {
         return "{\"membership\": {\"file\": \"list\", \"fleet\": \"f\"" + fields + "}}";
     }
 
-    @Test public void everyFieldIsCheckedWithPathValueAndReason() {
+    @Test public void membershipProblemsHavePathValueAndReason() {
         String[][] cases = {
-            {"{}", ""}, {with(""), ""}, {"[]", "no object"}, {"{\"membership\": 1}", "membership = 1 is not an object"},
+            {"{}", ""}, {membership(""), ""}, {"[]", "no object"},
+            {"{\"membership\": 1}", "membership = 1 is not an object"},
             {"{\"membershp\": {}}", "membershp = {} is not known; did you mean membership?"},
             {"{\"membership\": {\"fleet\": \"f\"}}", "membership.file is missing; it is a text"},
             {"{\"membership\": {\"file\": \"\", \"fleet\": \"f\"}}", "membership.file = \"\" is not a text"},
-            {with(", \"recent_s\": \"10\""),
+            {membership(", \"recent_s\": \"10\""),
                 "membership.recent_s = \"10\" is not a number of seconds from 1 to 604800"},
-            {with(", \"recent_s\": 0"), "membership.recent_s = 0 is out of range"},
-            {with(", \"recent_s\": 20, \"old_s\": 10"), "membership.old_s = 10 is less than recent_s"},
-            {with(", \"refusals\": 1.5"), "membership.refusals = 1.5 is not whole"},
-            {with(", \"shrunk_below\": 1.01"), "out of range"},
-            {with(", \"try_again_s\": 9, \"try_again_most_s\": 8"), "membership.try_again_most_s = 8 is less"},
-            {with(", \"write_every_ms\": 50"), "membership.write_every_ms = 50 is less than drain_on_disk_ms"},
-            {with(", \"old_sec\": 5"), "membership.old_sec = 5 is not known; did you mean old_s?"},
-            {with(", \"colour\": 5"), "known here: file, fleet, recent_s"}, {"nonsense {", "no JSON"}, {"{\"a\": ",
-                "no JSON"},
+            {membership(", \"recent_s\": 0"), "membership.recent_s = 0 is out of range"},
+            {membership(", \"recent_s\": 20, \"old_s\": 10"), "membership.old_s = 10 is less than recent_s"},
+            {membership(", \"refusals\": 1.5"), "membership.refusals = 1.5 is not whole"},
+            {membership(", \"shrunk_below\": 1.01"), "out of range"},
+            {membership(", \"try_again_s\": 9, \"try_again_most_s\": 8"), "membership.try_again_most_s = 8 is less"},
+            {membership(", \"write_every_ms\": 50"), "membership.write_every_ms = 50 is less than drain_on_disk_ms"},
+            {membership(", \"old_sec\": 5"), "membership.old_sec = 5 is not known; did you mean old_s?"},
+            {membership(", \"colour\": 5"), "known here: file, fleet, recent_s"}, {"nonsense {", "no JSON"},
+            {"{\"a\": ", "no JSON"},
         };
-        for (String[] c : cases) {
-            String got = faults(c[0]);
-            assertTrue(c[1].isEmpty() ? got.isEmpty() : got.contains(c[1]), c[0] + ": " + got);
+        for (String[] testCase : cases) {
+            String json = testCase[0];
+            String expected = testCase[1];
+            String actual = problems(json);
+            assertTrue(expected.isEmpty() ? actual.isEmpty() : actual.contains(expected), json + ": " + actual);
         }
     }
 
@@ -54,40 +59,44 @@
         return "{\"fleet\": {\"fleet\": \"f\", \"file\": \"x\"" + fields + "}}";
     }
 
-    @Test public void fieldsOfTheFleetAreCheckedToo() throws Exception {
+    @Test public void fleetFieldsAreChecked() throws Exception {
         String listen = ", \"listen\": \"10.0.0.1:7400\"";
-        String key = "{\"id\": 1, \"secret\": \"sixteen or more of it\"}",
-            keys = ", \"keys\": [" + key + "]", whole = listen + keys;
+        String key = "{\"id\": 1, \"secret\": \"sixteen or more of it\"}";
+        String keys = ", \"keys\": [" + key + "]";
+        String required = listen + keys;
         String[][] cases = {
-            {fleet(whole), ""}, {fleet(keys), "fleet.listen is missing"},
+            {fleet(required), ""}, {fleet(keys), "fleet.listen is missing"},
             {fleet(listen), "fleet.keys is to hold one key"},
             {fleet(keys + ", \"listen\": \"localhost:1\""), "fleet.listen = \"localhost:1\" is no ADDRESS:PORT"},
             {fleet(keys + ", \"listen\": \"10.0.0.1:70000\""), "names are not looked up"},
-            {fleet(whole + ", \"seeds\": [{\"at\": \"x\"}]"), "fleet.seeds[0].at = \"x\" is no ADDRESS:PORT"},
-            {fleet(whole + ", \"seeds\": [{\"att\": \"10.0.0.1:1\"}]"), "fleet.seeds[0].att"},
+            {fleet(required + ", \"seeds\": [{\"at\": \"x\"}]"), "fleet.seeds[0].at = \"x\" is no ADDRESS:PORT"},
+            {fleet(required + ", \"seeds\": [{\"att\": \"10.0.0.1:1\"}]"), "fleet.seeds[0].att"},
             {fleet(listen + ", \"keys\": [{\"id\": 1, \"secret\": \"short\"}]"), "is not a secret of 16 to 1000"},
             {fleet(listen + ", \"keys\": [" + key + "," + key + "]"), "fleet.keys[1].id = 1 is used twice"},
             {fleet(listen + ", \"keys\": [" + key + "," + key + "," + key + "]"), "a list of at most 2"},
             {fleet(listen + ", \"keys\": [" + key.replace("1", "256") + "]"), "fleet.keys[0].id = 256 is out of range"},
-            {fleet(whole + ", \"period_ms\": 50"), "fleet.period_ms = 50 is out of range"},
-            {fleet(whole + ", \"period_ms\": 1000, \"silent_s\": 3"), "is less than four rounds of period_ms"},
-            {fleet(whole + ", \"lease_s\": 0"), "fleet.lease_s = 0 is out of range"},
-            {fleet(whole + ", \"directors\": 1.5"), "fleet.directors = 1.5 is not whole"},
-            {fleet(whole + ", \"silents_s\": 3"), "did you mean silent_s?"}};
-        for (String[] c : cases) {
-            String got = faults(c[0]);
-            assertTrue(c[1].isEmpty() ? got.isEmpty() : got.contains(c[1]), c[0] + ": " + got);
-            assertTrue(!got.contains("\"short\"") && !got.contains("sixteen or more"), "a secret is told: " + got);
+            {fleet(required + ", \"period_ms\": 50"), "fleet.period_ms = 50 is out of range"},
+            {fleet(required + ", \"period_ms\": 1000, \"silent_s\": 3"), "is less than four rounds of period_ms"},
+            {fleet(required + ", \"lease_s\": 0"), "fleet.lease_s = 0 is out of range"},
+            {fleet(required + ", \"directors\": 1.5"), "fleet.directors = 1.5 is not whole"},
+            {fleet(required + ", \"silents_s\": 3"), "did you mean silent_s?"}};
+        for (String[] testCase : cases) {
+            String json = testCase[0];
+            String expected = testCase[1];
+            String actual = problems(json);
+            assertTrue(expected.isEmpty() ? actual.isEmpty() : actual.contains(expected), json + ": " + actual);
+            assertTrue(!actual.contains("\"short\"") && !actual.contains("sixteen or more"),
+                "a secret is shown: " + actual);
         }
-        OperatorsFile f = OperatorsFile.of(java.nio.file.Path.of("f"), fleet(whole));
-        assertTrue(!f.show().contains("sixteen or more") && f.show().contains("(21 characters)"), f.show());
+        String shown = OperatorsFile.parse(Path.of("f"), fleet(required)).show();
+        assertTrue(!shown.contains("sixteen or more") && shown.contains("(21 characters)"), shown);
     }
 
     private static String rules(String rule) {
         return "{\"routes\": {\"rules\": [{\"name\": \"a\", \"match\": \"true\"" + rule + "}]}}";
     }
 
-    @Test public void fieldsOfRoutesAreCheckedToo() {
+    @Test public void routeFieldsAreChecked() {
         String[][] cases = {
             {rules(""), ""}, {"{\"routes\": {}}", ""},
             {"{\"routes\": {\"rules\": {}}}", "routes.rules = {} is not a list of at most 2000 objects"},
@@ -104,39 +113,46 @@
             {"{\"routes\": {\"reads\": {\"target\": {\"most\": 9, \"past\": \"x\"}}}}", "past = \"x\" is neither"},
             {"{\"routes\": {\"reads\": {\"target\": {\"most\": 9, \"same_on_retry\": 1}}}}", "is not true or false"},
         };
-        for (String[] c : cases) {
-            String got = faults(c[0]);
-            assertTrue(c[1].isEmpty() ? got.isEmpty() : got.contains(c[1]) && got.lines().count() == 1, c[0] + ": "
-                + got);
+        for (String[] testCase : cases) {
+            String json = testCase[0];
+            String expected = testCase[1];
+            String actual = problems(json);
+            assertTrue(expected.isEmpty() ? actual.isEmpty()
+                : actual.contains(expected) && actual.lines().count() == 1, json + ": " + actual);
         }
     }
 
-    @Test public void allFaultsAtOnce() {
-        String five = "{\"membership\": {\"file\": 3, \"recnt_s\": 5, \"old_s\": -1}, \"x\": 1}";
-        assertEquals(faults(five).lines().count(), 5);
+    @Test public void allProblemsAreReportedAtOnce() {
+        String fiveProblems = "{\"membership\": {\"file\": 3, \"recnt_s\": 5, \"old_s\": -1}, \"x\": 1}";
+        assertEquals(problems(fiveProblems).lines().count(), 5);
     }
 
-    @Test public void leftOutIsOffAndDefaultsAreShown() throws Exception {
-        assertNull(OperatorsFile.of(FILE, "{}").part(SettingsPart.MEMBERSHIP));
-        OperatorsFile f = OperatorsFile.of(FILE, with(", \"recent_s\": 7"));
-        MembershipSettings r = f.part(SettingsPart.MEMBERSHIP);
-        assertEquals(r.ages().recentMs(), 7000.0);
-        assertEquals(r.ages().oldMs(), 86_400_000.0);
-        assertTrue(f.show().contains("\"recent_s\": 7.0") && f.show().contains("\"skew_s\": 5.0"), f.show());
+    @Test public void missingPartIsOffAndDefaultsAreShown() throws Exception {
+        assertNull(OperatorsFile.parse(FILE, "{}").part(SettingsPart.MEMBERSHIP));
+        OperatorsFile file = OperatorsFile.parse(FILE, membership(", \"recent_s\": 7"));
+        MembershipSettings settings = file.part(SettingsPart.MEMBERSHIP);
+        assertEquals(settings.ages().recentMs(), 7000.0);
+        assertEquals(settings.ages().oldMs(), 86_400_000.0);
+        String shown = file.show();
+        assertTrue(shown.contains("\"recent_s\": 7.0") && shown.contains("\"skew_s\": 5.0"), shown);
     }
 
-    @Test public void theExampleIsTaken() throws Exception {
-        OperatorsFile f = OperatorsFile.read(Path.of("deploy", "operators.jsonnet"));
-        assertEquals(f.part(SettingsPart.MEMBERSHIP).ages(), mothcross.membership.AgeLimits.DEFAULTS,
+    @Test public void exampleFileIsValid() throws Exception {
+        OperatorsFile file = OperatorsFile.read(Path.of("deploy", "operators.jsonnet"));
+        assertEquals(file.part(SettingsPart.MEMBERSHIP).ages(), mothcross.membership.AgeLimits.DEFAULTS,
             "the example shows the defaults");
     }
 
-    /** Templates at fault, without end, too large, or reading what is not theirs: one reason each, in bounded time. */
+    /**
+     * Templates that have an error, never end, grow too large or read files outside their directory: each is refused
+     * with one line of reason, in bounded time.
+     */
     @Test(timeOut = 60_000) public void evaluationIsBounded() throws Exception {
-        Path dir = Files.createTempDirectory("mothcross"), inner = Files.createDirectory(dir.resolve("inner"));
-        Files.writeString(dir.resolve("secret.libsonnet"), "{secret: 1}");
+        Path outer = Files.createTempDirectory("mothcross");
+        Path inner = Files.createDirectory(outer.resolve("inner"));
+        Files.writeString(outer.resolve("secret.libsonnet"), "{secret: 1}");
         Files.writeString(inner.resolve("own.libsonnet"), "{own: 1}");
-        Files.createSymbolicLink(inner.resolve("link.libsonnet"), dir.resolve("secret.libsonnet"));
+        Files.createSymbolicLink(inner.resolve("link.libsonnet"), outer.resolve("secret.libsonnet"));
         Object[][] cases = {
             {"import 'own.libsonnet'", null, "{\"own\":1}"}, {"{a: 1, b: self.a + 1, h:: 3}", null,
                 "{\"a\":1,\"b\":2}"},
@@ -148,21 +164,23 @@
             {"local f(n) = if n == 0 then 0 else f(n - 1) + f(n - 1); {a: f(60)}", "not evaluated within 2.0 s", null},
             {"{a: [x for x in std.range(1, 100000000)]}", "a heap of 48 MB", null},
         };
-        for (Object[] c : cases) {
-            Path file = Files.writeString(inner.resolve("t.jsonnet"), (String) c[0]);
-            TemplateEvaluation e = TemplateEvaluation.of(file, 48, c[1] != null && ((String) c[1]).contains("2.0 s")
-                ? 2000 : 15_000);
-            assertEquals(e.text(), c[2], (String) c[0] + ": " + e.fault());
-            if (c[1] == null) continue;
-            assertTrue(e.fault().contains((String) c[1]) && e.fault().lines().count() == 1, c[0] + ": " + e.fault());
+        for (Object[] testCase : cases) {
+            String template = (String) testCase[0];
+            String expectedError = (String) testCase[1];
+            Path file = Files.writeString(inner.resolve("t.jsonnet"), template);
+            int timeoutMs = expectedError != null && expectedError.contains("2.0 s") ? 2000 : 15_000;
+            TemplateEvaluation evaluation = TemplateEvaluation.of(file, 48, timeoutMs);
+            String error = evaluation.error();
+            assertEquals(evaluation.json(), testCase[2], template + ": " + error);
+            if (expectedError == null) continue;
+            assertTrue(error.contains(expectedError) && error.lines().count() == 1, template + ": " + error);
         }
-        assertEquals(TemplateEvaluation.of(dir.resolve("none")).fault(), "can't be read");
+        assertEquals(TemplateEvaluation.of(outer.resolve("none")).error(), "can't be read");
     }
 
-    @Test public void nearNamesAreFound() {
-        for (Object[] c : List.of(new Object[] {"", "abc", 3}, new Object[] {"kitten", "sitting", 3},
-            new Object[] {"a", "a", 0})) {
-            assertEquals(Section.distance((String) c[0], (String) c[1]), (int) c[2]);
-        }
+    @Test public void editDistanceOfSimilarNames() {
+        assertEquals(Section.editDistance("", "abc"), 3);
+        assertEquals(Section.editDistance("kitten", "sitting"), 3);
+        assertEquals(Section.editDistance("a", "a"), 0);
     }
 }
