--- a/src/main/java/mothcross/cli/FleetCommand.java
+++ b/src/main/java/mothcross/cli/FleetCommand.java
@@ -1,5 +1,6 @@
 package mothcross.cli;
 
+import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -21,54 +22,68 @@
 import mothcross.operators.OperatorsFile;
 import mothcross.operators.SettingsPart;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
 /**
- * {@code mothcross fleet}: what a running director holds of the others. Exit states: 0 all is well; 1 the director is
- * apart, not in, or some member is not fine ({@code explain}: that name is not); 2 it can't be asked, or not so.
+ * {@code mothcross fleet}: how a running director sees the other members of the fleet. Exit status: 0 all is well; 1
+ * the director is cut off from the majority, not a member, or some member ({@code explain}: that member) is not FINE;
+ * 2 the request failed or was not understood.
  */
-@Command(name = "fleet", description = "What a running director holds of the other directors.",
+@Command(name = "fleet", description = "Shows how a running director sees the other directors.",
     mixinStandardHelpOptions = true)
 final class FleetCommand implements Callable<Integer> {
-    private static final int OK = 0, TROUBLE = 1, USAGE = 2;
+    private static final int OK = 0;
+    private static final int NOT_FINE = 1;
+    private static final int USAGE = 2;
+    private static final long WATCH_INTERVAL_MS = 500;
+    private static final double ACK_TIMEOUT_PERIODS = 0.3;
+    private static final double LIMIT_SHARE_PERIODS = 4;
+    private static final double MAX_WATCH_NS = 9e18;
 
     @Spec private CommandSpec spec;
 
-    /** The member that the operators' part asks for, before it begins. */
-    static FleetNode createNode(FleetSettings d, StartupConfig start, String relay, long skewMs, DoubleConsumer share) {
-        FailureDetectorSettings u = FailureDetectorSettings.DEFAULTS;
-        FailureDetectorSettings pace = new FailureDetectorSettings(d.periodMs(), 0.3 * d.periodMs(),
-            u.indirectProbes(), u.suspicionRounds(), u.rings(), u.lowShare(),
-            u.highShare(), d.evictionDelayMs(), u.proposalDelayMs(), d.rejoinDelayMs(), u.forgetAfterMs());
-        int fixed = d.fixedDirectorCount() > 0 ? d.fixedDirectorCount() : start.directorSettings.directorsInZone;
-        List<InetSocketAddress> seeds = d.seeds().stream().map(FleetCommand::parseAddress).toList();
-        return new FleetNode(d.fleet(), start.name, parseAddress(d.listen()), seeds, keys(d), d.stateFile(), pace,
-            new LimitShare(fixed, d.leaseMs(), 4 * d.periodMs()), relay == null ? null : parseAddress(relay), skewMs,
-            share);
+    /** The fleet member that the operators' settings describe, not started yet. */
+    static FleetNode createNode(FleetSettings settings, StartupConfig startup, String relay, long skewMs,
+                                DoubleConsumer onShareChange) {
+        FailureDetectorSettings defaults = FailureDetectorSettings.DEFAULTS;
+        double periodMs = settings.periodMs();
+        FailureDetectorSettings detector = new FailureDetectorSettings(periodMs, ACK_TIMEOUT_PERIODS * periodMs,
+            defaults.indirectProbes(), defaults.suspicionRounds(), defaults.rings(), defaults.lowShare(),
+            defaults.highShare(), settings.evictionDelayMs(), defaults.proposalDelayMs(), settings.rejoinDelayMs(),
+            defaults.forgetAfterMs());
+        int directorCount = settings.fixedDirectorCount() > 0 ? settings.fixedDirectorCount()
+            : startup.directorSettings.directorsInZone;
+        List<InetSocketAddress> seeds = settings.seeds().stream().map(FleetCommand::parseAddress).toList();
+        LimitShare limitShare = new LimitShare(directorCount, settings.leaseMs(), LIMIT_SHARE_PERIODS * periodMs);
+        return new FleetNode(settings.fleet(), startup.name, parseAddress(settings.listen()), seeds, keys(settings),
+            settings.stateFile(), detector, limitShare, relay == null ? null : parseAddress(relay), skewMs,
+            onShareChange);
     }
 
-    /** Says farewell before the director ends. */
-    static Main.FleetService closeBeforeStop(FleetNode n) {
+    /** Closes the node, which announces that it leaves, before the director stops. */
+    static Main.FleetService closeBeforeStop(FleetNode node) {
         return new Main.FleetService() {
             @Override public void beforeStop() {
-                n.close();
+                node.close();
             }
 
             @Override public void afterStop() { }
         };
     }
 
-    static List<FleetMessageCodec.Key> keys(FleetSettings d) {
-        return d.keys().stream().map(k -> new FleetMessageCodec.Key(k.id(),
-            k.secret().getBytes(StandardCharsets.UTF_8))).toList();
+    static List<FleetMessageCodec.Key> keys(FleetSettings settings) {
+        return settings.keys().stream()
+            .map(key -> new FleetMessageCodec.Key(key.id(), key.secret().getBytes(StandardCharsets.UTF_8)))
+            .toList();
     }
 
-    static InetSocketAddress parseAddress(String at) {
-        int colon = at.lastIndexOf(':');
-        return new InetSocketAddress(at.substring(0, colon), Integer.parseInt(at.substring(colon + 1)));
+    static InetSocketAddress parseAddress(String address) {
+        int colon = address.lastIndexOf(':');
+        return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
     @Override public Integer call() {
@@ -76,104 +91,109 @@
         return USAGE;
     }
 
-    /** Whom to ask, and with which key. */
+    /** The director that is asked, and the keys for it. */
     static final class AdminTarget {
         @Option(names = "--operators", paramLabel = "FILE", required = true,
-            description = "the operators' file, for the fleet's name and keys") private Path operators;
+            description = "the operators' file, for the fleet's name and keys")
+        private Path operators;
 
-        private FleetSettings known;
+        private FleetSettings settings;
 
         @Option(names = "--at", paramLabel = "HOST:PORT",
-            description = "the director's address in the fleet (default: the file's)") private String at;
+            description = "the director's address in the fleet (default: the file's)")
+        private String at;
 
-        JsonObject request(String what) throws IOException, OperatorsFile.InvalidOperatorsFileException {
-            return request(what, new byte[0]);
+        JsonObject request(String command) throws IOException, OperatorsFile.InvalidOperatorsFileException {
+            return request(command, new byte[0]);
         }
 
-        JsonObject request(String what, byte[] body) throws IOException, OperatorsFile.InvalidOperatorsFileException {
-            if (known == null) known = OperatorsFile.read(operators).part(SettingsPart.FLEET);
-            FleetSettings d = known;
-            if (d == null) throw new IOException("the file has no part fleet");
-            InetSocketAddress to = parseAddress(at == null ? d.listen() : at);
+        JsonObject request(String command, byte[] body)
+            throws IOException, OperatorsFile.InvalidOperatorsFileException {
+            if (settings == null) settings = OperatorsFile.read(operators).part(SettingsPart.FLEET);
+            if (settings == null) throw new IOException("the file has no part fleet");
+            InetSocketAddress address = parseAddress(at == null ? settings.listen() : at);
             try {
-                String answer = AdminClient.request(to, d.fleet(), keys(d), what, body);
+                String answer = AdminClient.request(address, settings.fleet(), keys(settings), command, body);
                 return JsonParser.parseString(answer).getAsJsonObject();
             } catch (IOException e) {
-                throw new IOException("no answer from " + to + ": " + e.getMessage(), e);
+                throw new IOException("no answer from " + address + ": " + e.getMessage(), e);
             }
         }
     }
 
     static int reportFailure(Exception e) {
-        return e instanceof OperatorsFile.InvalidOperatorsFileException u ? Main.printError(u)
-            : Main.printError(e.getMessage());
+        if (e instanceof OperatorsFile.InvalidOperatorsFileException invalid) return Main.printError(invalid);
+        return Main.printError(e.getMessage());
     }
 
-    /** One line for the view, one for each member; the exit state. */
-    private static int show(JsonObject o, boolean all) {
-        boolean apart = o.get("apart").getAsBoolean(), in = o.get("phase").getAsString().equals("IN");
+    /** Prints a line for the view and one for each member; returns the exit status. */
+    private static int print(JsonObject status, boolean allMembers) {
+        boolean apart = status.get("apart").getAsBoolean();
+        boolean isIn = status.get("phase").getAsString().equals("IN");
         List<String> lines = new ArrayList<>();
-        int trouble = 0;
-        for (JsonElement e : o.getAsJsonArray("members")) {
-            JsonObject m = e.getAsJsonObject();
-            boolean fine = m.get("judged").getAsString().equals("FINE");
-            if (!fine) trouble++;
-            if (all || !fine) lines.add(String.format("%-8s %s  life %s  %s", m.get("judged").getAsString(),
-                m.get("name").getAsString(), m.get("life").getAsString(), m.get("at").getAsString()));
+        int notFine = 0;
+        for (JsonElement element : status.getAsJsonArray("members")) {
+            JsonObject member = element.getAsJsonObject();
+            String judged = member.get("judged").getAsString();
+            boolean fine = judged.equals("FINE");
+            if (!fine) notFine++;
+            if (!allMembers && fine) continue;
+            lines.add(String.format("%-8s %s  life %s  %s", judged, member.get("name").getAsString(),
+                member.get("life").getAsString(), member.get("at").getAsString()));
         }
-        System.out.println(o.get("name").getAsString() + " is " + o.get("phase").getAsString()
-            + (apart ? ", APART" : "") + "; view " + o.get("view").getAsString() + " " + o.get("digest").getAsString()
-            + ", members " + o.getAsJsonArray("members").size() + ", not fine " + trouble + "; "
-            + o.get("part_of_limits").getAsString() + " of its fixed part of limits");
+        System.out.println(status.get("name").getAsString() + " is " + status.get("phase").getAsString()
+            + (apart ? ", APART" : "") + "; view " + status.get("view").getAsString() + " "
+            + status.get("digest").getAsString() + ", members " + status.getAsJsonArray("members").size()
+            + ", not fine " + notFine + "; " + status.get("part_of_limits").getAsString()
+            + " of its fixed part of limits");
         lines.forEach(System.out::println);
-        return in && !apart && trouble == 0 ? OK : TROUBLE;
+        return isIn && !apart && notFine == 0 ? OK : NOT_FINE;
     }
 
-    @Command(name = "status", description = "The view, its members, and how each is judged.",
+    @Command(name = "status", description = "Prints the view, its members, and how each is judged.",
         mixinStandardHelpOptions = true)
-    int status(@picocli.CommandLine.Mixin AdminTarget whom, @Option(names = "--json") boolean json) {
+    int status(@Mixin AdminTarget target, @Option(names = "--json") boolean json) {
         try {
-            JsonObject o = whom.request("status");
-            if (!json) return show(o, true);
-            System.out.println(o);
+            JsonObject status = target.request("status");
+            if (!json) return print(status, true);
+            System.out.println(status);
             return OK;
         } catch (IOException | OperatorsFile.InvalidOperatorsFileException e) {
             return reportFailure(e);
         }
     }
 
-    @Command(name = "watch", description = "A line whenever the view or a judgement changes.",
+    @Command(name = "watch", description = "Prints the view whenever it or the judgement of a member changes.",
         mixinStandardHelpOptions = true)
-    int watch(@picocli.CommandLine.Mixin AdminTarget whom,
-              @Option(names = "--for", paramLabel = "S", defaultValue = "1e9",
-        description = "ends after so many seconds") double seconds) throws InterruptedException {
-        long end = System.nanoTime() + (long) Math.min(9e18, seconds * 1e9);
-        String before = "";
-        int state = OK;
+    int watch(@Mixin AdminTarget target, @Option(names = "--for", paramLabel = "S", defaultValue = "1e9",
+        description = "ends after this many seconds") double seconds) throws InterruptedException {
+        long endNs = System.nanoTime() + (long) Math.min(MAX_WATCH_NS, seconds * 1e9);
+        String previous = "";
+        int exitStatus = OK;
         try {
-            while (System.nanoTime() < end) {
-                JsonObject o = whom.request("status");
-                o.remove("counts");
-                if (!o.toString().equals(before)) state = show(o, false);
-                before = o.toString();
-                Thread.sleep(500);
+            while (System.nanoTime() < endNs) {
+                JsonObject status = target.request("status");
+                status.remove("counts");
+                String current = status.toString();
+                if (!current.equals(previous)) exitStatus = print(status, false);
+                previous = current;
+                Thread.sleep(WATCH_INTERVAL_MS);
             }
-            return state;
+            return exitStatus;
         } catch (IOException | OperatorsFile.InvalidOperatorsFileException e) {
             return reportFailure(e);
         }
     }
 
-    @Command(name = "explain", description = "Why a name is judged as it is: which edges, whose word.",
+    @Command(name = "explain", description = "Explains how a member is judged: which edges, reported by whom.",
         mixinStandardHelpOptions = true)
-    int explain(@picocli.CommandLine.Mixin AdminTarget whom, @Parameters(paramLabel = "NAME") String name) {
+    int explain(@Mixin AdminTarget target, @Parameters(paramLabel = "NAME") String name) {
         try {
-            JsonObject o = whom.request("explain " + name);
-            var lines = o.getAsJsonArray("lines");
+            JsonArray lines = target.request("explain " + name).getAsJsonArray("lines");
             if (lines.isEmpty()) return Main.printError(name + " is not known there");
-            lines.forEach(l -> System.out.println(l.getAsString()));
-            return lines.get(0).getAsString().contains("judged FINE") && lines.get(0).getAsString().contains(" is IN ")
-                ? OK : TROUBLE;
+            lines.forEach(line -> System.out.println(line.getAsString()));
+            String summary = lines.get(0).getAsString();
+            return summary.contains("judged FINE") && summary.contains(" is IN ") ? OK : NOT_FINE;
         } catch (IOException | OperatorsFile.InvalidOperatorsFileException e) {
             return reportFailure(e);
         }
--- a/src/main/java/mothcross/cli/Main.java
+++ b/src/main/java/mothcross/cli/Main.java
@@ -21,8 +21,9 @@
 import picocli.CommandLine.Option;
 import sun.misc.Signal;
 
-/** The command line. */
-@Command(name = "mothcross", description = "Decides where objects are served, kept and filled from.",
+/** The main class of the program, with the commands {@code serve}, {@code check}, {@code simhost}, {@code version}. */
+@Command(name = "mothcross", description = "Decides which cache serves an object, whether it is kept, and where it is "
+    + "filled from.",
     mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
     subcommands = {Main.Serve.class, Main.Check.class, Main.Sim.class, Main.VersionCommand.class})
 public final class Main implements Callable<Integer> {
@@ -33,21 +34,28 @@
     private Main() { }
 
     public static void main(String[] args) {
-        CommandLine all = new CommandLine(new Main());
-        // A director's start costs neither the time nor the memory of what looks at tools' commands.
-        if (args.length == 0 || !List.of("serve", "simhost").contains(args[0])) Commands.add(all);
-        System.exit(all.execute(args));
+        CommandLine commandLine = new CommandLine(new Main());
+        // The start of a director takes neither time nor memory for the commands of the tools.
+        boolean isDirector = args.length > 0 && List.of("serve", "simhost").contains(args[0]);
+        if (!isDirector) ToolCommands.addTo(commandLine);
+        System.exit(commandLine.execute(args));
     }
 
-    /** Those that look and try; a class of its own, so that it is not loaded without them. */
-    private static final class Commands {
-        static void add(CommandLine to) {
-            to.addSubcommand(new ListCommand()).addSubcommand(new ExprCommand()).addSubcommand(new EmulateCommand())
-                .addSubcommand(new ExperimentCommand()).addSubcommand(new FleetCommand())
-                .addSubcommand(new PolicyCommand()).addSubcommand(new RigCommand());
-            // Its own options are read by the tool itself, on the tools' loader.
-            to.getSubcommands().get("experiment").setUnmatchedOptionsArePositionalParams(true);
-            to.getSubcommands().get("rig").getSubcommands().get("explore").setUnmatchedOptionsArePositionalParams(true);
+    /** The commands of the tools; a class of its own, so that a director does not load them. */
+    private static final class ToolCommands {
+        static void addTo(CommandLine commandLine) {
+            commandLine.addSubcommand(new ListCommand())
+                .addSubcommand(new ExprCommand())
+                .addSubcommand(new EmulateCommand())
+                .addSubcommand(new ExperimentCommand())
+                .addSubcommand(new FleetCommand())
+                .addSubcommand(new PolicyCommand())
+                .addSubcommand(new RigCommand());
+            // These tools run on a class loader of their own and parse their options themselves.
+            CommandLine experiment = commandLine.getSubcommands().get("experiment");
+            experiment.setUnmatchedOptionsArePositionalParams(true);
+            CommandLine explore = commandLine.getSubcommands().get("rig").getSubcommands().get("explore");
+            explore.setUnmatchedOptionsArePositionalParams(true);
         }
     }
 
@@ -58,14 +66,14 @@
 
     static final class Version implements CommandLine.IVersionProvider {
         @Override public String[] getVersion() {
-            String v = Main.class.getPackage().getImplementationVersion();
-            return new String[] {"mothcross " + (v == null ? "(not from a package)" : v)};
+            String version = Main.class.getPackage().getImplementationVersion();
+            return new String[] {"mothcross " + (version == null ? "(not from a package)" : version)};
         }
     }
 
     private static final class ConfigOptions {
         @Option(names = "--config", paramLabel = "FILE", defaultValue = "${env:ROUTER_CONFIG}",
-            description = "what the director is told, as JSON (default: $ROUTER_CONFIG)")
+            description = "the director's configuration, as JSON (default: $ROUTER_CONFIG)")
         private Path config;
 
         @Option(names = "--listen", paramLabel = "HOST:PORT", defaultValue = "${env:ROUTER_LISTEN}",
@@ -73,24 +81,29 @@
         private String listen;
 
         @Option(names = "--operators", paramLabel = "FILE",
-            description = "the operators' own file, Jsonnet; without it every feature of its is off")
+            description = "the operators' settings file, Jsonnet; without it each of its features is off")
         private Path operators;
 
-        /** Both files, or neither: what can't be used in one leaves the other unused as well. */
+        /** Reads both files; an error in either means that neither is used. */
         LoadedConfig read() throws StartupConfig.InvalidConfigException, OperatorsFile.InvalidOperatorsFileException {
-            OperatorsFile features = operators == null ? null : OperatorsFile.read(operators);
-            MembershipSettings list = features == null ? null : features.part(SettingsPart.MEMBERSHIP);
-            StartupConfig start = config == null ? null : StartupConfig.read(config, listen, list == null);
-            return new LoadedConfig(start, features, list, features == null ? null : features.part(SettingsPart.ROUTES),
-                features == null ? null : features.part(SettingsPart.FLEET), features == null ? null
-                : features.part(SettingsPart.POLICY));
+            if (operators == null) return new LoadedConfig(readStartup(true), null, null, null, null, null);
+            OperatorsFile file = OperatorsFile.read(operators);
+            MembershipSettings membership = file.part(SettingsPart.MEMBERSHIP);
+            StartupConfig startup = readStartup(membership == null);
+            return new LoadedConfig(startup, file, membership, file.part(SettingsPart.ROUTES),
+                file.part(SettingsPart.FLEET), file.part(SettingsPart.POLICY));
+        }
+
+        private StartupConfig readStartup(boolean withoutMembership) throws StartupConfig.InvalidConfigException {
+            return config == null ? null : StartupConfig.read(config, listen, withoutMembership);
         }
     }
 
-    private record LoadedConfig(StartupConfig start, OperatorsFile features, MembershipSettings list, RouteRules routes,
-                        FleetSettings fleet, PolicySettings changes) { }
+    /** The two configuration files; null for each file or settings part that is not there. */
+    private record LoadedConfig(StartupConfig startup, OperatorsFile operators, MembershipSettings membership,
+                                RouteRules routes, FleetSettings fleet, PolicySettings policy) { }
 
-    /** What {@code serve} begins beside the director, and has to end: before it ends itself, and after. */
+    /** What {@code serve} runs beside the director, and stops before or after the director itself stops. */
     interface FleetService {
         default void beforeStop() { }
 
@@ -98,68 +111,42 @@
     }
 
     static int printError(OperatorsFile.InvalidOperatorsFileException e) {
-        for (String fault : e.problems()) printError(e.file() + ": " + fault);
+        for (String problem : e.problems()) printError(e.file() + ": " + problem);
         return USAGE;
     }
 
-    static int printError(String text) {
-        System.err.println("mothcross: " + text);
+    /** Prints an error; returns the exit status for it. */
+    static int printError(String message) {
+        System.err.println("mothcross: " + message);
         return USAGE;
     }
 
-    @Command(name = "serve", description = "One director on sockets, until SIGTERM.",
+    @Command(name = "serve", description = "Runs one director on sockets until SIGTERM.",
         mixinStandardHelpOptions = true)
     static final class Serve implements Callable<Integer> {
-        @CommandLine.Mixin private ConfigOptions told;
+        @CommandLine.Mixin private ConfigOptions options;
 
         @Option(names = "--fleet-relay", paramLabel = "HOST:PORT", hidden = true,
-            description = "of tests only: where messages to other directors go, led by their address")
+            description = "for tests only: sends messages to other directors here, each preceded by its address")
         private String relay;
 
         @Option(names = "--skew-ms", hidden = true, defaultValue = "0",
-            description = "of tests only: by how much its Unix clock is off for the fleet")
+            description = "for tests only: the error of this director's Unix clock within the fleet")
         private long skewMs;
 
         @Option(names = "--tell-plan", hidden = true,
-            description = "of tests only: answers name the plan that decided them")
+            description = "for tests only: answers name the plan that decided them")
         private boolean tellsPlan;
 
-        private volatile FleetService beside;
+        private volatile FleetService fleetService;
 
         @Override public Integer call() throws InterruptedException {
             try {
-                LoadedConfig both = told.read();
-                StartupConfig start = both.start;
-                if (start == null) return printError("no configuration: give --config or set ROUTER_CONFIG");
-                DirectorServer life = new DirectorServer(start, both.list, both.routes);
-                if (both.fleet != null) life.scaleLimits(0);  // until it knows which part is its own
-                Thread end = new Thread(() -> end(life), "end");
-                Runtime.getRuntime().addShutdownHook(end);      // before it serves: SIGTERM may come at once
-                CountDownLatch serves = new CountDownLatch(1);
-                Signal.handle(new Signal("HUP"), s -> reload(life, serves));
-                try {
-                    if (both.changes != null) beside = PolicyCommand.joinFleet(both.fleet, both.changes, start, life,
-                        relay, skewMs, tellsPlan, b -> beside = b);
-                    life.start();
-                } catch (java.io.IOException | StartupConfig.InvalidConfigException e) {
-                    Runtime.getRuntime().removeShutdownHook(end);
-                    return printError(e instanceof StartupConfig.InvalidConfigException ? e.getMessage()
-                        : "can't begin at " + start.listen + ": " + e.getMessage());
-                }
-                if (both.fleet != null && both.changes == null) {
-                    try {
-                        FleetNode n = FleetCommand.createNode(both.fleet, start, relay, skewMs, life::scaleLimits);
-                        n.start();
-                        beside = FleetCommand.closeBeforeStop(n);
-                    } catch (java.io.IOException e) {
-                        Runtime.getRuntime().removeShutdownHook(end);
-                        return printError("can't take part in the fleet at " + both.fleet.listen() + ": "
-                            + e.getMessage());
-                    }
+                LoadedConfig config = options.read();
+                if (config.startup == null) {
+                    return printError("no configuration: give --config or set ROUTER_CONFIG");
                 }
-                serves.countDown();
-                life.await();
-                return 0;
+                return serve(config);
             } catch (StartupConfig.InvalidConfigException e) {
                 return printError(e.getMessage());
             } catch (OperatorsFile.InvalidOperatorsFileException e) {
@@ -167,25 +154,60 @@
             }
         }
 
-        private synchronized void reload(DirectorServer life, CountDownLatch serves) {
+        private int serve(LoadedConfig config) throws InterruptedException, StartupConfig.InvalidConfigException {
+            StartupConfig startup = config.startup;
+            DirectorServer server = new DirectorServer(startup, config.membership, config.routes);
+            if (config.fleet != null) server.scaleLimits(0);    // until the director knows its share of the limits
+            Thread shutdown = new Thread(() -> shutDown(server), "end");
+            Runtime.getRuntime().addShutdownHook(shutdown);     // before the server starts: SIGTERM may come at once
+            CountDownLatch started = new CountDownLatch(1);
+            Signal.handle(new Signal("HUP"), signal -> reload(server, started));
             try {
-                serves.await();
-                LoadedConfig both = told.read();
-                life.reload(both.start, both.list, both.routes);
+                if (config.policy != null) {
+                    fleetService = PolicyCommand.joinFleet(config.fleet, config.policy, startup, server, relay, skewMs,
+                        tellsPlan, service -> fleetService = service);
+                }
+                server.start();
+            } catch (java.io.IOException | StartupConfig.InvalidConfigException e) {
+                Runtime.getRuntime().removeShutdownHook(shutdown);
+                return printError(e instanceof StartupConfig.InvalidConfigException ? e.getMessage()
+                    : "can't start at " + startup.listen + ": " + e.getMessage());
+            }
+            if (config.fleet != null && config.policy == null) {
+                try {
+                    FleetNode node = FleetCommand.createNode(config.fleet, startup, relay, skewMs,
+                        server::scaleLimits);
+                    node.start();
+                    fleetService = FleetCommand.closeBeforeStop(node);
+                } catch (java.io.IOException e) {
+                    Runtime.getRuntime().removeShutdownHook(shutdown);
+                    return printError("can't join the fleet at " + config.fleet.listen() + ": " + e.getMessage());
+                }
+            }
+            started.countDown();
+            server.await();
+            return 0;
+        }
+
+        private synchronized void reload(DirectorServer server, CountDownLatch started) {
+            try {
+                started.await();
+                LoadedConfig config = options.read();
+                server.reload(config.startup, config.membership, config.routes);
             } catch (StartupConfig.InvalidConfigException | OperatorsFile.InvalidOperatorsFileException e) {
-                life.reloadFailed(e.getMessage());
+                server.reloadFailed(e.getMessage());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
 
-        /** The signal's own exit status is not ours: what was taken is answered, then it ends with 0. */
-        private void end(DirectorServer life) {
+        /** Answers what was accepted, then halts with status 0 in place of the exit status of the signal. */
+        private void shutDown(DirectorServer server) {
             try {
-                FleetService b = beside;
-                if (b != null) b.beforeStop();
-                life.stop();
-                if (b != null) b.afterStop();
+                FleetService service = fleetService;
+                if (service != null) service.beforeStop();
+                server.stop();
+                if (service != null) service.afterStop();
                 Runtime.getRuntime().halt(0);
             } catch (InterruptedException e) {
                 Runtime.getRuntime().halt(1);
@@ -193,32 +215,34 @@
         }
     }
 
-    @Command(name = "check", description = "Reads a configuration and says what it holds, without serving.",
+    @Command(name = "check", description = "Reads a configuration and prints a summary of it, without serving.",
         mixinStandardHelpOptions = true)
     static final class Check implements Callable<Integer> {
-        @CommandLine.Mixin private ConfigOptions told;
+        @CommandLine.Mixin private ConfigOptions options;
 
-        @Option(names = "--show", description = "prints the operators' file as it was understood, defaults filled in")
+        @Option(names = "--show", description = "prints the operators' file with the defaults filled in")
         private boolean show;
 
         @Override public Integer call() {
             try {
-                LoadedConfig both = told.read();
-                StartupConfig s = both.start;
-                if (both.routes != null) {
-                    List<String> faults = new ArrayList<>();
-                    RouteTable t = ExprCommand.compile(both.routes, s, faults);
-                    for (String fault : faults) printError(fault);
-                    if (t == null) return USAGE;
-                    for (String note : t.notes()) System.err.println("mothcross: " + note);
+                LoadedConfig config = options.read();
+                StartupConfig startup = config.startup;
+                if (config.routes != null) {
+                    List<String> problems = new ArrayList<>();
+                    RouteTable table = ExprCommand.compile(config.routes, startup, problems);
+                    for (String problem : problems) printError(problem);
+                    if (table == null) return USAGE;
+                    for (String note : table.notes()) System.err.println("mothcross: " + note);
                 }
-                if (show && both.features != null) System.out.println(both.features.show());
-                if (s == null && both.features == null) {
+                if (show && config.operators != null) System.out.println(config.operators.show());
+                if (startup == null && config.operators == null) {
                     return printError("no configuration: give --config or set ROUTER_CONFIG, or --operators");
                 }
-                if (s != null) System.out.println(s.name + " listens on " + s.listen + ", discovery " + s.discovery
-                    + ", workloads " + s.directorSettings.workloads.keySet() + ", places " + s.directorSettings.zones
-                    + ", kinds " + s.directorSettings.kinds);
+                if (startup != null) {
+                    System.out.println(startup.name + " listens on " + startup.listen + ", discovery "
+                        + startup.discovery + ", workloads " + startup.directorSettings.workloads.keySet()
+                        + ", places " + startup.directorSettings.zones + ", kinds " + startup.directorSettings.kinds);
+                }
                 return 0;
             } catch (StartupConfig.InvalidConfigException e) {
                 return printError(e.getMessage());
@@ -228,7 +252,7 @@
         }
     }
 
-    @Command(name = "simhost", description = "Plays the simulator's wire on standard input and output.",
+    @Command(name = "simhost", description = "Speaks the simulator's protocol on standard input and output.",
         mixinStandardHelpOptions = true)
     static final class Sim implements Callable<Integer> {
         @Override public Integer call() throws Exception {
@@ -236,7 +260,7 @@
         }
     }
 
-    @Command(name = "version", description = "Says which version this is.")
+    @Command(name = "version", description = "Prints the version.")
     static final class VersionCommand implements Callable<Integer> {
         @Override public Integer call() {
             System.out.println(new Version().getVersion()[0]);
--- a/src/main/java/mothcross/cli/ToolLauncher.java
+++ b/src/main/java/mothcross/cli/ToolLauncher.java
@@ -13,34 +13,38 @@
 import java.util.stream.Stream;
 
 /**
- * Runs a tool with the libraries that only tools use, which lie beside those of a director and are not on its class
- * path. Owns the loader for that; must never be needed by {@code serve}.
+ * Runs a tool with libraries that only tools use. They lie beside the libraries of a director and are not on its class
+ * path; {@code serve} must not need this class.
  */
 final class ToolLauncher {
     private ToolLauncher() { }
 
-    /** Calls {@code run(String[])} of the class, loaded with all libraries. */
+    /** Loads the class with all libraries, calls its {@code run(String[])} and returns the exit status. */
     static int run(String className, String... args) throws Exception {
-        try (URLClassLoader all = new URLClassLoader(urls(), ClassLoader.getPlatformClassLoader())) {
-            Thread.currentThread().setContextClassLoader(all);
-            return (int) all.loadClass(className).getDeclaredMethod("run", String[].class).invoke(null, (Object) args);
+        try (URLClassLoader loader = new URLClassLoader(classPath(), ClassLoader.getPlatformClassLoader())) {
+            Thread.currentThread().setContextClassLoader(loader);
+            Class<?> tool = loader.loadClass(className);
+            return (int) tool.getDeclaredMethod("run", String[].class).invoke(null, (Object) args);
         }
     }
 
-    private static URL[] urls() throws IOException, URISyntaxException {
-        List<URL> all = new ArrayList<>();
-        for (String p : System.getProperty("java.class.path").split(File.pathSeparator)) add(all, Path.of(p));
+    private static URL[] classPath() throws IOException, URISyntaxException {
+        List<URL> urls = new ArrayList<>();
+        for (String entry : System.getProperty("java.class.path").split(File.pathSeparator)) {
+            urls.add(url(Path.of(entry)));
+        }
         Path here = Path.of(ToolLauncher.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-        for (Path lib : List.of(here.resolveSibling("lib"), here.resolveSibling("lib").resolve("more"))) {
-            if (!Files.isDirectory(lib)) continue;
-            try (Stream<Path> jars = Files.list(lib)) {
-                for (Path j : jars.filter(x -> x.toString().endsWith(".jar")).toList()) add(all, j);
+        Path libraries = here.resolveSibling("lib");
+        for (Path directory : List.of(libraries, libraries.resolve("more"))) {
+            if (!Files.isDirectory(directory)) continue;
+            try (Stream<Path> files = Files.list(directory)) {
+                for (Path jar : files.filter(file -> file.toString().endsWith(".jar")).toList()) urls.add(url(jar));
             }
         }
-        return all.toArray(URL[]::new);
+        return urls.toArray(URL[]::new);
     }
 
-    private static void add(List<URL> all, Path p) throws MalformedURLException {
-        all.add(p.toUri().toURL());
+    private static URL url(Path path) throws MalformedURLException {
+        return path.toUri().toURL();
     }
 }
