--- a/src/main/java/mothcross/cli/ListCommand.java
+++ b/src/main/java/mothcross/cli/ListCommand.java
@@ -19,105 +19,130 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code mothcross list}: looks at a kept list as a director would that starts now. Must never change it. */
-@Command(name = "list", description = "Looks at a kept list of boxes.", mixinStandardHelpOptions = true,
+/** {@code mothcross list}: reads a membership snapshot as a director that starts now would, without changing it. */
+@Command(name = "list", description = "Shows a membership snapshot.", mixinStandardHelpOptions = true,
     subcommands = {ListCommand.Show.class, ListCommand.Verify.class})
 final class ListCommand implements Callable<Integer> {
-    /** Exit states: a director could start from it now; it can be read, but nothing in it is usable; it can't. */
-    static final int USABLE = 0, TOO_OLD = 1, UNREADABLE = 3;
+    /** Exit status: a director could start from the snapshot now. */
+    static final int USABLE = 0;
+    /** Exit status: the snapshot can be read, but no node in it is usable. */
+    static final int TOO_OLD = 1;
+    /** Exit status: the snapshot cannot be read. */
+    static final int UNREADABLE = 3;
+    private static final int USAGE = 2;
+    /** An age of this or more means that the event never took place. */
+    private static final double NEVER_MS = 1e15;
+    private static final int HOUR_S = 3600;
+    private static final int DAY_S = 86_400;
+    private static final int MAX_SHOWN_AS_SECONDS_S = 600;
+    private static final int MAX_SHOWN_AS_HOURS_S = 2 * DAY_S;
 
     @picocli.CommandLine.Spec private picocli.CommandLine.Model.CommandSpec spec;
 
     @Override public Integer call() {
         spec.commandLine().usage(System.err);
-        return 2;
+        return USAGE;
     }
 
     private static final class SnapshotOptions {
-        @Parameters(paramLabel = "FILE", description = "the kept list") private Path file;
+        @Parameters(paramLabel = "FILE", description = "the membership snapshot")
+        private Path file;
 
-        @Option(names = "--operators", paramLabel = "FILE", description = "whose ages count, and which fleet")
+        @Option(names = "--operators", paramLabel = "FILE",
+            description = "the operators' file, for the age limits and the fleet's name")
         private Path operators;
 
-        @Option(names = "--director", paramLabel = "NAME",
-            description = "whose list it has to be") private String director;
+        @Option(names = "--director", paramLabel = "NAME", description = "the director that has to have written it")
+        private String director;
+
         private AgeLimits ages = AgeLimits.DEFAULTS;
 
-        SnapshotFormat.Result read(double now) throws OperatorsFile.InvalidOperatorsFileException {
-            MembershipSettings r = operators == null ? null
+        SnapshotFormat.Result read(double nowMs) throws OperatorsFile.InvalidOperatorsFileException {
+            MembershipSettings settings = operators == null ? null
                 : OperatorsFile.read(operators).part(SettingsPart.MEMBERSHIP);
-            if (r != null) ages = r.ages();
-            return new SnapshotFileStore(file, r == null ? null : r.fleet(), director).read(now, ages.clockSkewMs());
+            if (settings != null) ages = settings.ages();
+            String fleet = settings == null ? null : settings.fleet();
+            return new SnapshotFileStore(file, fleet, director).read(nowMs, ages.clockSkewMs());
         }
 
-        Membership believed(MembershipSnapshot kept, double now) {
-            Membership m = new Membership(ages, Double.MAX_VALUE, new SplittableRandom(0), (e, was, is, cold, why) ->
-                { });
-            m.restore(kept, now);
-            return m;
+        /** The membership that a director would restore from the snapshot. */
+        Membership restore(MembershipSnapshot snapshot, double nowMs) {
+            Membership membership = new Membership(ages, Double.MAX_VALUE, new SplittableRandom(0),
+                (node, before, after, cold, reason) -> { });
+            membership.restore(snapshot, nowMs);
+            return membership;
         }
     }
 
-    private static int refused(SnapshotOptions which, SnapshotFormat.Result r) {
-        System.err.println("mothcross: " + which.file + ": " + (r == null ? "there is no such file"
-            : r.error() + ", " + r.text()));
+    private static int reportUnreadable(SnapshotOptions options, SnapshotFormat.Result result) {
+        String reason = result == null ? "there is no such file" : result.error() + ", " + result.text();
+        System.err.println("mothcross: " + options.file + ": " + reason);
         return UNREADABLE;
     }
 
-    private static int state(Membership m) {
-        return m.entries().stream().anyMatch(t -> m.stateOf(t.id()).usable()) ? USABLE : TOO_OLD;
+    private static int exitStatus(Membership membership) {
+        boolean anyUsable = membership.entries().stream().anyMatch(node -> membership.stateOf(node.id()).usable());
+        return anyUsable ? USABLE : TOO_OLD;
     }
 
-    private static String age(double ms) {
-        if (!(ms < 1e15)) return "never";
-        double s = ms / 1000;
-        if (s < 600) return String.format(Locale.ROOT, "%.1f s", s);
-        if (s < 2 * 86_400) return String.format(Locale.ROOT, "%.1f h", s / 3600);
-        return String.format(Locale.ROOT, "%.1f d", s / 86_400);
+    private static String formatAge(double ageMs) {
+        if (!(ageMs < NEVER_MS)) return "never";
+        double ageS = ageMs / 1000;
+        if (ageS < MAX_SHOWN_AS_SECONDS_S) return String.format(Locale.ROOT, "%.1f s", ageS);
+        if (ageS < MAX_SHOWN_AS_HOURS_S) return String.format(Locale.ROOT, "%.1f h", ageS / HOUR_S);
+        return String.format(Locale.ROOT, "%.1f d", ageS / DAY_S);
     }
 
-    @Command(name = "show", description = "The entries, with age, standing and why.", mixinStandardHelpOptions = true)
+    @Command(name = "show", description = "Prints the entries with their ages, states and reasons.",
+        mixinStandardHelpOptions = true)
     static final class Show implements Callable<Integer> {
-        @picocli.CommandLine.Mixin private SnapshotOptions which;
+        @picocli.CommandLine.Mixin private SnapshotOptions options;
 
         @Override public Integer call() throws OperatorsFile.InvalidOperatorsFileException {
-            double now = System.currentTimeMillis();
-            SnapshotFormat.Result r = which.read(now);
-            if (r == null || r.snapshot() == null) return refused(which, r);
-            MembershipSnapshot k = r.snapshot();
-            Membership m = which.believed(k, now);
+            double nowMs = System.currentTimeMillis();
+            SnapshotFormat.Result result = options.read(nowMs);
+            if (result == null || result.snapshot() == null) return reportUnreadable(options, result);
+            MembershipSnapshot snapshot = result.snapshot();
+            Membership membership = options.restore(snapshot, nowMs);
             System.out.printf(Locale.ROOT, "fleet %s, director %s, event %d, written %s ago, discovery heard %s ago, "
-                + "%d boxes, %d purges%n", k.fleet(), k.director(), k.lastEvent(), age(now - k.savedAt()),
-                age(now - k.confirmedAt()), k.entries().size(), k.purges().size());
+                + "%d boxes, %d purges%n", snapshot.fleet(), snapshot.director(), snapshot.lastEvent(),
+                formatAge(nowMs - snapshot.savedAt()), formatAge(nowMs - snapshot.confirmedAt()),
+                snapshot.entries().size(), snapshot.purges().size());
             System.out.printf("%-12s %-21s %-10s %-10s %-9s %-9s %-9s %-9s %s%n", "box", "address", "place", "kind",
                 "standing", "told", "answered", "started", "why");
-            m.entries().stream().sorted(Comparator.comparing(ListedNode::id)).forEach(t -> System.out.printf(
-                "%-12s %-21s %-10s %-10s %-9s %-9s %-9s %-9s %s%n", t.id(), t.address(), t.zone(), t.kind(),
-                m.stateOf(t.id()).word(),
-                age(now - (t.confirmed() ? Math.max(t.listedAt(), k.confirmedAt()) : t.listedAt())),
-                t.answeredAt() == 0 ? "-" : age(now - t.answeredAt()),
-                t.startedAt() == 0 ? "-" : age(now - t.startedAt()), m.reason(t.id())));
-            return state(m);
+            membership.entries().stream().sorted(Comparator.comparing(ListedNode::id))
+                .forEach(node -> printEntry(node, membership, snapshot.confirmedAt(), nowMs));
+            return exitStatus(membership);
+        }
+
+        private static void printEntry(ListedNode node, Membership membership, double confirmedAt, double nowMs) {
+            double listedAt = node.confirmed() ? Math.max(node.listedAt(), confirmedAt) : node.listedAt();
+            String answered = node.answeredAt() == 0 ? "-" : formatAge(nowMs - node.answeredAt());
+            String started = node.startedAt() == 0 ? "-" : formatAge(nowMs - node.startedAt());
+            System.out.printf("%-12s %-21s %-10s %-10s %-9s %-9s %-9s %-9s %s%n", node.id(), node.address(),
+                node.zone(), node.kind(), membership.stateOf(node.id()).word(), formatAge(nowMs - listedAt), answered,
+                started, membership.reason(node.id()));
         }
     }
 
-    @Command(name = "verify", description = "Says whether a director could start from it now: exit 0 yes, 1 all in it "
-        + "is too old, drains or is gone, 3 it can't be used.", mixinStandardHelpOptions = true)
+    @Command(name = "verify", description = "Checks whether a director could start from the snapshot now: exit 0 yes; "
+        + "1 all its nodes are too old, draining or gone; 3 it can't be read.", mixinStandardHelpOptions = true)
     static final class Verify implements Callable<Integer> {
-        @picocli.CommandLine.Mixin private SnapshotOptions which;
+        @picocli.CommandLine.Mixin private SnapshotOptions options;
 
         @Override public Integer call() throws OperatorsFile.InvalidOperatorsFileException {
-            double now = System.currentTimeMillis();
-            SnapshotFormat.Result r = which.read(now);
-            if (r == null || r.snapshot() == null) return refused(which, r);
-            Membership m = which.believed(r.snapshot(), now);
-            StringBuilder s = new StringBuilder();
-            for (NodeState x : NodeState.values()) {
-                if (m.count(x) > 0) s.append(' ').append(x.word()).append(' ').append(m.count(x));
+            double nowMs = System.currentTimeMillis();
+            SnapshotFormat.Result result = options.read(nowMs);
+            if (result == null || result.snapshot() == null) return reportUnreadable(options, result);
+            Membership membership = options.restore(result.snapshot(), nowMs);
+            StringBuilder counts = new StringBuilder();
+            for (NodeState state : NodeState.values()) {
+                int count = membership.count(state);
+                if (count > 0) counts.append(' ').append(state.word()).append(' ').append(count);
             }
-            int state = state(m);
-            System.out.println((state == USABLE ? "usable:" : "nothing usable:") + s);
-            return state;
+            int exitStatus = exitStatus(membership);
+            System.out.println((exitStatus == USABLE ? "usable:" : "nothing usable:") + counts);
+            return exitStatus;
         }
     }
 }
