--- a/src/main/java/mothcross/cli/EmulateCommand.java
+++ b/src/main/java/mothcross/cli/EmulateCommand.java
@@ -21,81 +21,100 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code mothcross emulate}: plays an emulated fleet in virtual time, with faults, for one policy or several. */
-@Command(name = "emulate", description = "Plays an emulated fleet in virtual time; its figures are its own.",
+/** {@code mothcross emulate}: simulates a fleet in virtual time, with faults, for one policy or several. */
+@Command(name = "emulate", description = "Simulates a fleet in virtual time; its figures hold for the simulation only.",
     mixinStandardHelpOptions = true)
 final class EmulateCommand implements Callable<Integer> {
-    private static final int USAGE = 2, RULE_BROKEN = 1;
+    private static final int OK = 0;
+    private static final int RULE_BROKEN = 1;
+    private static final String AGAINST = "against";
+    /** A shrunk scenario has to keep this share of the badness of the worst one. */
+    private static final double KEPT_BADNESS_SHARE = 0.8;
 
-    @Option(names = "--set", paramLabel = "NAME=VALUE", description = "a value of the town, as often as needed")
+    @Option(names = "--set", paramLabel = "NAME=VALUE", description = "sets a parameter of the scenario; may be given "
+        + "more than once")
     private Map<String, Double> set = new LinkedHashMap<>();
 
-    @Option(names = "--faults", paramLabel = "FILE", description = "what goes wrong, a line each") private Path faults;
+    @Option(names = "--faults", paramLabel = "FILE", description = "the faults, one a line")
+    private Path faults;
 
-    @Option(names = "--draw", paramLabel = "N", description = "so many faults drawn by the seed, in place of a file")
+    @Option(names = "--draw", paramLabel = "N", description = "this many random faults, in place of a file")
     private int draw;
 
     @Option(names = "--policy", paramLabel = "NAME", description = "decide, random, least-out, rendezvous, threshold, "
-        + "no-cold-budget, all-hops; as often as needed") private List<String> policies = List.of("decide");
+        + "no-cold-budget, all-hops; may be given more than once")
+    private List<String> policies = List.of("decide");
 
     @Option(names = "--against", paramLabel = "JAR", description = "an earlier build's module, as policy 'against'")
     private Path against;
 
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1") private long seed;
+    @Option(names = "--seed", paramLabel = "N", defaultValue = "1")
+    private long seed;
 
     @Option(names = "--hunt", paramLabel = "N",
-        description = "plays so many drawn days and prints the worst, shrunk to what "
-        + "still shows it") private int hunt;
+        description = "simulates this many random scenarios and prints the worst, shrunk to what still shows it")
+    private int hunt;
 
-    @Option(names = "--by-second", description = "the share handled in time, second by second")
+    @Option(names = "--by-second", description = "prints the share handled in time, second by second")
     private boolean bySecond;
 
     @Override public Integer call() throws IOException {
-        ScenarioParameters town = new ScenarioParameters();
-        FaultSchedule script;
+        ScenarioParameters parameters = new ScenarioParameters();
+        FaultSchedule schedule;
         try {
-            for (Map.Entry<String, Double> e : set.entrySet()) town = town.with(e.getKey(), e.getValue());
-            script = faults != null ? FaultSchedule.of(Files.readString(faults))
-                : FaultSchedule.drawn(new SplittableRandom(seed), draw, town);
+            for (Map.Entry<String, Double> entry : set.entrySet()) {
+                parameters = parameters.with(entry.getKey(), entry.getValue());
+            }
+            schedule = faults != null ? FaultSchedule.of(Files.readString(faults))
+                : FaultSchedule.drawn(new SplittableRandom(seed), draw, parameters);
         } catch (IllegalArgumentException e) {
             return Main.printError(e.getMessage());
         }
         if (against != null) {
-            Baselines.ALL.put("against", new EarlierBuild(against).policy());
+            Baselines.ALL.put(AGAINST, new EarlierBuild(against).policy());
             policies = new ArrayList<>(policies);
-            if (!policies.contains("against")) policies.add("against");
+            if (!policies.contains(AGAINST)) policies.add(AGAINST);
         }
-        boolean kept = true;
-        if (hunt > 0) return hunt(town);
-        System.out.print(script);
+        if (hunt > 0) return hunt(parameters);
+        System.out.print(schedule);
+        boolean allRulesHeld = true;
         for (String name : policies) {
-            DirectorFactory p = Baselines.ALL.get(name);
-            if (p == null) return Main.printError("no policy '" + name + "'; there are " + Baselines.ALL.keySet());
-            long begun = System.nanoTime();
-            SimulationResult r = Simulation.play(town, script, p, seed);
-            System.out.println(name + ": " + r.line());
-            for (String f : r.first) System.out.println("  " + f);
-            if (bySecond) {
-                for (int s = 0; s < town.values().get("seconds"); s++) {
-                    System.out.printf(Locale.ROOT, "  %d s %.3f%n", s, r.inTime(s, s + 1));
-                }
-            }
-            System.err.printf(Locale.ROOT, "%.1f s%n", (System.nanoTime() - begun) / 1e9);
-            kept &= r.first.isEmpty();
+            DirectorFactory policy = Baselines.ALL.get(name);
+            if (policy == null) return unknownPolicy(name);
+            long startNs = System.nanoTime();
+            SimulationResult result = Simulation.play(parameters, schedule, policy, seed);
+            print(name, result, parameters);
+            System.err.printf(Locale.ROOT, "%.1f s%n", (System.nanoTime() - startNs) / 1e9);
+            allRulesHeld &= result.first.isEmpty();
+        }
+        return allRulesHeld ? OK : RULE_BROKEN;
+    }
+
+    private static int unknownPolicy(String name) {
+        return Main.printError("no policy '" + name + "'; there are " + Baselines.ALL.keySet());
+    }
+
+    private void print(String policyName, SimulationResult result, ScenarioParameters parameters) {
+        System.out.println(policyName + ": " + result.line());
+        for (String brokenRule : result.first) System.out.println("  " + brokenRule);
+        if (!bySecond) return;
+        for (int second = 0; second < parameters.values().get("seconds"); second++) {
+            System.out.printf(Locale.ROOT, "  %d s %.3f%n", second, result.inTime(second, second + 1));
         }
-        return kept ? 0 : RULE_BROKEN;
     }
 
-    private int hunt(ScenarioParameters town) {
+    private int hunt(ScenarioParameters parameters) {
         for (String name : policies) {
-            DirectorFactory p = Baselines.ALL.get(name);
-            if (p == null) return Main.printError("no policy '" + name + "'; there are " + Baselines.ALL.keySet());
-            WorstCaseSearch.Found worst = WorstCaseSearch.worst(town, p, hunt, seed, WorstCaseSearch::badness);
-            WorstCaseSearch.Found shrunk = WorstCaseSearch.shrink(town, p, worst, WorstCaseSearch::badness, 0.8);
+            DirectorFactory policy = Baselines.ALL.get(name);
+            if (policy == null) return unknownPolicy(name);
+            WorstCaseSearch.Found worst = WorstCaseSearch.worst(parameters, policy, hunt, seed,
+                WorstCaseSearch::badness);
+            WorstCaseSearch.Found shrunk = WorstCaseSearch.shrink(parameters, policy, worst,
+                WorstCaseSearch::badness, KEPT_BADNESS_SHARE);
             System.out.printf(Locale.ROOT, "# %s: the worst of %d days is seed %d, badness %.3f; shrunk to %.3f "
                 + "after %d runs%n%s",
                 name, hunt, worst.seed(), worst.badness(), shrunk.badness(), shrunk.played(), shrunk.script());
         }
-        return 0;
+        return OK;
     }
 }
