--- a/src/main/java/mothcross/cli/ListCommand.java
+++ b/src/main/java/mothcross/cli/ListCommand.java
@@ -120,7 +120,7 @@
             String answered = node.answeredAt() == 0 ? "-" : formatAge(nowMs - node.answeredAt());
             String started = node.startedAt() == 0 ? "-" : formatAge(nowMs - node.startedAt());
             System.out.printf("%-12s %-21s %-10s %-10s %-9s %-9s %-9s %-9s %s%n", node.id(), node.address(),
-                node.zone(), node.kind(), membership.stateOf(node.id()).word(), formatAge(nowMs - listedAt), answered,
+                node.zone(), node.kind(), membership.stateOf(node.id()).label(), formatAge(nowMs - listedAt), answered,
                 started, membership.reason(node.id()));
         }
     }
@@ -138,7 +138,7 @@
             StringBuilder counts = new StringBuilder();
             for (NodeState state : NodeState.values()) {
                 int count = membership.count(state);
-                if (count > 0) counts.append(' ').append(state.word()).append(' ').append(count);
+                if (count > 0) counts.append(' ').append(state.label()).append(' ').append(count);
             }
             int exitStatus = exitStatus(membership);
             System.out.println((exitStatus == USABLE ? "usable:" : "nothing usable:") + counts);
--- a/src/main/java/mothcross/cli/RequestHead.java
+++ b/src/main/java/mothcross/cli/RequestHead.java
@@ -94,7 +94,7 @@
                 default -> { }
             }
         } catch (NumberFormatException e) {
-            frame.absent(slot);
+            frame.putAbsent(slot);
         }
     }
 
--- a/src/main/java/mothcross/expr/Compiler.java
+++ b/src/main/java/mothcross/expr/Compiler.java
@@ -66,7 +66,7 @@
     private Node fold(Node n) {
         if (!n.constant() || n instanceof Node.Const) return n;
         Frame f = new Frame(program);
-        f.begin((number, into, slot) -> into.absent(slot), 0);
+        f.begin((number, into, slot) -> into.putAbsent(slot), 0);
         n.need(f);
         if (n.type.optional()) return n;
         byte[] b = n.type.kind() == Kind.BYTES ? Arrays.copyOfRange(f.bytes[n.slot], f.from[n.slot], f.to[n.slot])
@@ -159,7 +159,7 @@
             return fold(program.same(key("!", a), () -> new Node.Logic('!', a, null)));
         }
         Node a = there(t.a());
-        boolean number = a.type.kind() == Kind.INT || a.type.fraction();
+        boolean number = a.type.kind() == Kind.INT || a.type.isFractional();
         if (!number) throw bad(t.a(), "'-' takes a number, this is " + a.type, null);
         Node zero = constant(a.type, 0, 0, null);
         return fold(program.same(key("-", zero, a), () -> new Node.Sum(a.type, '-', zero, a)));
@@ -227,9 +227,9 @@
         boolean xs = x == Kind.INT || x == Kind.DOUBLE, ys = y == Kind.INT || y == Kind.DOUBLE;
         Type type = null;
         if (xs && ys) type = x == Kind.INT && y == Kind.INT ? Type.INT : Type.DOUBLE;
-        else if (x == y && a.type.fraction()) type = op == '+' || op == '-' ? a.type : op == '/' ? Type.DOUBLE : null;
-        else if (a.type.fraction() && ys && (op == '*' || op == '/')) type = a.type;
-        else if (b.type.fraction() && xs && op == '*') type = b.type;
+        else if (x == y && a.type.isFractional()) type = op == '+' || op == '-' ? a.type : op == '/' ? Type.DOUBLE : null;
+        else if (a.type.isFractional() && ys && (op == '*' || op == '/')) type = a.type;
+        else if (b.type.isFractional() && xs && op == '*') type = b.type;
         if (type == null) throw bad(t, "'" + op + "' is not defined for " + a.type + " and " + b.type, null);
         boolean divides = op == '/' || op == '%';
         if (divides && type == Type.INT && !(b instanceof Node.Const k && k.whole != 0)) {
@@ -277,7 +277,7 @@
             return fold(program.same(key(t.op(), a, b), () -> new Node.Same(a, b, t.op().equals("!="), own)));
         }
         boolean numbers = (x == Kind.INT || x == Kind.DOUBLE) && (y == Kind.INT || y == Kind.DOUBLE);
-        boolean fits = numbers || x == y && (a.type.fraction() || x == Kind.BOOL && same);
+        boolean fits = numbers || x == y && (a.type.isFractional() || x == Kind.BOOL && same);
         if (!fits) {
             throw bad(t, "'" + t.op() + "' does not compare " + a.type + " with " + b.type,
                 x == Kind.BYTES && y == Kind.INT ? "decimal(x) ?? 0 makes a number of digits" : null);
@@ -289,7 +289,7 @@
         Node a = there(t.a());
         if (t.b() instanceof SyntaxTree.Range r) {
             Node.Const low = constantOf(r.low(), a), high = constantOf(r.high(), a);
-            boolean none = a.type.fraction() ? low.number > high.number : low.whole > high.whole;
+            boolean none = a.type.isFractional() ? low.number > high.number : low.whole > high.whole;
             if (none) {
                 notes.add("'" + text.substring(t.from(), t.to()) + "' is never true: the range is empty");
                 return constant(Type.BOOL, 0, 0, null);
@@ -382,7 +382,7 @@
             case "cut" -> {
                 args(t, 1, 1);
                 Node a = compile(t.args().get(0));
-                boolean may = a instanceof Node.Read r && r.input.past() == Inputs.Overflow.TRUNCATE
+                boolean may = a instanceof Node.Read r && r.input.overflow() == Inputs.Overflow.TRUNCATE
                     && a.type.kind() == Kind.BYTES && a.type.maxLength() != Type.UNBOUNDED;
                 if (!may) throw bad(t.args().get(0), "is no input that is cut at a bound",
                     "declare it with past: 'cut'");
--- a/src/main/java/mothcross/expr/Dispatch.java
+++ b/src/main/java/mothcross/expr/Dispatch.java
@@ -81,7 +81,7 @@
     }
 
     /** The same by trying all in order: what {@link #first} has to equal. */
-    public int plainly(Frame f) {
+    public int firstByLinearScan(Frame f) {
         for (int i = 0; i < all.length; i++) if (all[i].evaluateBoolean(f)) return i;
         return -1;
     }
@@ -96,7 +96,7 @@
         } else if (n instanceof Node.Among a) {
             if (a.wholes != null) into.add(new Asks(a.a, Form.WHOLE, null, 0, 0, a.wholes));
             else into.add(new Asks(a.a, Form.TEXT, Arrays.stream(a.texts).filter(t -> t != null).toList(), 0, 0, null));
-        } else if (n instanceof Node.Within w && !w.a.type.fraction()) {
+        } else if (n instanceof Node.Within w && !w.a.type.isFractional()) {
             into.add(new Asks(w.a, Form.WHOLE, null, w.lowWhole, w.highWhole, null));
         } else if (n instanceof Node.Stands s && s.where == '^') {
             into.add(new Asks(s.a, Form.PREFIX, List.of(s.what), 0, 0, null));
--- a/src/main/java/mothcross/expr/Frame.java
+++ b/src/main/java/mothcross/expr/Frame.java
@@ -24,7 +24,7 @@
     /** Unix ms, for times of day. */
     double now;
     long steps;
-    private String past;                    // an input that was longer than its bound, where that refuses
+    private String overflowedInput;                    // an input that was longer than its bound, where that refuses
     final boolean[] cut;                    // an input that was longer than its bound and cut there
 
     public Frame(Program p) {
@@ -49,7 +49,7 @@
         request = r;
         now = at;
         steps = 0;
-        past = null;
+        overflowedInput = null;
     }
 
     /** Lets go of the request. */
@@ -80,17 +80,17 @@
         there[slot] = true;
     }
 
-    public void absent(int slot) {
+    public void putAbsent(int slot) {
         there[slot] = false;
     }
 
-    void past(String input) {
-        past = input;
+    void overflowedInput(String input) {
+        overflowedInput = input;
     }
 
     /** The input that was longer than it may be, or null. */
-    public String past() {
-        return past;
+    public String overflowedInput() {
+        return overflowedInput;
     }
 
     /** Steps taken since {@link #begin}. */
--- a/src/main/java/mothcross/expr/Inputs.java
+++ b/src/main/java/mothcross/expr/Inputs.java
@@ -12,7 +12,7 @@
     public enum Overflow { REJECT, TRUNCATE }
 
     /** {@code number} is what {@link Frame.Request} knows it by. */
-    public record Input(String name, Type type, int number, Overflow past, boolean same) { }
+    public record Input(String name, Type type, int number, Overflow overflow, boolean stableOnRetry) { }
 
     private final Map<String, Input> all = new LinkedHashMap<>();
     private int headers;
--- a/src/main/java/mothcross/expr/Node.java
+++ b/src/main/java/mothcross/expr/Node.java
@@ -63,7 +63,7 @@
 
     final double number(Frame f) {
         need(f);
-        return type.fraction() ? f.number[slot] : f.whole[slot];
+        return type.isFractional() ? f.number[slot] : f.whole[slot];
     }
 
     final int length(Frame f) {
@@ -81,8 +81,8 @@
     final void like(Frame f, Node n) {
         n.need(f);
         f.there[slot] = f.there[n.slot];
-        f.whole[slot] = n.type.fraction() == type.fraction() ? f.whole[n.slot] : (long) f.number[n.slot];
-        f.number[slot] = n.type.fraction() ? f.number[n.slot] : f.whole[n.slot];
+        f.whole[slot] = n.type.isFractional() == type.isFractional() ? f.whole[n.slot] : (long) f.number[n.slot];
+        f.number[slot] = n.type.isFractional() ? f.number[n.slot] : f.whole[n.slot];
         f.bytes[slot] = f.bytes[n.slot];
         f.from[slot] = f.from[n.slot];
         f.to[slot] = f.to[n.slot];
@@ -135,7 +135,7 @@
             if (type.kind() != Type.Kind.BYTES || length(f) <= type.maxLength()) return;
             f.to[slot] = f.from[slot] + (int) type.maxLength();
             f.cut[slot] = true;
-            if (input.past() == Inputs.Overflow.REJECT) f.past(input.name());
+            if (input.overflow() == Inputs.Overflow.REJECT) f.overflowedInput(input.name());
         }
     }
 
@@ -228,7 +228,7 @@
         }
 
         @Override void compute(Frame f) {
-            if (type.fraction()) {
+            if (type.isFractional()) {
                 double x = a.number(f), y = b.number(f);
                 f.put(slot, switch (op) {
                     case '+' -> x + y;
@@ -280,7 +280,7 @@
             this.op = op;
             this.a = a;
             this.b = b;
-            fraction = a.type.fraction() || b.type.fraction();
+            fraction = a.type.isFractional() || b.type.isFractional();
             less = op.charAt(0) == '<';
             equal = op.endsWith("=");
             not = op.charAt(0) == '!';
@@ -308,14 +308,14 @@
         Within(Node a, Const low, Const high) {
             super(Type.BOOL, 1, a);
             this.a = a;
-            this.low = low.type.fraction() ? low.number : low.whole;
-            this.high = high.type.fraction() ? high.number : high.whole;
+            this.low = low.type.isFractional() ? low.number : low.whole;
+            this.high = high.type.isFractional() ? high.number : high.whole;
             this.lowWhole = low.whole;
             this.highWhole = high.whole;
         }
 
         @Override void compute(Frame f) {
-            if (a.type.fraction()) {
+            if (a.type.isFractional()) {
                 double x = a.number(f);
                 is(f, x >= low && x <= high);
             } else {
@@ -442,7 +442,7 @@
         private final int number, most;
 
         Piece(Node a, byte[] at, int number, int most, long own) {
-            super(a.type.there().asOptional(), own, a);
+            super(a.type.asRequired().asOptional(), own, a);
             this.a = a;
             this.at = at;
             this.number = number;
@@ -460,7 +460,7 @@
                     return;
                 }
                 if (end == to) {
-                    f.absent(slot);
+                    f.putAbsent(slot);
                     return;
                 }
                 begin = end + at.length;
@@ -561,7 +561,7 @@
         @Override void compute(Frame f) {
             a.need(f);
             int n = a.length(f);
-            f.absent(slot);
+            f.putAbsent(slot);
             if (n == 0 || n > most) return;
             long v = 0;
             for (int i = f.from[a.slot]; i < f.to[a.slot]; i++) {
--- a/src/main/java/mothcross/expr/Program.java
+++ b/src/main/java/mothcross/expr/Program.java
@@ -27,7 +27,7 @@
             return root.type;
         }
 
-        public long cost() {
+        public long worstCaseSteps() {
             return root.cost;
         }
 
@@ -49,11 +49,11 @@
             return root.truth(f);
         }
 
-        public long whole(Frame f) {
+        public long evaluateLong(Frame f) {
             return root.whole(f);
         }
 
-        public double number(Frame f) {
+        public double evaluateDouble(Frame f) {
             return root.number(f);
         }
 
@@ -90,7 +90,7 @@
     }
 
     /** A name for an expression that others may use; it may use those named before it. */
-    public void name(String name, String text) throws ExpressionException {
+    public void define(String name, String text) throws ExpressionException {
         SyntaxTree t = Parser.parse(text);
         new Compiler(this, text).compile(t);
         names.put(name, t);
@@ -150,7 +150,7 @@
     }
 
     private static String differs(Node n) {
-        if (n instanceof Node.Read r) return r.input.same() ? null : r.input.name();
+        if (n instanceof Node.Read r) return r.input.stableOnRetry() ? null : r.input.name();
         if (n instanceof Node.Clock) return "the time";
         for (Node p : n.parts) {
             String d = differs(p);
@@ -160,7 +160,7 @@
     }
 
     /** What each part of an expression came to, outermost first, for explaining. */
-    public static List<String> parts(Expression e, Frame f) {
+    public static List<String> explain(Expression e, Frame f) {
         List<String> all = new ArrayList<>();
         list(e.root, f, 0, all);
         return all;
--- a/src/main/java/mothcross/expr/Type.java
+++ b/src/main/java/mothcross/expr/Type.java
@@ -24,7 +24,7 @@
         return new Type(kind, true, maxLength);
     }
 
-    public Type there() {
+    public Type asRequired() {
         return new Type(kind, false, maxLength);
     }
 
@@ -33,7 +33,7 @@
     }
 
     /** Kinds that are held as a number with a fraction. */
-    boolean fraction() {
+    boolean isFractional() {
         return kind == Kind.DOUBLE || kind == Kind.DURATION || kind == Kind.SIZE;
     }
 
--- a/src/main/java/mothcross/membership/ListedNode.java
+++ b/src/main/java/mothcross/membership/ListedNode.java
@@ -13,20 +13,20 @@
         return host + ':' + port;
     }
 
-    ListedNode as(int standing, double at) {
+    ListedNode withStatus(int standing, double at) {
         return new ListedNode(id, host, port, zone, kind, cell, standing, units, startedAt, at, answeredAt, confirmed);
     }
 
-    ListedNode answered(double at) {
+    ListedNode withAnsweredAt(double at) {
         return new ListedNode(id, host, port, zone, kind, cell, status, units, startedAt, listedAt, at, confirmed);
     }
 
-    ListedNode started(double at) {
+    ListedNode withStartedAt(double at) {
         return new ListedNode(id, host, port, zone, kind, cell, status, units, at, listedAt, answeredAt, confirmed);
     }
 
     /** No longer stood behind: it ages from when discovery last did. */
-    ListedNode unbacked(double heardAt) {
+    ListedNode unconfirmed(double heardAt) {
         return new ListedNode(id, host, port, zone, kind, cell, status, units, startedAt, Math.max(listedAt, heardAt),
             answeredAt,
             false);
--- a/src/main/java/mothcross/membership/Membership.java
+++ b/src/main/java/mothcross/membership/Membership.java
@@ -14,15 +14,15 @@
 /**
  * What is believed about the boxes of the fleet while discovery may be down: the list, how old each entry's
  * word is, what the boxes show of themselves, and what news changes. States and moves stand at {@link NodeEntry}
- * and {@link NodeState}. It is told the time, the chance and all news, and says through {@link Changes} what
+ * and {@link NodeState}. It is told the time, the chance and all news, and says through {@link Listener} what
  * changes for the module. Must never read a clock, a file or a socket, never apply an event twice, and never
  * hold up or soften a drain.
  */
 public final class Membership {
     /** What the module, the log and the disk are told. */
-    public interface Changes {
+    public interface Listener {
         /** The entry's use, address or start is another one than was said before. */
-        void changed(ListedNode entry, NodeState was, NodeState is, double coldSince, String why);
+        void stateChanged(ListedNode entry, NodeState was, NodeState is, double coldSince, String why);
     }
 
     /** What became of a list or event of discovery. */
@@ -33,24 +33,24 @@
 
     private AgeLimits ages;
     private final SplittableRandom chance;
-    private final Changes changes;
+    private final Listener changes;
     private final double purgesRunMs;
     private final Map<String, NodeEntry> beliefs = new LinkedHashMap<>();  // by id; what is gone leaves by age
     private final Map<String, NodeEntry> byAddress = new HashMap<>();      // the one box that is at an address
     private final List<Purge> purges = new ArrayList<>();                  // in the order told; run out by time
     private PMap<String, ListedNode> kept = HashTreePMap.empty();
-    private long number;
-    private double heardAt = Double.NEGATIVE_INFINITY;      // discovery stood behind the whole list
+    private long lastEvent;
+    private double confirmedAt = Double.NEGATIVE_INFINITY;      // discovery stood behind the whole list
     private boolean everTold;                               // any list in this run
     private boolean urgent, dirty;
     // The list being read.
-    private boolean whole, sawAny, behind, drainsOnly;
+    private boolean whole, sawAny, discoveryBehind, drainsOnly;
     private int namedInService, inServiceBefore, unlistedCount;
     private final long[][] moves = new long[NodeState.values().length][NodeState.values().length];
     private final long[] taken = new long[UpdateResult.values().length];
 
     /** A purge is kept for {@code purgesRunMs} after it was issued. */
-    public Membership(AgeLimits ages, double purgesRunMs, SplittableRandom chance, Changes changes) {
+    public Membership(AgeLimits ages, double purgesRunMs, SplittableRandom chance, Listener changes) {
         this.ages = ages;
         this.purgesRunMs = purgesRunMs;
         this.chance = chance;
@@ -58,7 +58,7 @@
     }
 
     /** Other figures hold from now on. */
-    public void ages(AgeLimits anew, double now) {
+    public void setAgeLimits(AgeLimits anew, double now) {
         ages = anew;
         tick(now);
     }
@@ -67,14 +67,14 @@
 
     /** What the disk holds. Nothing of it counts as told in this run. */
     public void restore(MembershipSnapshot from, double now) {
-        number = from.lastEvent();
-        heardAt = from.confirmedAt();
+        lastEvent = from.lastEvent();
+        confirmedAt = from.confirmedAt();
         for (ListedNode t : from.entries().values()) {
             NodeEntry b = new NodeEntry(t);
             beliefs.put(t.id(), b);
             if (t.status() != Director.REMOVED) byAddress.put(t.address(), b);
             // Never shown to the module before: warm unless the list said when it started.
-            if (t.startedAt() == 0) b.coldSince = NodeEntry.LONG;
+            if (t.startedAt() == 0) b.startedAt = NodeEntry.WARM;
             settle(b, now);
         }
         for (Purge p : from.purges()) if (now - p.at() <= purgesRunMs) purges.add(p);
@@ -87,8 +87,8 @@
 
     // ---- news of discovery ----
 
-    public long number() {
-        return number;
+    public long lastEvent() {
+        return lastEvent;
     }
 
     /**
@@ -99,15 +99,15 @@
      * wrong to keep.
      */
     public UpdateResult listStarted(long event, boolean wholeList, double now) {
-        if (event <= number) {
-            boolean none = beliefs.values().stream().noneMatch(b -> b.standing.usable());
-            if (!wholeList && behind) {
+        if (event <= lastEvent) {
+            boolean none = beliefs.values().stream().noneMatch(b -> b.state.usable());
+            if (!wholeList && discoveryBehind) {
                 whole = false;
                 drainsOnly = true;
                 return count(UpdateResult.DRAINS_ONLY);
             }
-            if (!wholeList || event == number || !none) {
-                return count(event == number || !wholeList ? UpdateResult.KNOWN_ALREADY : UpdateResult.OLDER);
+            if (!wholeList || event == lastEvent || !none) {
+                return count(event == lastEvent || !wholeList ? UpdateResult.KNOWN_ALREADY : UpdateResult.OLDER);
             }
             startOver(now);
             begin(event, true);
@@ -118,15 +118,15 @@
     }
 
     private void begin(long event, boolean wholeList) {
-        number = event;
+        lastEvent = event;
         whole = wholeList;
-        behind = drainsOnly = false;
+        discoveryBehind = drainsOnly = false;
         sawAny = false;
         namedInService = unlistedCount = 0;
         inServiceBefore = 0;
         for (NodeEntry b : beliefs.values()) {
-            b.named = false;
-            if (b.standing.usable()) inServiceBefore++;
+            b.listedInSnapshot = false;
+            if (b.state.usable()) inServiceBefore++;
         }
     }
 
@@ -142,25 +142,25 @@
             beliefs.put(id, b = new NodeEntry(t));
             // The first list of a run tells of boxes that have run; what comes later with no start time is
             // taken for just started.
-            if (startedAt == 0) b.coldSince = whole && !everTold ? NodeEntry.LONG : now;
+            if (startedAt == 0) b.startedAt = whole && !everTold ? NodeEntry.WARM : now;
         }
-        boolean moved = !isNew && !b.told.address().equals(t.address());
-        boolean restarted = !isNew && startedAt != 0 && startedAt != b.told.startedAt();
-        boolean back = !isNew && b.told.status() == Director.REMOVED;
+        boolean moved = !isNew && !b.listed.address().equals(t.address());
+        boolean restarted = !isNew && startedAt != 0 && startedAt != b.listed.startedAt();
+        boolean back = !isNew && b.listed.status() == Director.REMOVED;
         boolean withheld = !Double.isNaN(b.withheldAt);
-        if (moved || restarted || back) b.forgetEvidence();
-        if (moved && byAddress.get(b.told.address()) == b) byAddress.remove(b.told.address());
-        if (startedAt != 0) b.coldSince = startedAt;
+        if (moved || restarted || back) b.resetEvidence();
+        if (moved && byAddress.get(b.listed.address()) == b) byAddress.remove(b.listed.address());
+        if (startedAt != 0) b.startedAt = startedAt;
         // As warm as it was told to be; but one that moved or came back without saying when has just started.
-        else if (moved || back && !withheld) b.coldSince = now;
-        else if (!isNew) b.coldSince = known(b);
-        double answered = moved || restarted || back || isNew ? 0 : b.told.answeredAt();
-        b.told = answered > 0 ? t.answered(answered) : t;
-        if (startedAt == 0 && b.coldSince > NodeEntry.LONG) b.told = b.told.started(b.coldSince);
+        else if (moved || back && !withheld) b.startedAt = now;
+        else if (!isNew) b.startedAt = known(b);
+        double answered = moved || restarted || back || isNew ? 0 : b.listed.answeredAt();
+        b.listed = answered > 0 ? t.withAnsweredAt(answered) : t;
+        if (startedAt == 0 && b.startedAt > NodeEntry.WARM) b.listed = b.listed.withStartedAt(b.startedAt);
         b.withheldAt = Double.NaN;
-        b.thisRun = b.named = true;
+        b.confirmedThisRun = b.listedInSnapshot = true;
         if (standing == Director.IN_SERVICE) namedInService++;
-        if (standing == Director.REMOVED) b.why = "told that it is gone";
+        if (standing == Director.REMOVED) b.reason = "told that it is gone";
         else takeAddress(b, now);
         keep(b, standing != Director.IN_SERVICE);
         settle(b, now, moved || restarted);
@@ -168,9 +168,9 @@
 
     /** One box an address: whoever was told last has it, and what was there before is gone. */
     private void takeAddress(NodeEntry b, double now) {
-        NodeEntry before = byAddress.put(b.told.address(), b);
-        if (before == null || before == b || before.told.status() == Director.REMOVED) return;
-        gone(before, "its address is that of " + b.told.id() + " now", now);
+        NodeEntry before = byAddress.put(b.listed.address(), b);
+        if (before == null || before == b || before.listed.status() == Director.REMOVED) return;
+        gone(before, "its address is that of " + b.listed.id() + " now", now);
     }
 
     /**
@@ -184,8 +184,8 @@
         if (drainsOnly) return UpdateResult.DRAINS_ONLY;
         if (whole && !sawAny && inServiceBefore > 0) {
             for (NodeEntry b : beliefs.values()) {
-                if (b.told.status() != Director.IN_SERVICE) continue;
-                b.told = b.told.unbacked(heardAt);
+                if (b.listed.status() != Director.IN_SERVICE) continue;
+                b.listed = b.listed.unconfirmed(confirmedAt);
                 keep(b, false);
             }
             return count(UpdateResult.EMPTY);
@@ -194,7 +194,7 @@
         if (whole) {
             boolean shrunk = inServiceBefore >= FEW && namedInService < ages.shrunkBelow() * inServiceBefore;
             for (NodeEntry b : new ArrayList<>(beliefs.values())) {
-                if (b.named || b.told.status() == Director.REMOVED) continue;
+                if (b.listedInSnapshot || b.listed.status() == Director.REMOVED) continue;
                 unlistedCount++;
                 if (!shrunk) gone(b, "missing from the whole list", now);
                 else if (Double.isNaN(b.withheldAt)) {
@@ -217,8 +217,8 @@
     }
 
     public void purged(long event, long object, int group, double at, double now) {
-        if (event <= number && !behind) return;
-        number = Math.max(number, event);
+        if (event <= lastEvent && !discoveryBehind) return;
+        lastEvent = Math.max(lastEvent, event);
         purges.removeIf(p -> now - p.at() > purgesRunMs);
         purges.add(new Purge(object, group, at));
         dirty = urgent = true;
@@ -229,50 +229,50 @@
      * earlier one it is older than what we know and stands behind nothing: false.
      */
     public boolean confirmUpTo(long event, double now) {
-        behind = event < number;
-        if (behind) return false;
-        if (event == number) heard(now);
+        discoveryBehind = event < lastEvent;
+        if (discoveryBehind) return false;
+        if (event == lastEvent) heard(now);
         return true;
     }
 
     /** Whether discovery's last event, as it says, is one before ours. */
-    public boolean behind() {
-        return behind;
+    public boolean discoveryBehind() {
+        return discoveryBehind;
     }
 
     /** With nothing known that is usable, an older discovery is better than none: true where all is forgotten. */
     public boolean resetIfUnusable(long event, double now) {
-        if (event >= number || beliefs.values().stream().anyMatch(b -> b.standing.usable())) return false;
+        if (event >= lastEvent || beliefs.values().stream().anyMatch(b -> b.state.usable())) return false;
         startOver(now);
         count(UpdateResult.STARTED_OVER);
         return true;
     }
 
     private void heard(double now) {
-        boolean late = now - heardAt > ages.recentMs();
-        heardAt = now;
+        boolean late = now - confirmedAt > ages.recentMs();
+        confirmedAt = now;
         for (NodeEntry b : beliefs.values()) {
-            if (!b.told.confirmed()) continue;
-            if (b.thisRun && !late) continue;
+            if (!b.listed.confirmed()) continue;
+            if (b.confirmedThisRun && !late) continue;
             // It says that nothing is new since the event that is known here, so every entry is told again.
-            b.thisRun = true;
-            if (b.told.status() == Director.IN_SERVICE) b.coldSince = known(b);
+            b.confirmedThisRun = true;
+            if (b.listed.status() == Director.IN_SERVICE) b.startedAt = known(b);
             settle(b, now);
         }
     }
 
     private static double known(NodeEntry b) {
-        return b.told.startedAt() != 0 ? b.told.startedAt() : NodeEntry.LONG;
+        return b.listed.startedAt() != 0 ? b.listed.startedAt() : NodeEntry.WARM;
     }
 
     /** All is forgotten, and the numbers begin anew: only what discovery tells next is believed. */
     private void startOver(double now) {
         for (NodeEntry b : new ArrayList<>(beliefs.values())) {
-            if (b.told.status() != Director.REMOVED) gone(b, "the list is started over", now);
+            if (b.listed.status() != Director.REMOVED) gone(b, "the list is started over", now);
         }
-        number = 0;
-        behind = false;
-        heardAt = Double.NEGATIVE_INFINITY;
+        lastEvent = 0;
+        discoveryBehind = false;
+        confirmedAt = Double.NEGATIVE_INFINITY;
     }
 
     // ---- what boxes show ----
@@ -284,41 +284,41 @@
      */
     public void hopEnded(String node, String source, int outcome, int note, boolean silent, double now) {
         switch (outcome) {
-            case Director.SUCCEEDED, Director.MISS, Director.REJECTED, Director.ERROR -> answered(node, now);
+            case Director.SUCCEEDED, Director.MISS, Director.REJECTED, Director.ERROR -> nodeAnswered(node, now);
             case Director.CONNECT_FAILED, Director.CONNECTION_LOST -> {
-                if (note != Director.COLLATERAL_FAILURE) failed(node, outcome == Director.CONNECT_FAILED, now);
+                if (note != Director.COLLATERAL_FAILURE) nodeFailed(node, outcome == Director.CONNECT_FAILED, now);
             }
             case Director.TIMED_OUT -> {
-                if (silent) failed(node, false, now);
+                if (silent) nodeFailed(node, false, now);
             }
             default -> { }
         }
         if (source == null) return;
         switch (note) {
             case Director.FILLED, Director.FILLED_BY_ORIGIN, Director.SOURCE_REJECTED, Director.SOURCE_MISS ->
-                answered(source, now);
-            case Director.SOURCE_UNREACHABLE -> failed(source, true, now);
+                nodeAnswered(source, now);
+            case Director.SOURCE_UNREACHABLE -> nodeFailed(source, true, now);
             default -> { }
         }
     }
 
-    public void answered(String id, double now) {
+    public void nodeAnswered(String id, double now) {
         NodeEntry b = beliefs.get(id);
         if (b == null) return;
         boolean fresh = b.answered(now, ages);
-        if (fresh || now - b.told.answeredAt() > ages.recentMs() / NOTED_PART) {
-            b.told = fresh ? b.told.answered(now).started(now) : b.told.answered(now);
+        if (fresh || now - b.listed.answeredAt() > ages.recentMs() / NOTED_PART) {
+            b.listed = fresh ? b.listed.withAnsweredAt(now).withStartedAt(now) : b.listed.withAnsweredAt(now);
             keep(b, false);
         }
-        if (b.standing != NodeState.TOLD) settle(b, now);
+        if (b.state != NodeState.TOLD) settle(b, now);
     }
 
     /** {@code refused}: no connection came up; else one was cut off, or ended in silence, under a hop. */
-    public void failed(String id, boolean refused, double now) {
+    public void nodeFailed(String id, boolean refused, double now) {
         NodeEntry b = beliefs.get(id);
         if (b == null) return;
         b.failed(refused, now, ages, chance.nextDouble());
-        if (b.standing != NodeState.TOLD) settle(b, now);
+        if (b.state != NodeState.TOLD) settle(b, now);
     }
 
     // ---- time ----
@@ -327,22 +327,22 @@
     public void tick(double now) {
         for (NodeEntry b : beliefs.values()) settle(b, now);
         boolean left = beliefs.values().removeIf(b -> {
-            boolean over = !b.standing.usable() && b.standing != NodeState.REFUSED
-                && now - Math.max(b.told.listedAt(), b.told.status() == Director.IN_SERVICE && b.told.confirmed()
-                    ? heardAt : 0) > 2 * ages.oldMs();
+            boolean over = !b.state.usable() && b.state != NodeState.REFUSED
+                && now - Math.max(b.listed.listedAt(), b.listed.status() == Director.IN_SERVICE && b.listed.confirmed()
+                    ? confirmedAt : 0) > 2 * ages.oldMs();
             if (!over) return false;
-            if (b.told.status() != Director.REMOVED) gone(b, "told too long ago", now);
-            kept = kept.minus(b.told.id());
+            if (b.listed.status() != Director.REMOVED) gone(b, "told too long ago", now);
+            kept = kept.minus(b.listed.id());
             return true;
         });
         dirty |= left | purges.removeIf(p -> now - p.at() > purgesRunMs);
     }
 
     private void gone(NodeEntry b, String why, double now) {
-        b.told = b.told.as(Director.REMOVED, now);
-        b.why = why;
+        b.listed = b.listed.withStatus(Director.REMOVED, now);
+        b.reason = why;
         b.withheldAt = Double.NaN;
-        byAddress.remove(b.told.address(), b);
+        byAddress.remove(b.listed.address(), b);
         keep(b, true);
         settle(b, now);
     }
@@ -352,21 +352,21 @@
     }
 
     private void settle(NodeEntry b, double now, boolean anew) {
-        NodeState was = b.standing, is = b.now(now, heardAt, ages);
+        NodeState was = b.state, is = b.evaluate(now, confirmedAt, ages);
         if (is == was && !anew) return;
         // A withheld box that stays away is gone for good.
-        if (is == NodeState.GONE && b.told.status() != Director.REMOVED) {
-            gone(b, b.why, now);
+        if (is == NodeState.GONE && b.listed.status() != Director.REMOVED) {
+            gone(b, b.reason, now);
             return;
         }
-        b.standing = is;
+        b.state = is;
         moves[was == null ? is.ordinal() : was.ordinal()][is.ordinal()]++;
-        if (is == NodeState.OLD) b.unsure(now);
-        changes.changed(b.told, was, is, b.coldSince, b.why);
+        if (is == NodeState.OLD) b.markUnconfirmed(now);
+        changes.stateChanged(b.listed, was, is, b.startedAt, b.reason);
     }
 
     private void keep(NodeEntry b, boolean atOnce) {
-        kept = kept.plus(b.told.id(), b.told);
+        kept = kept.plus(b.listed.id(), b.listed);
         dirty = true;
         urgent |= atOnce;
     }
@@ -391,39 +391,39 @@
     public MembershipSnapshot snapshot(String fleet, String director, double now) {
         PMap<String, ListedNode> all = kept;
         for (NodeEntry b : beliefs.values()) {
-            if (b.standing == NodeState.WITHHELD) {
-                all = all.plus(b.told.id(), b.told.as(Director.REMOVED, b.withheldAt));
+            if (b.state == NodeState.WITHHELD) {
+                all = all.plus(b.listed.id(), b.listed.withStatus(Director.REMOVED, b.withheldAt));
             }
         }
-        return new MembershipSnapshot(fleet, director, now, number, heardAt, all, List.copyOf(purges));
+        return new MembershipSnapshot(fleet, director, now, lastEvent, confirmedAt, all, List.copyOf(purges));
     }
 
     public NodeState stateOf(String id) {
         NodeEntry b = beliefs.get(id);
-        return b == null ? null : b.standing;
+        return b == null ? null : b.state;
     }
 
     public String reason(String id) {
         NodeEntry b = beliefs.get(id);
-        return b == null ? "not known" : b.why;
+        return b == null ? "not known" : b.reason;
     }
 
     public Collection<ListedNode> entries() {
-        return beliefs.values().stream().map(b -> b.told).toList();
+        return beliefs.values().stream().map(b -> b.listed).toList();
     }
 
     public int count(NodeState s) {
         int n = 0;
-        for (NodeEntry b : beliefs.values()) if (b.standing == s) n++;
+        for (NodeEntry b : beliefs.values()) if (b.state == s) n++;
         return n;
     }
 
-    public double heardAt() {
-        return heardAt;
+    public double confirmedAt() {
+        return confirmedAt;
     }
 
     /** How often entries went from one standing to another; a new one counts as staying where it began. */
-    public long moves(NodeState from, NodeState to) {
+    public long transitionCount(NodeState from, NodeState to) {
         return moves[from.ordinal()][to.ordinal()];
     }
 
--- a/src/main/java/mothcross/membership/NodeEntry.java
+++ b/src/main/java/mothcross/membership/NodeEntry.java
@@ -25,25 +25,25 @@
  * Owns the evidence; must never be moved by a box's answer to a better standing than discovery's word allows.
  */
 final class NodeEntry {
-    ListedNode told;
-    NodeState standing;
-    String why = "new";
-    boolean thisRun;                       // named in this run, not only read from the disk
-    boolean named;                         // in the whole list being read
+    ListedNode listed;
+    NodeState state;
+    String reason = "new";
+    boolean confirmedThisRun;                       // named in this run, not only read from the disk
+    boolean listedInSnapshot;                         // in the whole list being read
     boolean unknownBefore = true;          // never shown to the module as in use
-    double coldSince;                      // for the module: 0 untold, else a time; LONG where known to be warm
+    double startedAt;                      // for the module: 0 untold, else a time; LONG where known to be warm
     double withheldAt = Double.NaN;
     private double answeredAt = Double.NEGATIVE_INFINITY, firstAnswerAt = Double.NaN, triedAgainAt;
     private int refusals, waits;
-    static final double LONG = 1;
+    static final double WARM = 1;
 
     NodeEntry(ListedNode told) {
-        this.told = told;
-        this.coldSince = told.startedAt();
+        this.listed = told;
+        this.startedAt = told.startedAt();
     }
 
     /** Its process may be another one now: nothing it showed counts any more. */
-    void forgetEvidence() {
+    void resetEvidence() {
         answeredAt = Double.NEGATIVE_INFINITY;
         firstAnswerAt = Double.NaN;
         refusals = waits = 0;
@@ -51,18 +51,18 @@
     }
 
     /** From now on nobody can say when its process started: its next answer is taken for a first one. */
-    void unsure(double now) {
+    void markUnconfirmed(double now) {
         firstAnswerAt = Double.NaN;
-        coldSince = now;
+        startedAt = now;
     }
 
     /** True where its process must be taken for one that started just now: nobody told, or it was away. */
     boolean answered(double now, AgeLimits ages) {
-        boolean away = refusals >= ages.maxRefusals() || Double.isNaN(firstAnswerAt) && standing == NodeState.OLD;
+        boolean away = refusals >= ages.maxRefusals() || Double.isNaN(firstAnswerAt) && state == NodeState.OLD;
         refusals = waits = 0;
         answeredAt = now;
         if (Double.isNaN(firstAnswerAt)) firstAnswerAt = now;
-        if (away) coldSince = now;
+        if (away) startedAt = now;
         return away;
     }
 
@@ -72,24 +72,24 @@
         answeredAt = Double.NEGATIVE_INFINITY;
         if (!refused) return;
         refusals++;
-        boolean gone = standing == NodeState.OLD || standing == NodeState.RECENT && refusals >= ages.maxRefusals();
+        boolean gone = state == NodeState.OLD || state == NodeState.RECENT && refusals >= ages.maxRefusals();
         if (!gone) return;
         double wait = Math.min(ages.maxRetryMs(), ages.retryMs() * Math.pow(2, Math.min(30, waits++)));
         triedAgainAt = now + wait * (0.75 + 0.5 * chance);
     }
 
     /** Where it should stand now; sets the reason. {@code heardAt}: when discovery last stood behind the list. */
-    NodeState now(double now, double heardAt, AgeLimits ages) {
-        if (told.status() == Director.DRAINING) return is(NodeState.DRAINING, "told that it drains");
-        if (told.status() == Director.REMOVED) return is(NodeState.GONE, why);
+    NodeState evaluate(double now, double heardAt, AgeLimits ages) {
+        if (listed.status() == Director.DRAINING) return is(NodeState.DRAINING, "told that it drains");
+        if (listed.status() == Director.REMOVED) return is(NodeState.GONE, reason);
         if (!Double.isNaN(withheldAt)) {
             if (now - withheldAt <= ages.withheldMs()) return is(NodeState.WITHHELD, "missing from a shrunken list");
             return is(NodeState.GONE, "missing from a shrunken list for too long");
         }
-        double age = now - (told.confirmed() ? Math.max(told.listedAt(), heardAt) : told.listedAt());
-        double seen = Math.max(told.answeredAt(), answeredAt);
+        double age = now - (listed.confirmed() ? Math.max(listed.listedAt(), heardAt) : listed.listedAt());
+        double seen = Math.max(listed.answeredAt(), answeredAt);
         boolean waiting = now < triedAgainAt;
-        if (age <= ages.recentMs() && thisRun) return is(NodeState.TOLD, "told in this run");
+        if (age <= ages.recentMs() && confirmedThisRun) return is(NodeState.TOLD, "told in this run");
         if (age <= ages.recentMs() && refusals < ages.maxRefusals() && !waiting) {
             return is(NodeState.RECENT, "told before the restart, not long ago");
         }
@@ -102,8 +102,8 @@
         return is(NodeState.OLD, refusals > 0 ? "not reached, tried again" : "not told for long, nor heard");
     }
 
-    private NodeState is(NodeState s, String reason) {
-        why = reason;
+    private NodeState is(NodeState s, String explanation) {
+        reason = explanation;
         return s;
     }
 }
--- a/src/main/java/mothcross/membership/NodeState.java
+++ b/src/main/java/mothcross/membership/NodeState.java
@@ -31,7 +31,7 @@
         this.directorStatus = use;
     }
 
-    public String word() {
+    public String label() {
         return name().toLowerCase(java.util.Locale.ROOT);
     }
 
--- a/src/main/java/mothcross/membership/WriteScheduler.java
+++ b/src/main/java/mothcross/membership/WriteScheduler.java
@@ -26,7 +26,7 @@
     }
 
     /** When the next write is to begin; infinite while nothing is to be written or a write is under way. */
-    public double due() {
+    public double nextWriteAt() {
         if (writing || Double.isNaN(changedAt)) return Double.POSITIVE_INFINITY;
         double wanted = Double.isNaN(urgentAt) ? changedAt + gatherMs
             : Math.min(urgentAt, changedAt + gatherMs);
@@ -34,14 +34,14 @@
     }
 
     /** A write begins with all that has changed so far. */
-    public void begins(double now) {
+    public void writeStarted(double now) {
         writing = true;
         startedAt = now;
         changedAt = urgentAt = Double.NaN;
     }
 
     /** The write has ended; what a failed one held still has to be written. */
-    public void ended(boolean held, double now) {
+    public void writeEnded(boolean held, double now) {
         writing = false;
         if (held) {
             failures = 0;
--- a/src/main/java/mothcross/net/ActiveRoutes.java
+++ b/src/main/java/mothcross/net/ActiveRoutes.java
@@ -13,14 +13,14 @@
     private final String director;
     private Plan plan;                                      // null: the operators' own file, no changes by the fleet
     private Routing main, trial;
-    private double share = 1;
+    private double scaleLimits = 1;
 
     ActiveRoutes(String director) {
         this.director = director;
     }
 
     /** What is being asked goes by the new tables from its next lookup on; a table may be null: no rules. */
-    void take(Plan by, RouteTable all, RouteTable some) {
+    void activate(Plan by, RouteTable all, RouteTable some) {
         plan = by;
         main = routing(all);
         trial = by != null && !by.canary().isNone() ? routing(some) : null;
@@ -29,13 +29,13 @@
     private Routing routing(RouteTable t) {
         if (t == null) return null;
         Routing r = new Routing();
-        r.share(share);
-        r.take(t);
+        r.scaleLimits(scaleLimits);
+        r.activate(t);
         return r;
     }
 
     /** The number of the plan in force, -1 where changes are not the fleet's. */
-    long plan() {
+    long planNumber() {
         return plan == null ? -1 : plan.number();
     }
 
@@ -43,26 +43,26 @@
         return main == null ? null : main.table();
     }
 
-    void share(double times) {
-        share = times;
-        if (main != null) main.share(times);
-        if (trial != null) trial.share(times);
+    void scaleLimits(double times) {
+        scaleLimits = times;
+        if (main != null) main.scaleLimits(times);
+        if (trial != null) trial.scaleLimits(times);
     }
 
     // ---- the head, as it is read: both look at it, as it is not known yet which one counts ----
 
-    void headBegins() {
-        if (main != null) main.headBegins();
-        if (trial != null) trial.headBegins();
+    void headStarted() {
+        if (main != null) main.headStarted();
+        if (trial != null) trial.headStarted();
     }
 
-    void field(byte[] in, int name, int nameEnd, int v, int e) {
-        if (main != null) main.field(in, name, nameEnd, v, e);
-        if (trial != null) trial.field(in, name, nameEnd, v, e);
+    void headerField(byte[] in, int name, int nameEnd, int v, int e) {
+        if (main != null) main.headerField(in, name, nameEnd, v, e);
+        if (trial != null) trial.headerField(in, name, nameEnd, v, e);
     }
 
     /** The table that a lookup of this object goes by; null where that has no rules. */
-    Routing of(long object) {
+    Routing forObject(long object) {
         return plan != null && plan.isOnTrial(director, object) ? trial : main;
     }
 
--- a/src/main/java/mothcross/net/AnswerTimes.java
+++ b/src/main/java/mothcross/net/AnswerTimes.java
@@ -15,7 +15,7 @@
         deviation = new double[workloads];
     }
 
-    void took(int workload, double ms) {
+    void record(int workload, double ms) {
         if (time[workload] == 0) {
             time[workload] = ms;
             deviation[workload] = ms / 2;
@@ -26,7 +26,7 @@
     }
 
     /** From when on silence is unusual, doubled with each time that it turned out to be none. */
-    double unusual(int workload, int wrongly) {
+    double unusualAfterMs(int workload, int wrongly) {
         double usual = time[workload] == 0 ? FIRST_MS : time[workload] + DEVIATIONS * deviation[workload];
         return usual * (1 << Math.min(wrongly, MOST_DOUBLINGS));
     }
--- a/src/main/java/mothcross/net/Bytes.java
+++ b/src/main/java/mothcross/net/Bytes.java
@@ -4,24 +4,24 @@
 
 /**
  * Reading words and numbers where they stand in a byte array. Owns nothing; must never allocate but for
- * {@link #text}, and never read outside the bounds that it is given.
+ * {@link #decode}, and never read outside the bounds that it is given.
  */
 final class Bytes {
     private Bytes() { }
 
-    static int find(byte[] in, int from, int to, char what) {
+    static int indexOf(byte[] in, int from, int to, char what) {
         for (int i = from; i < to; i++) if (in[i] == what) return i;
         return -1;
     }
 
-    static boolean is(byte[] in, int from, int to, String what) {
+    static boolean matches(byte[] in, int from, int to, String what) {
         if (to - from != what.length()) return false;
         for (int i = 0; i < what.length(); i++) if (in[from + i] != what.charAt(i)) return false;
         return true;
     }
 
     /** Without regard to case; {@code lower} is in lower case. */
-    static boolean isWord(byte[] in, int from, int to, String lower) {
+    static boolean matchesIgnoreCase(byte[] in, int from, int to, String lower) {
         if (to - from != lower.length()) return false;
         for (int i = 0; i < lower.length(); i++) {
             int c = in[from + i];
@@ -31,7 +31,7 @@
     }
 
     /** A whole number of at most 15 digits, or -1. */
-    static long whole(byte[] in, int from, int to) {
+    static long parseInteger(byte[] in, int from, int to) {
         if (from >= to || to - from > 15) return -1;
         long n = 0;
         for (int i = from; i < to; i++) {
@@ -42,10 +42,10 @@
     }
 
     /** A number with or without a fraction, or NaN. */
-    static double number(byte[] in, int from, int to) {
-        int dot = find(in, from, to, '.');
+    static double parseDecimal(byte[] in, int from, int to) {
+        int dot = indexOf(in, from, to, '.');
         if (dot < 0) dot = to;
-        double whole = whole(in, from, dot);
+        double whole = parseInteger(in, from, dot);
         if (whole < 0) return Double.NaN;
         double unit = 1;
         for (int i = dot + 1; i < to; i++) {
@@ -62,21 +62,21 @@
         return true;
     }
 
-    static long hex(byte[] in, int from, int to) {
+    static long parseHex(byte[] in, int from, int to) {
         long n = 0;
         for (int i = from; i < to; i++) n = n << 4 | Character.digit(in[i], 16);
         return n;
     }
 
-    static String text(byte[] in, int from, int to) {
+    static String decode(byte[] in, int from, int to) {
         return new String(in, from, to - from, StandardCharsets.ISO_8859_1);
     }
 
-    static String text(byte[] all) {
-        return text(all, 0, all.length);
+    static String decode(byte[] all) {
+        return decode(all, 0, all.length);
     }
 
-    static byte[] of(String text) {
+    static byte[] encode(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 }
--- a/src/main/java/mothcross/net/ClientConnection.java
+++ b/src/main/java/mothcross/net/ClientConnection.java
@@ -67,14 +67,14 @@
         @Override void fire() {
             if (lookup != null || state == State.FLUSHING) return;
             if (state != State.OPEN) {
-                end();
-            } else if (left() == 0 && !suspected) {
-                closeIfIdle();
-            } else if (left() == 0) {
-                desk.count.idle++;
+                close();
+            } else if (remaining() == 0 && !suspected) {
+                closeIfStillIdle();
+            } else if (remaining() == 0) {
+                dispatcher.counters.idle++;
                 shut();
             } else {
-                desk.count.slowHead++;
+                dispatcher.counters.slowHead++;
                 refuseHead("408 Request Timeout");
             }
         }
@@ -85,39 +85,39 @@
     }
 
     @Override void opened() {
-        idleSince = desk.clock();
+        idleSince = dispatcher.clock();
         awaits = REST;
-        desk.timers.set(patience, idleSince + WHOLE_MS);
-        desk.admit(this);
+        dispatcher.timers.set(patience, idleSince + WHOLE_MS);
+        dispatcher.admit(this);
     }
 
     @Override void closed() {
         state = State.CLOSED;
-        desk.timers.cancel(patience);
-        desk.gone(this);
+        dispatcher.timers.cancel(patience);
+        dispatcher.clientClosed(this);
         holds(0);
         if (lookup != null) {
             Lookup l = lookup;
             lookup = null;
-            desk.cancelled(l);
+            dispatcher.clientDisconnected(l);
         }
     }
 
-    int worth() {
+    int evictionPriority() {
         if (lookup != null || session.getScheduledWriteBytes() > 0) return IN_USE;
         if (state != State.OPEN) return REFUSED;
-        if (!proven) return idleFor() > SILENT_MS ? SILENT : YOUNG;
-        return left() == 0 && !suspected ? IDLE : IN_USE;
+        if (!proven) return idleMs() > SILENT_MS ? SILENT : YOUNG;
+        return remaining() == 0 && !suspected ? IDLE : IN_USE;
     }
 
-    double idleFor() {
-        return desk.clock() - idleSince;
+    double idleMs() {
+        return dispatcher.clock() - idleSince;
     }
 
     /** It goes now; what crosses that is not taken. */
-    void end() {
+    void close() {
         state = State.CLOSED;
-        drop();
+        abort();
     }
 
     /** Nothing more is taken; what was written, if anything, reaches the client before the end does. */
@@ -126,100 +126,100 @@
         state = State.FLUSHING;
         from = to;
         if (written == null) linger();
-        else written.addListener(f -> desk.locked(this::linger));
+        else written.addListener(f -> dispatcher.runLocked(this::linger));
     }
 
     private void linger() {
         if (state != State.FLUSHING) return;
         state = State.LINGERING;
         Processor.shutdownOutput(session);
-        desk.timers.set(patience, desk.clock() + LINGER_MS);
+        dispatcher.timers.set(patience, dispatcher.clock() + LINGER_MS);
     }
 
     /** The process ends: where nothing is open or on its way in, the client is told to go; else after its answer. */
-    void endIfResting() {
-        if (lookup == null && left() == 0) shut();
+    void closeIfAtRest() {
+        if (lookup == null && remaining() == 0) shut();
     }
 
     /** What is held here of what the client has sent ahead; all clients together hold so much of the memory at most. */
     private void holds(int bytes) {
-        desk.ahead += bytes - held;
+        dispatcher.readAheadBytes += bytes - held;
         held = bytes;
     }
 
     /** What it asked may be here and not read yet, where the process had no core for a while: that is awaited. */
-    void closeIfIdle() {
+    void closeIfStillIdle() {
         suspected = true;
-        desk.timers.set(patience, desk.clock() + UNREAD_MS);
+        dispatcher.timers.set(patience, dispatcher.clock() + UNREAD_MS);
     }
 
-    void goOn() {
+    void resume() {
         if (state == State.OPEN) received();
     }
 
     @Override void received() {
-        if (state != State.OPEN) desk.count.crossed++;
-        if (state == State.OPEN && lookup == null && left() > 0 && Processor.endOfInput(session)) {
-            desk.count.cancelledUnread++;                   // it asked and went before that was read: nobody waits
+        if (state != State.OPEN) dispatcher.counters.receivedAfterClose++;
+        if (state == State.OPEN && lookup == null && remaining() > 0 && Processor.endOfInput(session)) {
+            dispatcher.counters.cancelledUnread++;                   // it asked and went before that was read: nobody waits
             state = State.CLOSED;
         }
         suspected = false;
         if (cut) to = from + held;                          // what comes after what was cut can't be read
         readHeads();
         if (state != State.OPEN) {                          // its last answer is on its way
-            passedOver += left();
+            passedOver += remaining();
             from = to;
             if (passedOver > MOST_PASSED_OVER) session.suspendRead();
         } else if (lookup != null) {
             awaits = NOTHING;
-            desk.timers.cancel(patience);
+            dispatcher.timers.cancel(patience);
             // Reading goes on: a client that has gone shows itself only behind all that it has sent.
-            int most = desk.holdsMuch() ? LONGEST_HEAD + LARGEST_BODY : MOST_AHEAD;
-            if (left() > most) {
-                if (!cut) desk.count.tooFarAhead++;
+            int most = dispatcher.readAheadLimitExceeded() ? LONGEST_HEAD + LARGEST_BODY : MOST_AHEAD;
+            if (remaining() > most) {
+                if (!cut) dispatcher.counters.readAheadTruncated++;
                 cut = true;
                 to = from + most;
             }
         } else if (cut) {
             shut();                                         // all that was whole has its answer
-        } else if (left() > 0) {
-            if (awaits != REST) desk.timers.set(patience, desk.clock() + WHOLE_MS);
+        } else if (remaining() > 0) {
+            if (awaits != REST) dispatcher.timers.set(patience, dispatcher.clock() + WHOLE_MS);
             awaits = REST;
         } else if (awaits == NOTHING) {
             awaits = NEXT;
-            idleSince = desk.clock();
-            desk.timers.set(patience, idleSince + IDLE_MS);
+            idleSince = dispatcher.clock();
+            dispatcher.timers.set(patience, idleSince + IDLE_MS);
         }
-        holds(left());
+        holds(remaining());
     }
 
     private void readHeads() {
-        while (lookup == null && state == State.OPEN && left() > 0) {
+        while (lookup == null && state == State.OPEN && remaining() > 0) {
             // Empty lines before a head are let pass, as the standard asks of servers.
-            while (scanned == 0 && left() > 1 && bytes[from] == '\r' && bytes[from + 1] == '\n') from += 2;
+            while (scanned == 0 && remaining() > 1 && bytes[from] == '\r' && bytes[from + 1] == '\n') from += 2;
             int end = headEnd();
             if (end < 0) {
-                if (left() > LONGEST_HEAD) {
-                    desk.count.longHead++;
+                if (remaining() > LONGEST_HEAD) {
+                    dispatcher.counters.longHead++;
                     refuseHead("431 Request Header Fields Too Large");
                 }
                 return;
             }
             if (end - from > LONGEST_HEAD) {
-                desk.count.longHead++;
+                dispatcher.counters.longHead++;
                 refuseHead("431 Request Header Fields Too Large");
                 return;
             }
-            if (LOG.isTraceEnabled()) LOG.trace("head {}", Bytes.text(bytes, from, end));
+            if (LOG.isTraceEnabled()) LOG.trace("head {}", Bytes.decode(bytes, from, end));
             String fault = head(end);
             if (fault != null) {
-                desk.count.badHead++;
+                dispatcher.counters.badHead++;
                 refuseHead(fault);
                 return;
             }
             if (to - end < bodyLength) {                // the rest of the body is still to come
                 // Guards against many large bodies at once, which would fill the memory half read.
-                if (desk.holdsMuch() && left() > LONGEST_HEAD + LARGEST_BODY) refuseHead("503 Service Unavailable");
+                if (dispatcher.readAheadLimitExceeded() && remaining() > LONGEST_HEAD + LARGEST_BODY) refuseHead("503 Service Unavailable");
                 return;
             }
             scanned = 0;
@@ -234,7 +234,7 @@
         for (int i = Math.max(from + 3, from + scanned); i < to; i++) {
             if (bytes[i] == '\n' && bytes[i - 1] == '\r' && bytes[i - 2] == '\n') return i + 1;
         }
-        scanned = left();
+        scanned = remaining();
         return -1;
     }
 
@@ -248,21 +248,21 @@
         repeat = false;
         usable = true;
         seen = 0;
-        if (desk.rules != null) desk.rules.headBegins();
-        int eol = Bytes.find(bytes, from, end, '\n');
+        if (dispatcher.activeRoutes != null) dispatcher.activeRoutes.headStarted();
+        int eol = Bytes.indexOf(bytes, from, end, '\n');
         if (eol == from || bytes[eol - 1] != '\r') return "400 Bad Request";
-        int a = Bytes.find(bytes, from, eol, ' '), b = a < 0 ? -1 : Bytes.find(bytes, a + 1, eol, ' ');
+        int a = Bytes.indexOf(bytes, from, eol, ' '), b = a < 0 ? -1 : Bytes.indexOf(bytes, a + 1, eol, ' ');
         if (a <= from || b <= a + 1) return "400 Bad Request";
-        boolean old = Bytes.is(bytes, b + 1, eol - 1, "HTTP/1.0");
-        if (!old && !Bytes.is(bytes, b + 1, eol - 1, "HTTP/1.1")) return "400 Bad Request";
-        writes = Bytes.is(bytes, from, a, "PUT");
-        if (!writes && !Bytes.is(bytes, from, a, "GET")) return "405 Method Not Allowed";
+        boolean old = Bytes.matches(bytes, b + 1, eol - 1, "HTTP/1.0");
+        if (!old && !Bytes.matches(bytes, b + 1, eol - 1, "HTTP/1.1")) return "400 Bad Request";
+        writes = Bytes.matches(bytes, from, a, "PUT");
+        if (!writes && !Bytes.matches(bytes, from, a, "GET")) return "405 Method Not Allowed";
         target = a + 1;
         targetEnd = b;
         close = old;
         for (int at = eol + 1; at < end - 2; at = eol + 1) {
-            eol = Bytes.find(bytes, at, end, '\n');
-            int colon = Bytes.find(bytes, at, eol, ':');
+            eol = Bytes.indexOf(bytes, at, end, '\n');
+            int colon = Bytes.indexOf(bytes, at, eol, ':');
             if (bytes[eol - 1] != '\r' || colon <= at || !isToken(at, colon)) return "400 Bad Request";
             int v = colon + 1, e = eol - 1;
             while (v < e && (bytes[v] == ' ' || bytes[v] == '\t')) v++;
@@ -270,12 +270,12 @@
             for (int i = v; i < e; i++) {
                 if (bytes[i] >= 0 && bytes[i] < ' ' && bytes[i] != '\t') return "400 Bad Request";
             }
-            if (Bytes.isWord(bytes, at, colon, "content-length")) {
-                long n = Bytes.whole(bytes, v, e);
+            if (Bytes.matchesIgnoreCase(bytes, at, colon, "content-length")) {
+                long n = Bytes.parseInteger(bytes, v, e);
                 if (n < 0 || bodyLength >= 0 && bodyLength != n) return "400 Bad Request";
                 if (n > (writes ? LARGEST_WRITE : LARGEST_BODY)) return "413 Content Too Large";
                 bodyLength = n;
-            } else if (Bytes.isWord(bytes, at, colon, "transfer-encoding")) {
+            } else if (Bytes.matchesIgnoreCase(bytes, at, colon, "transfer-encoding")) {
                 return "501 Not Implemented";
             } else {
                 field(at, colon, v, e);
@@ -295,29 +295,29 @@
     }
 
     private void field(int name, int nameEnd, int v, int e) {
-        if (desk.rules != null) desk.rules.field(bytes, name, nameEnd, v, e);
-        if (Bytes.isWord(bytes, name, nameEnd, "connection")) {
-            close = Bytes.isWord(bytes, v, e, "close") || close && !Bytes.isWord(bytes, v, e, "keep-alive");
-        } else if (Bytes.isWord(bytes, name, nameEnd, "req-id")) {
+        if (dispatcher.activeRoutes != null) dispatcher.activeRoutes.headerField(bytes, name, nameEnd, v, e);
+        if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "connection")) {
+            close = Bytes.matchesIgnoreCase(bytes, v, e, "close") || close && !Bytes.matchesIgnoreCase(bytes, v, e, "keep-alive");
+        } else if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "req-id")) {
             once(1, e - v == 16 && Bytes.isHex(bytes, v, e));
             id = v;
             idEnd = e;
-        } else if (Bytes.isWord(bytes, name, nameEnd, "req-wait-ms")) {
-            wait = Bytes.number(bytes, v, e);
+        } else if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "req-wait-ms")) {
+            wait = Bytes.parseDecimal(bytes, v, e);
             once(2, wait >= 0);
-        } else if (Bytes.isWord(bytes, name, nameEnd, "req-retry")) {
-            repeat = Bytes.is(bytes, v, e, "1");
-        } else if (Bytes.isWord(bytes, name, nameEnd, "x-lot")) {
-            group = Bytes.whole(bytes, v, e);
+        } else if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "req-retry")) {
+            repeat = Bytes.matches(bytes, v, e, "1");
+        } else if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "x-lot")) {
+            group = Bytes.parseInteger(bytes, v, e);
             once(4, group >= 0 && group <= LAST_GROUP);
-        } else if (Bytes.isWord(bytes, name, nameEnd, "req-kb")) {
-            sizeKb = Bytes.number(bytes, v, e);
+        } else if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "req-kb")) {
+            sizeKb = Bytes.parseDecimal(bytes, v, e);
             once(8, sizeKb >= 0);
-        } else if (Bytes.isWord(bytes, name, nameEnd, "req-token")) {
+        } else if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "req-token")) {
             once(16, fitsALine(v, e));
             token = v;
             tokenEnd = e;
-        } else if (Bytes.isWord(bytes, name, nameEnd, "if-none-match")) {
+        } else if (Bytes.matchesIgnoreCase(bytes, name, nameEnd, "if-none-match")) {
             // One strong tag that can stand in a line of the node's protocol; any other is as if absent.
             if (e - v < 3 || bytes[v] != '"' || bytes[e - 1] != '"' || !fitsALine(v + 1, e - 1)) return;
             known = v + 1;
@@ -338,86 +338,86 @@
     }
 
     private void ask(int bodyAt) {
-        double now = desk.clock();
-        if (!writes && Bytes.is(bytes, target, targetEnd, HEALTHY)) {
+        double now = dispatcher.clock();
+        if (!writes && Bytes.matches(bytes, target, targetEnd, HEALTHY)) {
             proven = true;
-            if (desk.ready && desk.mayStart()) write(whole("200 OK", "", "ready\n"));
+            if (dispatcher.ready && dispatcher.mayStart()) write(whole("200 OK", "", "ready\n"));
             else write(whole("503 Service Unavailable", "", "not ready\n"));
             return;
         }
         int a = target + PATH.length();
-        boolean ours = a <= targetEnd && Bytes.is(bytes, target, a, PATH);
-        int b = ours ? Bytes.find(bytes, a, targetEnd, '/') : -1;
+        boolean ours = a <= targetEnd && Bytes.matches(bytes, target, a, PATH);
+        int b = ours ? Bytes.indexOf(bytes, a, targetEnd, '/') : -1;
         if (b < 0) {
-            desk.count.badPath++;
+            dispatcher.counters.badPath++;
             write(whole("404 Not Found", "", ""));
             return;
         }
-        int c = Bytes.find(bytes, b + 1, targetEnd, '/'), objectEnd = c < 0 ? targetEnd : c;
-        String name = Bytes.text(bytes, a, b);
-        Integer workload = desk.opening.workloads.get(name);
+        int c = Bytes.indexOf(bytes, b + 1, targetEnd, '/'), objectEnd = c < 0 ? targetEnd : c;
+        String name = Bytes.decode(bytes, a, b);
+        Integer workload = dispatcher.settings.workloads.get(name);
         long part = 0;
         boolean parted = c >= 0;
         if (parted) {
             int n = c + 1 + PART.length();
-            part = n < targetEnd && Bytes.is(bytes, c + 1, n, PART) ? Bytes.whole(bytes, n, targetEnd) : -1;
+            part = n < targetEnd && Bytes.matches(bytes, c + 1, n, PART) ? Bytes.parseInteger(bytes, n, targetEnd) : -1;
         }
-        Workload w = workload == null ? null : desk.opening.workloadTable[workload];
+        Workload w = workload == null ? null : dispatcher.settings.workloadTable[workload];
         // Writes are PUT, reads are GET: a node is not told which, and would answer either by its class.
         if (w == null || writes != w.uncacheable() || !usable || id < 0 || part < 0 || part > Integer.MAX_VALUE
             || !Bytes.isHex(bytes, b + 1, objectEnd) || wait > BEYOND * w.timeoutMs()
-            || sizeKb > BEYOND * w.timeoutMs() * desk.opening.flowKbPerMs) {
-            desk.count.badField++;
+            || sizeKb > BEYOND * w.timeoutMs() * dispatcher.settings.flowKbPerMs) {
+            dispatcher.counters.badField++;
             write(whole("400 Bad Request", "", ""));
             return;
         }
         StringBuilder asked = new StringBuilder(96).append("sort=").append(name).append(",asset=")
-            .append(Bytes.text(bytes, b + 1, objectEnd));
+            .append(Bytes.decode(bytes, b + 1, objectEnd));
         if (parted) asked.append(",slice=").append(part);
-        String copy = known < 0 ? null : Bytes.text(bytes, known, knownEnd);
+        String copy = known < 0 ? null : Bytes.decode(bytes, known, knownEnd);
         if (copy != null) asked.append(",known=").append(copy);
         // What marks a tagged request goes on with every attempt: by it the origin drops repeats.
-        if (token >= 0) asked.append(",op=").append(Bytes.text(bytes, token, tokenEnd));
+        if (token >= 0) asked.append(",op=").append(Bytes.decode(bytes, token, tokenEnd));
         plan = -1;
-        if (!desk.mayStart()) {
+        if (!dispatcher.mayStart()) {
             proven = true;
-            desk.count.notCurrent++;
-            write(whole("503 Service Unavailable", advice(desk.current.comeBackAfter()), ""));
+            dispatcher.counters.notCurrent++;
+            write(whole("503 Service Unavailable", advice(dispatcher.servingPermit.retryAfterMs()), ""));
             return;
         }
         byte[] body = Arrays.copyOfRange(bytes, bodyAt, bodyAt + (int) bodyLength);
-        Lookup l = new Lookup(this, Arrays.copyOfRange(bytes, id, idEnd), Bytes.of(asked.toString()), body, copy,
-            Bytes.hex(bytes, b + 1, objectEnd) & Long.MAX_VALUE, (int) group,
-            now + (Double.isNaN(wait) ? w.timeoutMs() : wait), desk.mostHops());
+        Lookup l = new Lookup(this, Arrays.copyOfRange(bytes, id, idEnd), Bytes.encode(asked.toString()), body, copy,
+            Bytes.parseHex(bytes, b + 1, objectEnd) & Long.MAX_VALUE, (int) group,
+            now + (Double.isNaN(wait) ? w.timeoutMs() : wait), dispatcher.maxHops());
         int as = workload;
         RouteConstraints by = null;
-        Routing rules = desk.rules == null ? null : desk.rules.of(l.object);
-        if (desk.rules != null) plan = desk.rules.plan();
+        Routing rules = dispatcher.activeRoutes == null ? null : dispatcher.activeRoutes.forObject(l.object);
+        if (dispatcher.activeRoutes != null) plan = dispatcher.activeRoutes.planNumber();
         if (rules != null) {
-            rules.target(bytes, target, targetEnd, a, b, b + 1, objectEnd);
-            rules.told(this, parted, part, group, sizeKb, wait, repeat);
-            RouteTable.Outcome o = rules.route(workload, desk.mostHops(), now);
+            rules.setTarget(bytes, target, targetEnd, a, b, b + 1, objectEnd);
+            rules.setRequestFields(this, parted, part, group, sizeKb, wait, repeat);
+            RouteTable.Outcome o = rules.route(workload, dispatcher.maxHops(), now);
             if (o.status != 0) {
                 proven = true;
-                write(whole(status(o.status), advice(Math.min(o.retryAfterMs, desk.opening.maxRetryAfterMs)), ""));
+                write(whole(status(o.status), advice(Math.min(o.retryAfterMs, dispatcher.settings.maxRetryAfterMs)), ""));
                 return;
             }
             as = o.workload;
-            by = Routing.narrowing(o, desk.mostHops());
+            by = Routing.constraints(o, dispatcher.maxHops());
         }
         lookup = l;
-        if (desk.lookup(l, as, (int) part, sizeKb, repeat, by)) {
+        if (dispatcher.startLookup(l, as, (int) part, sizeKb, repeat, by)) {
             proven = true;
             return;
         }
         lookup = null;
-        desk.count.badField++;
+        dispatcher.counters.badField++;
         write(whole("400 Bad Request", "", ""));
     }
 
     /** Of the other side, 4 or 16 bytes; made once a connection. */
     byte[] address() {
-        if (address == null) address = Routing.address(session.getRemoteAddress());
+        if (address == null) address = Routing.addressBytes(session.getRemoteAddress());
         return address;
     }
 
@@ -434,63 +434,63 @@
 
     // ---- answers, each of them final ----
 
-    void handled(Hop h) {
-        close |= desk.crowding() || desk.draining;
+    void sendSuccess(Hop h) {
+        close |= dispatcher.underDescriptorPressure() || dispatcher.draining;
         IoBuffer b = h.answer;
-        int end = b.position(), length = end - NodeConnection.HEAD_ROOM;
+        int end = b.position(), length = end - NodeConnection.RESPONSE_HEAD_ROOM_BYTES;
         StringBuilder s = new StringBuilder(160);
-        if (h.unchanged) s.append("HTTP/1.1 304 Not Modified\r\n");
+        if (h.notModified) s.append("HTTP/1.1 304 Not Modified\r\n");
         else {
             s.append("HTTP/1.1 200 OK\r\nContent-Type: application/octet-stream\r\nContent-Length: ")
                 .append(length).append("\r\n");
         }
-        if (h.tag != null) s.append("ETag: \"").append(h.tag).append("\"\r\n");
+        if (h.etag != null) s.append("ETag: \"").append(h.etag).append("\"\r\n");
         if (close) s.append("Connection: close\r\n");
         s.append(byPlan());
-        byte[] head = Bytes.of(s.append("\r\n").toString());
+        byte[] head = Bytes.encode(s.append("\r\n").toString());
         // The head goes right before the bytes, so that both leave in one write.
-        int at = NodeConnection.HEAD_ROOM - head.length;
+        int at = NodeConnection.RESPONSE_HEAD_ROOM_BYTES - head.length;
         b.position(at);
         b.put(head);
         b.position(at);
-        b.limit(h.unchanged ? NodeConnection.HEAD_ROOM : end);
+        b.limit(h.notModified ? NodeConnection.RESPONSE_HEAD_ROOM_BYTES : end);
         answered(b);
     }
 
-    void bounced(double comeBackAfter) {
+    void sendRejection(double comeBackAfter) {
         answered(whole("503 Service Unavailable", advice(comeBackAfter), ""));
     }
 
     /** Of tests only: by which plan the lookup that is being answered was decided. */
     private String byPlan() {
-        return desk.tellsPlan && plan >= 0 ? "Policy-Plan: " + plan + "\r\n" : "";
+        return dispatcher.exposePlan && plan >= 0 ? "Policy-Plan: " + plan + "\r\n" : "";
     }
 
     private static String advice(double comeBackAfter) {
         return comeBackAfter >= 1 ? "Srv-Wait-Ms: " + (long) comeBackAfter + "\r\n" : "";
     }
 
-    void failed() {
+    void sendFailure() {
         answered(whole("502 Bad Gateway", "", ""));
     }
 
     private void answered(IoBuffer answer) {
         lookup = null;
         write(answer);
-        desk.goOnLater(this);
+        dispatcher.resumeLater(this);
     }
 
     private IoBuffer whole(String status, String fields, String body) {
-        close |= desk.crowding() || desk.draining;
+        close |= dispatcher.underDescriptorPressure() || dispatcher.draining;
         String end = close ? "\r\nConnection: close\r\n\r\n" : "\r\n\r\n";
-        return IoBuffer.wrap(Bytes.of("HTTP/1.1 " + status + "\r\n" + fields + byPlan() + "Content-Length: "
+        return IoBuffer.wrap(Bytes.encode("HTTP/1.1 " + status + "\r\n" + fields + byPlan() + "Content-Length: "
             + body.length() + end + body));
     }
 
     private void write(IoBuffer b) {
         if (state != State.OPEN) return;
         written = session.write(b);
-        desk.boundUnwritten(this);
+        dispatcher.enforceWriteBacklogLimit(this);
         if (close) shut();
     }
 
--- a/src/main/java/mothcross/net/Connection.java
+++ b/src/main/java/mothcross/net/Connection.java
@@ -20,14 +20,14 @@
     private static final String SELF = "connection";
     private static final byte[] NONE = new byte[0];
 
-    final Dispatcher desk;
+    final Dispatcher dispatcher;
     IoSession session;
     /** What came in and is not used up: {@code bytes} from {@code from} to {@code to}. */
     byte[] bytes = NONE;
     int from, to;
 
     Connection(Dispatcher desk) {
-        this.desk = desk;
+        this.dispatcher = desk;
     }
 
     /** The connection is up. */
@@ -39,16 +39,16 @@
     /** The connection has ended, from whichever side. */
     abstract void closed();
 
-    final void bind(IoSession to) {
+    final void bindSession(IoSession to) {
         session = to;
         to.setAttribute(SELF, this);
     }
 
-    final int left() {
+    final int remaining() {
         return to - from;
     }
 
-    final void drop() {
+    final void abort() {
         from = to = 0;
         bytes = NONE;
         if (session != null) session.closeNow();
@@ -62,9 +62,9 @@
             from = in.arrayOffset() + in.position();
             to = from + n;
         } else {
-            byte[] joined = new byte[left() + n];
-            System.arraycopy(bytes, from, joined, 0, left());
-            in.get(joined, left(), n);
+            byte[] joined = new byte[remaining() + n];
+            System.arraycopy(bytes, from, joined, 0, remaining());
+            in.get(joined, remaining(), n);
             bytes = joined;
             from = 0;
             to = joined.length;
@@ -74,7 +74,7 @@
         if (from == to) {
             bytes = NONE;
             from = to = 0;
-        } else if (bytes.length > 2 * left()) {
+        } else if (bytes.length > 2 * remaining()) {
             bytes = Arrays.copyOfRange(bytes, from, to);
             to -= from;
             from = 0;
@@ -82,17 +82,17 @@
     }
 
     /** The socket library's side of all connections; accepted ones become clients. */
-    static final class Callbacks extends IoHandlerAdapter {
+    static final class SessionHandler extends IoHandlerAdapter {
         private final Dispatcher desk;
         private final boolean accepts;
 
-        Callbacks(Dispatcher desk, boolean accepts) {
+        SessionHandler(Dispatcher desk, boolean accepts) {
             this.desk = desk;
             this.accepts = accepts;
         }
 
         @Override public void sessionCreated(IoSession session) {
-            if (accepts) new ClientConnection(desk).bind(session);
+            if (accepts) new ClientConnection(desk).bindSession(session);
         }
 
         @Override public void sessionOpened(IoSession session) {
@@ -112,7 +112,7 @@
 
         private void with(IoSession session, Consumer<Connection> what) {
             Connection c = (Connection) session.getAttribute(SELF);
-            if (c != null) desk.locked(() -> what.accept(c));
+            if (c != null) desk.runLocked(() -> what.accept(c));
         }
 
         @Override public void inputClosed(IoSession session) {
@@ -122,7 +122,7 @@
         @Override public void exceptionCaught(IoSession session, Throwable cause) {
             if (cause instanceof IOException) LOG.debug("connection broke off: {}", cause.toString());
             else {
-                desk.count.faults++;
+                desk.counters.faults++;
                 LOG.error("fault on a connection, which is closed", cause);
             }
             session.closeNow();
--- a/src/main/java/mothcross/net/DirectorServer.java
+++ b/src/main/java/mothcross/net/DirectorServer.java
@@ -35,12 +35,12 @@
     private static final int CLIENT_READ = 16 << 10;
     private static final long LAST_WRITE_MS = 500;
 
-    private StartupConfig start;
+    private StartupConfig config;
     private MembershipSettings remembering;
     private RouteRules routes;
-    private final Dispatcher desk;
+    private final Dispatcher dispatcher;
     private final DiscoveryWatch watch;
-    private final PersistentMembership remembered;  // null where the operators leave it off
+    private final PersistentMembership persistentMembership;  // null where the operators leave it off
     private final Acceptor acceptor;
     private final NioSocketConnector connector;
     private final IoProcessor<NioSession> processor;
@@ -72,8 +72,8 @@
     }
 
     private void limits() {
-        desk.limits(start.sockets, start.memoryMb);
-        acceptor.most = start.sockets * 11 / 16 + 1;
+        dispatcher.setLimits(config.sockets, config.memoryMb);
+        acceptor.most = config.sockets * 11 / 16 + 1;
     }
 
     public DirectorServer(StartupConfig start) {
@@ -93,7 +93,7 @@
     }
 
     DirectorServer(StartupConfig start, MembershipSettings remembering, SnapshotStore keeper) {
-        this.start = start;
+        this.config = start;
         this.remembering = remembering;
         Executor threads = Executors.newCachedThreadPool(r -> {
             Thread t = new Thread(r, "sockets");
@@ -103,15 +103,15 @@
         processor = new Processor(threads);
         connector = new NioSocketConnector(threads, processor);
         acceptor = new Acceptor(threads, processor);
-        desk = new Dispatcher(start.directorSettings, connector, start.maxHops);
+        dispatcher = new Dispatcher(start.directorSettings, connector, start.maxHops);
         limits();
-        remembered = remembering == null ? null : new PersistentMembership(desk, remembering.ages(),
+        persistentMembership = remembering == null ? null : new PersistentMembership(dispatcher, remembering.ages(),
             new WriteScheduler(remembering.urgentWriteDelayMs(), remembering.writeIntervalMs()),
             keeper, remembering.fleet(), start.name, System.currentTimeMillis());
-        watch = new DiscoveryWatch(desk, remembered == null ? new DiscoveryListener.Direct(desk) : remembered,
+        watch = new DiscoveryWatch(dispatcher, persistentMembership == null ? new DiscoveryListener.Direct(dispatcher) : persistentMembership,
             start.discovery);
-        connector.setHandler(new Connection.Callbacks(desk, false));
-        acceptor.setHandler(new Connection.Callbacks(desk, true));
+        connector.setHandler(new Connection.SessionHandler(dispatcher, false));
+        acceptor.setHandler(new Connection.SessionHandler(dispatcher, true));
         acceptor.setReuseAddress(true);
         acceptor.setBacklog(512);
         acceptor.setCloseOnDeactivation(false);         // another address, or the end, leaves open what is open
@@ -126,33 +126,33 @@
 
     /** Throws where what is known can't be used, or where it can't listen. */
     public void start() throws IOException, StartupConfig.InvalidConfigException {
-        RouteTable table = table(routes, start, null);
+        RouteTable table = table(routes, config, null);
         if (table != null) {
-            desk.rules = new ActiveRoutes(start.name);
-            desk.rules.share(share);
-            desk.rules.take(null, table, null);
+            dispatcher.activeRoutes = new ActiveRoutes(config.name);
+            dispatcher.activeRoutes.scaleLimits(share);
+            dispatcher.activeRoutes.activate(null, table, null);
         }
-        desk.enter();
+        dispatcher.enter();
         try {
-            if (remembered == null) watch.start(start.known);
-            else remembered.begin(start.known == null ? null : DiscoveryWatch.kept(start.known, remembering.fleet(),
-                start.name, start.writtenAt));
+            if (persistentMembership == null) watch.start(config.known);
+            else persistentMembership.start(config.known == null ? null : DiscoveryWatch.toSnapshot(config.known, remembering.fleet(),
+                config.name, config.writtenAt));
         } catch (RuntimeException e) {
             throw new StartupConfig.InvalidConfigException("field known can't be used: " + e.getMessage());
         } finally {
-            desk.leave();
+            dispatcher.leave();
         }
-        Thread timers = new Thread(desk.timers, "timers");
+        Thread timers = new Thread(dispatcher.timers, "timers");
         timers.setDaemon(true);
         timers.start();
-        desk.locked(watch::follow);
+        dispatcher.runLocked(watch::connect);
         awaitNews();
-        acceptor.bind(start.listen);
-        desk.locked(() -> {
+        acceptor.bind(config.listen);
+        dispatcher.runLocked(() -> {
             counters();
-            desk.ready = ending.state() == ShutdownSequence.State.SERVING;  // it may have been told to end meanwhile
+            dispatcher.ready = ending.state() == ShutdownSequence.State.SERVING;  // it may have been told to end meanwhile
         });
-        LOG.info("{} serves on {}", start.name, acceptor.getLocalAddress());
+        LOG.info("{} serves on {}", config.name, acceptor.getLocalAddress());
     }
 
     /**
@@ -162,7 +162,7 @@
      */
     private void awaitNews() {
         try {
-            if (!watch.awaitSpoken()) LOG.debug("discovery has not spoken: what the file knows has to do");
+            if (!watch.awaitFirstFrame()) LOG.debug("discovery has not spoken: what the file knows has to do");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -184,33 +184,33 @@
 
     /** This director's part of each limit, in parts of the fixed one; from any thread. */
     public void scaleLimits(double times) {
-        desk.locked(() -> {
+        dispatcher.runLocked(() -> {
             share = times;
-            if (desk.rules != null) desk.rules.share(times);
+            if (dispatcher.activeRoutes != null) dispatcher.activeRoutes.scaleLimits(times);
         });
     }
 
     /** Before it begins: somebody else says whether it is up to date, and brings its tables. */
     public void usePolicy(ServingPermit current, boolean tellsPlan) {
-        desk.locked(() -> {
-            desk.current = current;
-            desk.tellsPlan = tellsPlan;
-            desk.rules = new ActiveRoutes(start.name);
-            desk.rules.share(share);
+        dispatcher.runLocked(() -> {
+            dispatcher.servingPermit = current;
+            dispatcher.exposePlan = tellsPlan;
+            dispatcher.activeRoutes = new ActiveRoutes(config.name);
+            dispatcher.activeRoutes.scaleLimits(share);
         });
     }
 
     /** Rules made ready for what this director is told; null with their faults. */
     public RouteTable compilePolicy(RouteRules rules, List<String> faults) {
         RouteTable[] before = new RouteTable[1];
-        desk.locked(() -> before[0] = desk.rules == null ? null : desk.rules.table());
-        return RouteTable.compile(rules, start.directorSettings.workloads, start.directorSettings.workloadTable,
-            start.directorSettings.directorsInZone, start.maxHops, before[0], faults);
+        dispatcher.runLocked(() -> before[0] = dispatcher.activeRoutes == null ? null : dispatcher.activeRoutes.table());
+        return RouteTable.compile(rules, config.directorSettings.workloads, config.directorSettings.workloadTable,
+            config.directorSettings.directorsInZone, config.maxHops, before[0], faults);
     }
 
     /** From the next lookup on; those under way keep what they began with. */
     public void activatePolicy(Plan plan, RouteTable main, RouteTable trial) {
-        desk.locked(() -> desk.rules.take(plan, main, trial));
+        dispatcher.runLocked(() -> dispatcher.activeRoutes.activate(plan, main, trial));
     }
 
     /** SIGHUP: takes over what another file tells, under load; nothing that is open is touched. */
@@ -226,10 +226,10 @@
     public void reload(StartupConfig anew, MembershipSettings features, RouteRules rules)
         throws StartupConfig.InvalidConfigException {
         // All is compiled first; a lookup under way keeps what it came under, the next one meets the new table whole.
-        boolean own = desk.current == null;                 // else its tables come from the fleet
-        RouteTable table = own ? table(rules, start, desk.rules == null ? null : desk.rules.table()) : null;
-        List<InetSocketAddress> old = List.of(start.listen);
-        boolean moves = !anew.listen.equals(start.listen);
+        boolean own = dispatcher.servingPermit == null;                 // else its tables come from the fleet
+        RouteTable table = own ? table(rules, config, dispatcher.activeRoutes == null ? null : dispatcher.activeRoutes.table()) : null;
+        List<InetSocketAddress> old = List.of(config.listen);
+        boolean moves = !anew.listen.equals(config.listen);
         if (moves) {
             try {
                 acceptor.bind(anew.listen);
@@ -238,26 +238,26 @@
                 return;
             }
         }
-        desk.locked(() -> {
+        dispatcher.runLocked(() -> {
             boolean waits = remembering == null != (features == null) || features != null
                 && !(features.file().equals(remembering.file()) && features.fleet().equals(remembering.fleet()));
             routes = rules;
-            if (own && table == null) desk.rules = null;
+            if (own && table == null) dispatcher.activeRoutes = null;
             if (table != null) {
-                if (desk.rules == null) desk.rules = new ActiveRoutes(start.name);
-                desk.rules.share(share);
-                desk.rules.take(null, table, null);
+                if (dispatcher.activeRoutes == null) dispatcher.activeRoutes = new ActiveRoutes(config.name);
+                dispatcher.activeRoutes.scaleLimits(share);
+                dispatcher.activeRoutes.activate(null, table, null);
             }
-            boolean others = waits || !anew.settings.equals(start.settings);
+            boolean others = waits || !anew.settings.equals(config.settings);
             if (!waits && features != null && !features.equals(remembering)) {
-                remembered.takes(features.ages(), new WriteScheduler(features.urgentWriteDelayMs(),
+                persistentMembership.reload(features.ages(), new WriteScheduler(features.urgentWriteDelayMs(),
                     features.writeIntervalMs()));
                 remembering = features;
             }
-            start = anew;
+            config = anew;
             limits();
-            watch.move(anew.discovery);
-            desk.count.reloads++;
+            watch.moveTo(anew.discovery);
+            dispatcher.counters.reloads++;
             LOG.info("reload: the file is read anew{}", others ? "; its settings wait for the next start" : "");
         });
         if (moves) acceptor.unbind(old);
@@ -268,12 +268,12 @@
         LOG.warn("reload: {}; all stays as it was", why);
     }
 
-    Dispatcher desk() {
-        return desk;
+    Dispatcher dispatcher() {
+        return dispatcher;
     }
 
-    PersistentMembership remembered() {
-        return remembered;
+    PersistentMembership persistentMembership() {
+        return persistentMembership;
     }
 
     public int port() {
@@ -281,19 +281,19 @@
     }
 
     private void counters() {
-        desk.timers.set(new Timers.Timer() {
+        dispatcher.timers.set(new Timers.Timer() {
             @Override void fire() {
                 log();
                 counters();
             }
-        }, desk.clock() + COUNTERS_MS);
+        }, dispatcher.clock() + COUNTERS_MS);
     }
 
     private void log() {
         Runtime r = Runtime.getRuntime();
-        LOG.info("{}{}; open {}, clients {}, nodes {}, timers {}, heap {} MB", desk.count.line(),
-            (remembered == null ? "" : remembered.line()) + (desk.rules == null ? "" : desk.rules.line()),
-            desk.openLookups(), desk.clients(), desk.nodes.size(), desk.timers.size(),
+        LOG.info("{}{}; open {}, clients {}, nodes {}, timers {}, heap {} MB", dispatcher.counters.line(),
+            (persistentMembership == null ? "" : persistentMembership.counterLine()) + (dispatcher.activeRoutes == null ? "" : dispatcher.activeRoutes.line()),
+            dispatcher.openLookupCount(), dispatcher.clientCount(), dispatcher.nodes.size(), dispatcher.timers.size(),
             (r.totalMemory() - r.freeMemory()) >> 20);
     }
 
@@ -302,51 +302,51 @@
      */
     public void stop() throws InterruptedException {
         double longest = 0;
-        for (Workload w : start.directorSettings.workloadTable) longest = Math.max(longest, w.timeoutMs());
-        desk.enter();
+        for (Workload w : config.directorSettings.workloadTable) longest = Math.max(longest, w.timeoutMs());
+        dispatcher.enter();
         try {
-            desk.ready = false;
-            desk.draining = true;
-            ending.begins(desk.clock(), longest);
-            desk.timers.set(new Timers.Timer() {
+            dispatcher.ready = false;
+            dispatcher.draining = true;
+            ending.start(dispatcher.clock(), longest);
+            dispatcher.timers.set(new Timers.Timer() {
                 @Override void fire() {
-                    desk.endAll();
+                    dispatcher.stopSending();
                 }
-            }, ending.answeredBy());
+            }, ending.answerDeadline());
         } finally {
-            desk.leave();
+            dispatcher.leave();
         }
         LOG.info("told to end: answering what is open");
         for (boolean listens = true;; Thread.sleep(5)) {
             ShutdownSequence.State s;
-            desk.enter();
+            dispatcher.enter();
             try {
-                s = ending.step(desk.clock(), acceptor.cameAt, desk.clients());
+                s = ending.step(dispatcher.clock(), acceptor.cameAt, dispatcher.clientCount());
             } finally {
-                desk.leave();
+                dispatcher.leave();
             }
             if (s == ShutdownSequence.State.CLOSING && listens) {
                 listens = false;
                 acceptor.unbind();
-                desk.locked(desk::endResting);
+                dispatcher.runLocked(dispatcher::closeIdleClients);
             }
-            if (s == ShutdownSequence.State.OUT) break;
+            if (s == ShutdownSequence.State.TERMINATED) break;
         }
-        desk.locked(() -> {
+        dispatcher.runLocked(() -> {
             watch.stop();
             log();
         });
-        if (remembered != null) remembered.end(LAST_WRITE_MS);
-        desk.locked(desk.timers::stop);
+        if (persistentMembership != null) persistentMembership.stop(LAST_WRITE_MS);
+        dispatcher.runLocked(dispatcher.timers::stop);
         over.countDown();
     }
 
     /** Lets go of the sockets; for those who start several lives in one process. */
     public void release() {
-        if (remembered != null) remembered.kill();
-        desk.locked(() -> {
+        if (persistentMembership != null) persistentMembership.kill();
+        dispatcher.runLocked(() -> {
             watch.stop();
-            desk.timers.stop();
+            dispatcher.timers.stop();
         });
         acceptor.dispose(false);
         connector.dispose(false);
--- a/src/main/java/mothcross/net/DiscoveryListener.java
+++ b/src/main/java/mothcross/net/DiscoveryListener.java
@@ -9,26 +9,26 @@
  */
 interface DiscoveryListener {
     /** The number of the last event that was taken. */
-    long last();
+    long lastEvent();
 
     /** True where an event whose number is had already, or a whole list under any, is to be heard all the same. */
-    boolean hearsAgain(boolean wholeList);
+    boolean acceptsRepeated(boolean wholeList);
 
     /** False where the entries that follow are to be passed over. */
-    boolean begins(Director to, long number, int news);
+    boolean listStarted(Director to, long number, int news);
 
-    void listed(Director to, String id, InetSocketAddress address, int place, int kind, int cell, int standing,
+    void nodeListed(Director to, String id, InetSocketAddress address, int place, int kind, int cell, int standing,
                 double units, double startedAt);
 
-    void ends(Director to);
+    void listFinished(Director to);
 
     void purged(Director to, long number, long object, int group, double at);
 
     /** Discovery has nothing new, its last event is {@code number}. True where it should be asked from the first. */
-    boolean nothingNew(Director to, long number);
+    boolean heartbeat(Director to, long number);
 
     /** The connection that brought news has ended. */
-    void silent(String why);
+    void connectionLost(String why);
 
     /** As the desk takes them: every event in its order. */
     final class Direct implements DiscoveryListener {
@@ -39,27 +39,27 @@
             this.desk = desk;
         }
 
-        @Override public long last() {
+        @Override public long lastEvent() {
             return last;
         }
 
-        @Override public boolean hearsAgain(boolean wholeList) {
+        @Override public boolean acceptsRepeated(boolean wholeList) {
             return false;
         }
 
-        @Override public boolean begins(Director to, long number, int news) {
+        @Override public boolean listStarted(Director to, long number, int news) {
             last = number;
-            desk.listBegins(to, news);
+            desk.listStarted(to, news);
             return true;
         }
 
-        @Override public void listed(Director to, String id, InetSocketAddress address, int place, int kind,
+        @Override public void nodeListed(Director to, String id, InetSocketAddress address, int place, int kind,
                                      int cell, int standing, double units, double startedAt) {
-            desk.listed(to, id, address, place, kind, cell, standing, units, startedAt);
+            desk.nodeListed(to, id, address, place, kind, cell, standing, units, startedAt);
         }
 
-        @Override public void ends(Director to) {
-            desk.listEnds(to);
+        @Override public void listFinished(Director to) {
+            desk.listFinished(to);
         }
 
         @Override public void purged(Director to, long number, long object, int group, double at) {
@@ -67,10 +67,10 @@
             desk.purged(to, object, group, at);
         }
 
-        @Override public boolean nothingNew(Director to, long number) {
+        @Override public boolean heartbeat(Director to, long number) {
             return false;
         }
 
-        @Override public void silent(String why) { }
+        @Override public void connectionLost(String why) { }
     }
 }
--- a/src/main/java/mothcross/net/DiscoveryWatch.java
+++ b/src/main/java/mothcross/net/DiscoveryWatch.java
@@ -40,7 +40,7 @@
     private final Dispatcher desk;
     private final DiscoveryListener news;
     private InetSocketAddress address;
-    private Feed feed;
+    private FeedConnection feed;
     private double waitMs = FIRST_WAIT_MS;
     private boolean stopped;
     private int failedToSpeak;
@@ -56,20 +56,20 @@
     // ---- what is known at the start ----
 
     /** One entry of the list as the told file has it; {@code phase} is checked here, places and kinds by name. */
-    private record Member(String id, InetSocketAddress at, String place, String kind, int cell, int standing,
+    private record KnownNode(String id, InetSocketAddress at, String place, String kind, int cell, int standing,
                           double units, double started) {
-        static Member of(JsonObject n) {
+        static KnownNode of(JsonObject n) {
             String id = n.get("id").getAsString();
             int standing = DirectorSettings.parseNodeStatus(n.get("phase").getAsString());
             if (standing < 0) throw new IllegalArgumentException("phase of " + id);
-            return new Member(id, socket(n.get("host_port").getAsString()), n.get("locality").getAsString(),
+            return new KnownNode(id, parseAddress(n.get("host_port").getAsString()), n.get("locality").getAsString(),
                 n.get("flavor").getAsString(), n.get("cell").getAsInt(), standing, n.get("size").getAsDouble(),
                 n.get("up_since_ms").getAsDouble());
         }
     }
 
     /** {@code {"no":LAST,"items":[...]}}: the list as it stands after all items, without what is gone. */
-    private static List<Member> members(JsonArray items) {
+    private static List<KnownNode> members(JsonArray items) {
         Map<String, JsonObject> list = new LinkedHashMap<>();
         for (JsonElement e : items) {
             JsonObject roster = e.getAsJsonObject().getAsJsonObject("roster");
@@ -81,7 +81,7 @@
             }
         }
         list.values().removeIf(n -> n.get("phase").getAsString().equals("terminated"));
-        return list.values().stream().map(Member::of).toList();
+        return list.values().stream().map(KnownNode::of).toList();
     }
 
     private static List<Purge> purges(JsonArray items) {
@@ -99,25 +99,25 @@
     /** The told file's list and purges go to the module as they stand; all is read before it hears of any. */
     void start(JsonObject known) {
         JsonArray items = known.getAsJsonArray("items");
-        List<Member> members = members(items);
+        List<KnownNode> members = members(items);
         List<Purge> purges = purges(items);
         long last = known.get("no").getAsLong();
-        desk.round(to -> {
-            news.begins(to, last, Director.LIST_RESTORED);
-            for (Member m : members) {
-                news.listed(to, m.id, m.at, desk.opening.zones.indexOf(m.place), desk.opening.kinds.indexOf(m.kind),
+        desk.processBatch(to -> {
+            news.listStarted(to, last, Director.LIST_RESTORED);
+            for (KnownNode m : members) {
+                news.nodeListed(to, m.id, m.at, desk.settings.zones.indexOf(m.place), desk.settings.kinds.indexOf(m.kind),
                     m.cell, m.standing, m.units, m.started);
             }
-            news.ends(to);
+            news.listFinished(to);
             for (Purge p : purges) news.purged(to, last, p.object(), p.group(), p.at());
         });
     }
 
     /** The same as a list that was kept when the file was written. */
-    static MembershipSnapshot kept(JsonObject known, String fleet, String director, double writtenAt) {
+    static MembershipSnapshot toSnapshot(JsonObject known, String fleet, String director, double writtenAt) {
         JsonArray items = known.getAsJsonArray("items");
         Map<String, ListedNode> entries = new LinkedHashMap<>();
-        for (Member m : members(items)) {
+        for (KnownNode m : members(items)) {
             entries.put(m.id, new ListedNode(m.id, m.at.getHostString(), m.at.getPort(), m.place, m.kind, m.cell,
                 m.standing, m.units, m.started, writtenAt, 0, true));
         }
@@ -125,7 +125,7 @@
             HashTreePMap.from(entries), purges(items));
     }
 
-    static InetSocketAddress socket(String hostPort) {
+    static InetSocketAddress parseAddress(String hostPort) {
         int colon = hostPort.lastIndexOf(':');
         int port = Integer.parseInt(hostPort.substring(colon + 1));
         return new InetSocketAddress(hostPort.substring(0, colon), port);
@@ -137,66 +137,66 @@
      * Waits, without the lock, until what was told before the start is known: until its first frame, two connections
      * that brought none, or as long as one may take to come up or a frame to follow. False where it has not spoken.
      */
-    boolean awaitSpoken() throws InterruptedException {
-        long most = (long) Math.min(FRAME_EVERY_MS, desk.opening.connectMs);
+    boolean awaitFirstFrame() throws InterruptedException {
+        long most = (long) Math.min(FRAME_EVERY_MS, desk.settings.connectMs);
         boolean in = spoken.await(most, TimeUnit.MILLISECONDS);
         return in && failedToSpeak < TRIES_TO_SPEAK;
     }
 
-    void follow() {
+    void connect() {
         if (stopped || feed != null) return;
-        feed = new Feed();
+        feed = new FeedConnection();
         feed.connect();
     }
 
     /** Told of another address: the old one tells nothing more, the numbers go on. */
-    void move(InetSocketAddress to) {
+    void moveTo(InetSocketAddress to) {
         if (to.equals(address) || stopped) return;
-        LOG.info("discovery: moved from {} to {} at event {}", address, to, news.last());
+        LOG.info("discovery: moved from {} to {} at event {}", address, to, news.lastEvent());
         address = to;
         waitMs = FIRST_WAIT_MS;
-        Feed old = feed;
+        FeedConnection old = feed;
         feed = null;                                    // so that its end is no reason to connect again
         if (old != null) old.leave();
-        follow();
+        connect();
     }
 
     void stop() {
         stopped = true;
-        if (feed != null) feed.drop();
+        if (feed != null) feed.abort();
     }
 
     private void again(String why) {
         if (stopped) return;
-        if (desk.count.mayWarn()) {
-            LOG.info("discovery: {}; connecting again from event {} in {} ms", why, news.last(), (long) waitMs);
+        if (desk.counters.mayWarn()) {
+            LOG.info("discovery: {}; connecting again from event {} in {} ms", why, news.lastEvent(), (long) waitMs);
         }
         feed = null;
-        news.silent(why);
+        news.connectionLost(why);
         if (++failedToSpeak >= TRIES_TO_SPEAK) spoken.countDown();
         desk.timers.set(new Timers.Timer() {
             @Override void fire() {
-                follow();
+                connect();
             }
         }, desk.clock() + waitMs);
         waitMs = Math.min(LONGEST_WAIT_MS, 2 * waitMs);
     }
 
-    private final class Feed extends Connection {
+    private final class FeedConnection extends Connection {
         private ConnectFuture connecting;
         private double wholeAt;                         // when its last whole frame came, or it came up
         private boolean up;
 
-        Feed() {
+        FeedConnection() {
             super(DiscoveryWatch.this.desk);
         }
 
         void connect() {
-            wholeAt = desk.clock();
-            connecting = desk.connector.connect(address, (session, future) -> bind(session));
+            wholeAt = dispatcher.clock();
+            connecting = dispatcher.connector.connect(address, (session, future) -> bindSession(session));
             connecting.addListener(f -> {
                 if (connecting.getException() == null && !connecting.isCanceled()) return;
-                desk.locked(() -> end("can't be reached"));
+                dispatcher.runLocked(() -> end("can't be reached"));
             });
             watch();
         }
@@ -206,10 +206,10 @@
          * a frame that trickles would keep a watch that tells nothing.
          */
         private void watch() {
-            desk.timers.set(new Timers.Timer() {
+            dispatcher.timers.set(new Timers.Timer() {
                 @Override void fire() {
-                    if (feed != Feed.this) return;
-                    if (desk.clock() < wholeAt + patience()) {
+                    if (feed != FeedConnection.this) return;
+                    if (dispatcher.clock() < wholeAt + patience()) {
                         watch();
                         return;
                     }
@@ -220,28 +220,28 @@
         }
 
         private double patience() {
-            return up ? SILENCE_MS : desk.opening.connectMs;
+            return up ? SILENCE_MS : dispatcher.settings.connectMs;
         }
 
         void leave() {
             connecting.cancel();
-            drop();
+            abort();
         }
 
         private void end(String why) {
             if (feed != this) return;
-            drop();
+            abort();
             again(why);
         }
 
         @Override void opened() {
             if (feed != this) {
-                drop();
+                abort();
                 return;
             }
             up = true;
-            wholeAt = desk.clock();
-            session.write(IoBuffer.allocate(8).putLong(news.last()).flip());
+            wholeAt = dispatcher.clock();
+            session.write(IoBuffer.allocate(8).putLong(news.lastEvent()).flip());
         }
 
         @Override void closed() {
@@ -250,18 +250,18 @@
 
         @Override void received() {
             if (feed != this) return;
-            while (left() >= 4) {
+            while (remaining() >= 4) {
                 long length = big(from, 4);
                 if (length < 9 || length > LONGEST_FRAME) {
                     malformed("length " + length);
                     return;
                 }
-                if (left() < 4 + length) return;
+                if (remaining() < 4 + length) return;
                 int at = from + 4, end = at + (int) length;
                 if (!frame(big(at, 8), bytes[at + 8], at + 9, end)) return;
                 failedToSpeak = 0;
                 spoken.countDown();
-                wholeAt = desk.clock();
+                wholeAt = dispatcher.clock();
                 from = end;
             }
         }
@@ -272,16 +272,16 @@
                 waitMs = FIRST_WAIT_MS;
                 if (size != 0) return malformed("an empty frame that is not empty");
                 boolean[] anew = new boolean[1];
-                desk.round(to -> anew[0] = news.nothingNew(to, number));
+                dispatcher.processBatch(to -> anew[0] = news.heartbeat(to, number));
                 if (anew[0]) end("older than what is known");
                 // Nothing new after an event that never came: it was lost on the way, and is asked for again.
-                else if (number > news.last()) return malformed("nothing new after event " + number + ", known "
-                    + news.last());
+                else if (number > news.lastEvent()) return malformed("nothing new after event " + number + ", known "
+                    + news.lastEvent());
                 return !anew[0];
             }
-            long last = news.last();
-            boolean whole = kind == 1 && news.hearsAgain(true), again = number <= last;
-            if (again && !whole && !news.hearsAgain(false)) return true;     // had it already
+            long last = news.lastEvent();
+            boolean whole = kind == 1 && news.acceptsRepeated(true), again = number <= last;
+            if (again && !whole && !news.acceptsRepeated(false)) return true;     // had it already
             boolean fits = switch (kind) {
                 case 1, 2 -> size % RECORD == 0;
                 case 3 -> size == 16;
@@ -296,7 +296,7 @@
                     if (state < 0 || state > Director.REMOVED) return malformed("state " + state);
                 }
             }
-            desk.round(to -> {
+            dispatcher.processBatch(to -> {
                 if (kind == 3) news.purged(to, number, big(at, 8) & Long.MAX_VALUE, -1, big(at + 8, 8));
                 else if (kind == 4) news.purged(to, number, -1, (int) big(at, 2), big(at + 2, 8));
                 else list(to, number, kind, at, end);
@@ -306,7 +306,7 @@
         }
 
         private void list(Director to, long number, int kind, int at, int end) {
-            if (!news.begins(to, number, kind == 1 ? Director.LIST_SNAPSHOT : Director.LIST_DELTA)) return;
+            if (!news.listStarted(to, number, kind == 1 ? Director.LIST_SNAPSHOT : Director.LIST_DELTA)) return;
             for (int r = at; r < end; r += RECORD) {
                 InetSocketAddress socket;
                 try {
@@ -315,10 +315,10 @@
                 } catch (UnknownHostException e) {
                     throw new IllegalStateException(e);  // four bytes are always an address
                 }
-                news.listed(to, String.format("s-%08x", big(r, 4)), socket, bytes[r + 11], bytes[r + 12],
+                news.nodeListed(to, String.format("s-%08x", big(r, 4)), socket, bytes[r + 11], bytes[r + 12],
                     (int) big(r + 13, 2), bytes[r + 10], big(r + 15, 4) / 1000.0, big(r + 19, 8));
             }
-            news.ends(to);
+            news.listFinished(to);
         }
 
         private long big(int at, int size) {
@@ -328,8 +328,8 @@
         }
 
         private boolean malformed(String what) {
-            desk.count.badFrame++;
-            if (desk.count.mayWarn()) LOG.warn("discovery sent what is no frame ({})", what);
+            dispatcher.counters.badFrame++;
+            if (dispatcher.counters.mayWarn()) LOG.warn("discovery sent what is no frame ({})", what);
             end("can't be used");
             return false;
         }
--- a/src/main/java/mothcross/net/Dispatcher.java
+++ b/src/main/java/mothcross/net/Dispatcher.java
@@ -34,24 +34,24 @@
     private static final int MOST_CONNECTIONS = 8;
 
     final ReentrantLock lock = new ReentrantLock();
-    final Counters count = new Counters();
+    final Counters counters = new Counters();
     final Timers timers;
-    final DirectorSettings opening;
+    final DirectorSettings settings;
     final IoConnector connector;
     private final Director director;
     private final LookupIndexAllocator slots = new LookupIndexAllocator();
-    private final int mostHops;
+    private final int maxHops;
     private Lookup[] lookups = new Lookup[64];
     // By the client's id, while open; an id that is open already is not taken again.
     private final Map<Long, Lookup> open = new HashMap<>();
     final Nodes nodes = new Nodes();
     final AnswerTimes answerTimes;
-    ActiveRoutes rules;                                 // null where the operators have no routes
-    ServingPermit current;                              // null where nobody else decides what is in force
-    boolean tellsPlan;                                  // of tests only
-    private HopObserver witness;                        // null where nobody wants to know
+    ActiveRoutes activeRoutes;                                 // null where the operators have no routes
+    ServingPermit servingPermit;                              // null where nobody else decides what is in force
+    boolean exposePlan;                                  // of tests only
+    private HopObserver hopObserver;                        // null where nobody wants to know
     // Every connection to a node that is up or on its way; each takes itself out when it ends.
-    final Set<NodeConnection> connections = new LinkedHashSet<>();
+    final Set<NodeConnection> nodeConnections = new LinkedHashSet<>();
     // Filled while the module is at work, empty whenever the lock is free.
     private final ArrayDeque<Hop> ended = new ArrayDeque<>();
     private final ArrayDeque<ClientConnection> goOn = new ArrayDeque<>();
@@ -60,7 +60,7 @@
     private int mostClients, nodeSockets;
     private long mostUnwritten;
     /** Bytes that clients have sent ahead of their turn, and the bodies of what is open. */
-    long ahead;
+    long readAheadBytes;
     /** Told to end: every answer ends its connection. */
     boolean draining;
     private boolean atWork, closing;
@@ -68,16 +68,16 @@
     volatile boolean ready;
 
     Dispatcher(DirectorSettings opening, IoConnector connector, int mostHops) {
-        this.opening = opening;
+        this.settings = opening;
         this.connector = connector;
         this.director = opening.director;
-        this.mostHops = mostHops;
+        this.maxHops = mostHops;
         this.timers = new Timers(this);
         this.answerTimes = new AnswerTimes(opening.workloadTable.length);
     }
 
     /** Usual clients hold a third of the descriptors at most; nodes and the process itself need three eighths. */
-    void limits(int sockets, double memoryMb) {
+    void setLimits(int sockets, double memoryMb) {
         mostClients = sockets * 5 / 8;
         nodeSockets = sockets / 6;
         mostUnwritten = (long) (memoryMb * (1 << 20) / 8);
@@ -92,15 +92,15 @@
     /** Settles what has ended, then lets go of the lock. */
     void leave() {
         try {
-            if (lock.getHoldCount() == 1) settle();
+            if (lock.getHoldCount() == 1) processCompletedHops();
         } catch (RuntimeException | AssertionError e) {
-            fault(e);                                   // the thread that came with it goes on
+            recordInternalError(e);                                   // the thread that came with it goes on
         } finally {
             lock.unlock();
         }
     }
 
-    void locked(Runnable what) {
+    void runLocked(Runnable what) {
         enter();
         try {
             what.run();
@@ -115,28 +115,28 @@
         return now = Math.max(now, t.getEpochSecond() * 1e3 + t.getNano() / 1e6);
     }
 
-    void round(EventBatch in) {
-        count.hold(lock.isHeldByCurrentThread() && !atWork, "the module is called once at a time");
+    void processBatch(EventBatch in) {
+        counters.checkInvariant(lock.isHeldByCurrentThread() && !atWork, "the module is called once at a time");
         atWork = true;
         try {
             director.process(clock(), in, this);
         } catch (RuntimeException | AssertionError e) {
-            fault(e);
+            recordInternalError(e);
         } finally {
             atWork = false;
         }
     }
 
-    private void settle() {
+    private void processCompletedHops() {
         while (true) {
-            if (!ended.isEmpty()) round(this::deliverEnded);
-            else if (!goOn.isEmpty()) goOn.poll().goOn();
+            if (!ended.isEmpty()) processBatch(this::deliverEnded);
+            else if (!goOn.isEmpty()) goOn.poll().resume();
             else return;
         }
     }
 
-    void fault(Throwable e) {
-        count.faults++;
+    void recordInternalError(Throwable e) {
+        counters.faults++;
         LOG.error("fault; what is open is answered when its time is up", e);
     }
 
@@ -144,33 +144,33 @@
 
     /** Whether this director is sure enough to be up to date to decide what starts now. */
     boolean mayStart() {
-        return current == null || current.mayStart();
+        return servingPermit == null || servingPermit.mayStart();
     }
 
     /** False where a lookup of this id is open already. */
-    boolean lookup(Lookup l, int workload, int part, double sizeKb, boolean repeat, RouteConstraints by) {
-        if (open.putIfAbsent(l.number, l) != null) return false;
-        count.lookups++;
-        ahead += l.body.length;
+    boolean startLookup(Lookup l, int workload, int part, double sizeKb, boolean repeat, RouteConstraints by) {
+        if (open.putIfAbsent(l.id, l) != null) return false;
+        counters.lookups++;
+        readAheadBytes += l.body.length;
         int at = l.index = slots.allocate();
         l.workload = workload;
         if (at >= lookups.length) lookups = Arrays.copyOf(lookups, 2 * lookups.length);
         lookups[at] = l;
-        timers.set(l, l.expires + BACKSTOP_MS);
-        round(to -> to.lookup(at, workload, l.expires, l.object, part, l.group, sizeKb, repeat, false, by));
+        timers.set(l, l.expiresAt + BACKSTOP_MS);
+        processBatch(to -> to.lookup(at, workload, l.expiresAt, l.object, part, l.group, sizeKb, repeat, false, by));
         return true;
     }
 
-    int openLookups() {
+    int openLookupCount() {
         return open.size();
     }
 
-    int mostHops() {
-        return mostHops;
+    int maxHops() {
+        return maxHops;
     }
 
     private boolean isOver(Lookup l) {
-        return open.get(l.number) != l;
+        return open.get(l.id) != l;
     }
 
     private void over(Lookup l) {
@@ -181,14 +181,14 @@
     /** Nobody waits any more: what has not been written is not sent, whether or not calling off is allowed. */
     private void ended(Lookup l) {
         timers.cancel(l);
-        open.remove(l.number, l);
+        open.remove(l.id, l);
         slots.markOver(l.index);
-        ahead -= l.body.length;
+        readAheadBytes -= l.body.length;
         for (int i = 0; i < l.hopCount(); i++) {
             Hop h = l.hop(i);
-            if (h.ended || h.written != null) continue;
-            if (h.on != null) h.on.giveUp(h);
-            end(h, Director.NOT_SENT);
+            if (h.ended || h.writeFuture != null) continue;
+            if (h.connection != null) h.connection.abandon(h);
+            endHop(h, Director.NOT_SENT);
         }
     }
 
@@ -196,20 +196,20 @@
         if (slots.release(l.index)) lookups[l.index] = null;
     }
 
-    void cancelled(Lookup l) {
+    void clientDisconnected(Lookup l) {
         if (isOver(l)) return;
-        count.cancelled++;
+        counters.cancelled++;
         ended(l);
-        round(to -> to.clientDisconnected(l.index));
+        processBatch(to -> to.clientDisconnected(l.index));
         release(l);
     }
 
     /** The module answers in time by itself; this only keeps a fault of it from leaving a client waiting. */
-    void timeIsUp(Lookup l) {
+    void lookupTimedOut(Lookup l) {
         if (isOver(l)) return;
-        count.unanswered++;
+        counters.unanswered++;
         LOG.error("lookup without an answer when its time was up");
-        l.client.failed();
+        l.client.sendFailure();
         over(l);
         callBack(l);
     }
@@ -224,86 +224,86 @@
     void admit(ClientConnection c) {
         clients.add(c);
         if (clients.size() <= mostClients) return;
-        count.crowded++;
+        counters.evicted++;
         ClientConnection out = c;
         int least = ClientConnection.NEW;
         for (ClientConnection x : clients) {
-            int worth = x == c ? ClientConnection.NEW : x.worth();
-            boolean longer = worth == least && worth == ClientConnection.IDLE && x.idleFor() > out.idleFor();
+            int worth = x == c ? ClientConnection.NEW : x.evictionPriority();
+            boolean longer = worth == least && worth == ClientConnection.IDLE && x.idleMs() > out.idleMs();
             if (worth >= least && !longer) continue;
             least = worth;
             out = x;
             if (worth == 0) break;
         }
         if (least == ClientConnection.IDLE) {
-            out.closeIfIdle();
+            out.closeIfStillIdle();
             return;
         }
         clients.remove(out);
-        out.end();
+        out.close();
     }
 
     /** Answers then tell clients to ask on a new connection, so that none is closed that may be asking. */
-    boolean crowding() {
+    boolean underDescriptorPressure() {
         return clients.size() > mostClients * 3 / 4;
     }
 
-    void gone(ClientConnection c) {
+    void clientClosed(ClientConnection c) {
         clients.remove(c);
     }
 
-    int clients() {
+    int clientCount() {
         return clients.size();
     }
 
     /** Where clients together have sent much ahead, each may only a little. */
-    boolean holdsMuch() {
-        return ahead > mostUnwritten;
+    boolean readAheadLimitExceeded() {
+        return readAheadBytes > mostUnwritten;
     }
 
     /** The process ends and nobody can come any more: who rests is told to go, who is answered goes after it. */
-    void endResting() {
-        for (ClientConnection c : new ArrayList<>(clients)) c.endIfResting();
+    void closeIdleClients() {
+        for (ClientConnection c : new ArrayList<>(clients)) c.closeIfAtRest();
     }
 
-    long unwritten() {
+    long writeBacklogBytes() {
         long sum = 0;
         for (ClientConnection c : clients) sum += c.session.getScheduledWriteBytes();
         return sum;
     }
 
     /** Clients that read slowly hold so much of the memory at most; past it, the one that holds most goes. */
-    void boundUnwritten(ClientConnection writer) {
+    void enforceWriteBacklogLimit(ClientConnection writer) {
         // The sum is looked at only when this one has more than one answer unread: most never have.
         if (writer.session.getScheduledWriteBytes() <= mostUnwritten / mostClients) return;
-        if (unwritten() <= mostUnwritten) return;
-        count.slowReaders++;
+        if (writeBacklogBytes() <= mostUnwritten) return;
+        counters.slowReaders++;
         ClientConnection most = writer;
         for (ClientConnection c : clients) {
             if (c.session.getScheduledWriteBytes() > most.session.getScheduledWriteBytes()) most = c;
         }
-        most.drop();
+        most.abort();
     }
 
     // ---- hops ----
 
     private void send(int lookup, int node, int source, double giveUpAt, int rank, double maxAge, int how) {
         Lookup l = lookups[lookup];
-        if (l == null || isOver(l) || l.full()) {
-            count.hold(false, "a hop for a lookup that is over, or one too many");
+        if (l == null || isOver(l) || l.hopLimitReached()) {
+            counters.checkInvariant(false, "a hop for a lookup that is over, or one too many");
             return;
         }
-        Hop h = new Hop(l, slots.hopSent(lookup), nodes.at(node), nodes.at(source), rank, maxAge, how, now,
-            giveUpAt > 0 ? Math.min(giveUpAt, l.expires) : l.expires);
+        Hop h = new Hop(l, slots.hopSent(lookup), nodes.get(node), nodes.get(source), rank, maxAge, how, now,
+            giveUpAt > 0 ? Math.min(giveUpAt, l.expiresAt) : l.expiresAt);
         l.add(h);
-        count.hops++;
-        h.node.hops++;
-        h.source.hops++;
-        if (closing || now >= h.until) {
-            end(h, closing ? Director.NOT_SENT : Director.TIMED_OUT);
+        counters.hops++;
+        h.node.activeHops++;
+        h.source.activeHops++;
+        if (closing || now >= h.deadline) {
+            endHop(h, closing ? Director.NOT_SENT : Director.TIMED_OUT);
             return;
         }
-        timers.set(h, h.until);
+        timers.set(h, h.deadline);
         NodeConnection.send(this, h);
     }
 
@@ -314,14 +314,14 @@
     boolean mayBeSent(Hop h) {
         Lookup l = h.lookup;
         boolean waitedFor = !isOver(l);
-        count.hold(waitedFor, "nothing is sent for a request that is over");
+        counters.checkInvariant(waitedFor, "nothing is sent for a request that is over");
         if (!waitedFor) return false;
-        Workload w = opening.workloadTable[l.workload];
+        Workload w = settings.workloadTable[l.workload];
         if (w.effect() != Workload.Effect.DEDUPLICATED) return true;
         double t = clock();
         for (int i = 0; i < h.number; i++) {
             Hop x = l.hop(i);
-            boolean ran = x.written != null && !(x.ended && neverRan(x.outcome));
+            boolean ran = x.writeFuture != null && !(x.ended && neverRan(x.outcome));
             if (ran && t >= x.writtenAt + w.deduplicationWindowMs()) return false;
         }
         return true;
@@ -334,23 +334,23 @@
     }
 
     /** A hop's time limit. */
-    void ranOut(Hop h) {
-        NodeConnection on = h.on;
-        boolean silent = on != null && on.giveUp(h);
-        end(h, Director.TIMED_OUT);
-        if (silent) on.replace();
+    void hopTimedOut(Hop h) {
+        NodeConnection on = h.connection;
+        boolean silent = on != null && on.abandon(h);
+        endHop(h, Director.TIMED_OUT);
+        if (silent) on.retire();
     }
 
     /** Notes the end of a hop; the module hears of it when it is not at work. */
-    void end(Hop h, int outcome) {
+    void endHop(Hop h, int outcome) {
         if (h.ended) return;
         h.ended = true;
         h.outcome = outcome;
-        h.on = null;
+        h.connection = null;
         timers.cancel(h);
-        h.node.hops--;
-        h.source.hops--;
-        count.ends[outcome]++;
+        h.node.activeHops--;
+        h.source.activeHops--;
+        counters.outcomes[outcome]++;
         ended.add(h);
     }
 
@@ -358,82 +358,82 @@
         for (Hop h; (h = ended.poll()) != null;) {
             Lookup l = h.lookup;
             if (h.outcome == Director.SUCCEEDED && !isOver(l)) {
-                count.handled++;
-                if (h.unchanged) count.unchanged++;
-                l.client.handled(h);
+                counters.succeeded++;
+                if (h.notModified) counters.unchanged++;
+                l.client.sendSuccess(h);
                 ended(l);
             }
             h.answer = null;
             boolean last = isOver(l), known = slots.hopEnded(l.index, h.number);
-            count.hold(known, "a hop ends once");
+            counters.checkInvariant(known, "a hop ends once");
             if (known) {
                 to.hopEnded(l.index, h.number, h.node.index, h.outcome, last, h.note, now - h.sentAt,
                     h.sourceWait, h.report);
             }
-            if (witness != null) witness.saw(h);
+            if (hopObserver != null) hopObserver.hopEnded(h);
             release(l);
         }
-        if (witness != null) witness.roundEnds(to);
+        if (hopObserver != null) hopObserver.roundFinished(to);
     }
 
     // ---- the list and purges, called by a reader in the module's round ----
 
-    void listBegins(Director to, int news) {
-        nodes.begins(to, news);
+    void listStarted(Director to, int news) {
+        nodes.listStarted(to, news);
     }
 
-    void listed(Director to, String id, InetSocketAddress address, int place, int kind, int cell,
+    void nodeListed(Director to, String id, InetSocketAddress address, int place, int kind, int cell,
                 int standing, double units, double startedAt) {
-        nodes.listed(to, id, address, place, kind, cell, standing, units, startedAt);
+        nodes.nodeListed(to, id, address, place, kind, cell, standing, units, startedAt);
     }
 
     /** What goes down with one connection is less where there are several; descriptors set how many. */
     int connectionsPerNode() {
-        return Math.max(1, Math.min(MOST_CONNECTIONS, nodeSockets / nodes.listed()));
+        return Math.max(1, Math.min(MOST_CONNECTIONS, nodeSockets / nodes.nodeListed()));
     }
 
-    void listEnds(Director to) {
-        nodes.ends(to);
-        takeBack(h -> !usable(h.node) || !usable(h.source));
+    void listFinished(Director to) {
+        nodes.listFinished(to);
+        withdrawHops(h -> !usable(h.node) || !usable(h.source));
     }
 
     private static boolean usable(Node n) {
-        return n.standing == Director.IN_SERVICE || n.standing == Director.UNCONFIRMED;
+        return n.status == Director.IN_SERVICE || n.status == Director.UNCONFIRMED;
     }
 
-    void witness(HopObserver w) {
-        witness = w;
+    void setHopObserver(HopObserver w) {
+        hopObserver = w;
     }
 
     void purged(Director to, long object, int group, double at) {
         to.purged(object, group, Math.max(0, now - at));
-        takeBack(h -> object >= 0 ? h.lookup.object == object : h.lookup.group == group);
+        withdrawHops(h -> object >= 0 ? h.lookup.object == object : h.lookup.group == group);
     }
 
     /** What still waits for a connection and is touched by news goes back to the module, which knows better. */
-    private void takeBack(Predicate<Hop> which) {
-        for (NodeConnection c : connections) c.takeBack(which);
+    private void withdrawHops(Predicate<Hop> which) {
+        for (NodeConnection c : nodeConnections) c.withdraw(which);
     }
 
-    void probeEnded(Node node, int outcome, double spent, double[] report) {
-        count.probes++;
-        if (outcome == Director.SUCCEEDED) count.probesFit++;
-        round(to -> to.probeCompleted(node.index, outcome, spent, report));
+    void probeCompleted(Node node, int outcome, double spent, double[] report) {
+        counters.probes++;
+        if (outcome == Director.SUCCEEDED) counters.probesFit++;
+        processBatch(to -> to.probeCompleted(node.index, outcome, spent, report));
     }
 
     // ---- the end ----
 
     /** From now on nothing new goes out: what is open ends as not sent or out of time, and is answered. */
-    void endAll() {
+    void stopSending() {
         closing = true;
         for (Lookup l : new ArrayList<>(open.values())) callBack(l);
     }
 
     private void callBack(Lookup l) {
-        for (int i = 0; i < l.hopCount(); i++) if (!l.hop(i).ended) ranOut(l.hop(i));
+        for (int i = 0; i < l.hopCount(); i++) if (!l.hop(i).ended) hopTimedOut(l.hop(i));
     }
 
-    void goOnLater(ClientConnection client) {
+    void resumeLater(ClientConnection client) {
         goOn.add(client);
     }
 
@@ -452,15 +452,15 @@
         Lookup l = lookups[lookup];
         Hop h = l == null ? null : l.hop(hop);
         if (h == null || h.ended) return;
-        if (h.on != null) h.on.giveUp(h);
-        end(h, h.written == null ? Director.NOT_SENT : Director.CANCELLED);
+        if (h.connection != null) h.connection.abandon(h);
+        endHop(h, h.writeFuture == null ? Director.NOT_SENT : Director.CANCELLED);
     }
 
     @Override public void reject(int lookup, double comeBackAfter) {
         Lookup l = lookups[lookup];
         if (answerOwed(l)) {
-            count.bounced++;
-            l.client.bounced(comeBackAfter);
+            counters.rejected++;
+            l.client.sendRejection(comeBackAfter);
             over(l);
         }
     }
@@ -468,26 +468,26 @@
     @Override public void fail(int lookup) {
         Lookup l = lookups[lookup];
         if (answerOwed(l)) {
-            count.givenUp++;
-            l.client.failed();
+            counters.failed++;
+            l.client.sendFailure();
             over(l);
         }
     }
 
     private boolean answerOwed(Lookup l) {
         boolean owed = l != null && !isOver(l);
-        count.hold(owed, "one final answer for each lookup");
+        counters.checkInvariant(owed, "one final answer for each lookup");
         return owed;
     }
 
     @Override public void probe(int node) {
-        NodeConnection.probe(this, nodes.at(node));
+        NodeConnection.probe(this, nodes.get(node));
     }
 
     @Override public void setTimer(double at, long name) {
         timers.set(new Timers.Timer() {
             @Override void fire() {
-                round(to -> to.timerFired(name));
+                processBatch(to -> to.timerFired(name));
             }
         }, at);
     }
--- a/src/main/java/mothcross/net/Hop.java
+++ b/src/main/java/mothcross/net/Hop.java
@@ -8,10 +8,10 @@
     final Lookup lookup;
     final int number;
     final Node node, source;            // the source is the node itself where nothing is to be filled
-    final int rank, how;
-    final double maxAge, sentAt, until;
-    NodeConnection on;                  // the connection that it waits for or is out on
-    WriteFuture written;                // null until it has been given to the connection
+    final int rank, fetchOptions;
+    final double maxAge, sentAt, deadline;
+    NodeConnection connection;                  // the connection that it waits for or is out on
+    WriteFuture writeFuture;                // null until it has been given to the connection
     double writtenAt;
     boolean ended;
     int outcome, note;
@@ -19,8 +19,8 @@
     double[] report;
     // What the client will be given: room for a head, then the bytes.
     IoBuffer answer;
-    String tag;
-    boolean unchanged;
+    String etag;
+    boolean notModified;
 
     Hop(Lookup lookup, int number, Node node, Node source, int rank, double maxAge, int how, double sentAt,
         double until) {
@@ -30,12 +30,12 @@
         this.source = source;
         this.rank = rank;
         this.maxAge = maxAge;
-        this.how = how;
+        this.fetchOptions = how;
         this.sentAt = sentAt;
-        this.until = until;
+        this.deadline = until;
     }
 
     @Override void fire() {
-        if (!ended) lookup.client.desk.ranOut(this);
+        if (!ended) lookup.client.dispatcher.hopTimedOut(this);
     }
 }
--- a/src/main/java/mothcross/net/HopObserver.java
+++ b/src/main/java/mothcross/net/HopObserver.java
@@ -7,7 +7,7 @@
  * and at the end of the round once more, when it may bring news of the list.
  */
 interface HopObserver {
-    void saw(Hop hop);
+    void hopEnded(Hop hop);
 
-    void roundEnds(Director to);
+    void roundFinished(Director to);
 }
--- a/src/main/java/mothcross/net/Lookup.java
+++ b/src/main/java/mothcross/net/Lookup.java
@@ -6,14 +6,14 @@
  */
 final class Lookup extends Timers.Timer {
     final ClientConnection client;
-    final byte[] id;                    // as it came, 16 hex digits
-    final long number;                  // the same as a number
-    final byte[] asked;                 // the fields of a hop that say what is asked
+    final byte[] idHex;                    // as it came, 16 hex digits
+    final long id;                  // the same as a number
+    final byte[] requestFields;                 // the fields of a hop that say what is asked
     final byte[] body;
-    final String known;                 // the tag of the client's own copy, or null
+    final String clientEtag;                 // the tag of the client's own copy, or null
     final long object;
     final int group;
-    final double expires;
+    final double expiresAt;
     int index, workload;
     private final Hop[] hops;
     private int hopCount;
@@ -21,14 +21,14 @@
     Lookup(ClientConnection client, byte[] id, byte[] asked, byte[] body, String known, long object, int group,
            double expires, int mostHops) {
         this.client = client;
-        this.id = id;
-        this.number = Bytes.hex(id, 0, id.length);
-        this.asked = asked;
+        this.idHex = id;
+        this.id = Bytes.parseHex(id, 0, id.length);
+        this.requestFields = asked;
         this.body = body;
-        this.known = known;
+        this.clientEtag = known;
         this.object = object;
         this.group = group;
-        this.expires = expires;
+        this.expiresAt = expires;
         this.hops = new Hop[mostHops];
     }
 
@@ -36,7 +36,7 @@
         hops[hopCount++] = hop;
     }
 
-    boolean full() {
+    boolean hopLimitReached() {
         return hopCount == hops.length;
     }
 
@@ -49,6 +49,6 @@
     }
 
     @Override void fire() {
-        client.desk.timeIsUp(this);
+        client.dispatcher.lookupTimedOut(this);
     }
 }
--- a/src/main/java/mothcross/net/Node.java
+++ b/src/main/java/mothcross/net/Node.java
@@ -9,10 +9,10 @@
     final int index;
     final String id;
     InetSocketAddress address;
-    int standing;
-    double heardAt;                     // when anything came from it last, on whichever connection
-    int hops;                           // out that name it, as node or as source
-    boolean named;                      // in the whole list being read
+    int status;
+    double lastReceivedAt;                     // when anything came from it last, on whichever connection
+    int activeHops;                           // out that name it, as node or as source
+    boolean inList;                      // in the whole list being read
     // Those that are up or on their way and take hops; replaced ones are no longer among them.
     final List<NodeConnection> connections = new ArrayList<>();
 
@@ -21,7 +21,7 @@
         this.id = id;
     }
 
-    void replaceConnections() {
-        for (NodeConnection c : new ArrayList<>(connections)) c.replace();
+    void retireConnections() {
+        for (NodeConnection c : new ArrayList<>(connections)) c.retire();
     }
 }
--- a/src/main/java/mothcross/net/NodeConnection.java
+++ b/src/main/java/mothcross/net/NodeConnection.java
@@ -22,12 +22,12 @@
  */
 final class NodeConnection extends Connection {
     private static final Logger LOG = LoggerFactory.getLogger(NodeConnection.class);
-    static final int HEAD_ROOM = 320;
+    static final int RESPONSE_HEAD_ROOM_BYTES = 320;
     private static final int LONGEST_LINE = 4096, LARGEST_BODY = 240_000;
     private static final double USED_OF_IDLE = 0.9, UNREAD_MS = 50;
     private static final String[] NOTES = {"mem", "parent", "origin", "shared", "old", "denied", "unreached",
         "absent", "crowded", "behind"};
-    private static final byte[] WANT = Bytes.of("want "), END_OF_LINE = Bytes.of("\r\n");
+    private static final byte[] WANT = Bytes.encode("want "), END_OF_LINE = Bytes.encode("\r\n");
     private static final String[] HOW = {"share", "peek", "pass", "swr"};
 
     private final Node node;
@@ -60,7 +60,7 @@
         @Override void fire() {
             if (ended) return;
             if (suspected) malformed("stalls within an answer");
-            else desk.timers.set(this, desk.clock() + UNREAD_MS);    // it may have come, and not been read yet
+            else dispatcher.timers.set(this, dispatcher.clock() + UNREAD_MS);    // it may have come, and not been read yet
             suspected = true;
         }
     };
@@ -77,23 +77,23 @@
                 return;
             }
             Hop first = out.values().iterator().next();
-            double now = desk.clock(), step = desk.opening.connectMs / 4, since = Math.max(heardAt, first.writtenAt);
-            double unusual = Math.max(2 * step, desk.answerTimes.unusual(first.lookup.workload, wrongly));
-            boolean nodeToo = node.heardAt <= since;
+            double now = dispatcher.clock(), step = dispatcher.settings.connectMs / 4, since = Math.max(heardAt, first.writtenAt);
+            double unusual = Math.max(2 * step, dispatcher.answerTimes.unusualAfterMs(first.lookup.workload, wrongly));
+            boolean nodeToo = node.lastReceivedAt <= since;
             if (doubts == 0) {
-                boolean doubtful = now - since >= unusual && desk.opening.probingAllowed && (nodeToo || out.size() > 1);
+                boolean doubtful = now - since >= unusual && dispatcher.settings.probingAllowed && (nodeToo || out.size() > 1);
                 if (doubtful) {
                     doubts = 1;
                     wrongly++;
-                    session.write(IoBuffer.wrap(Bytes.of("there l" + probeCount++ + "\r\n")));
+                    session.write(IoBuffer.wrap(Bytes.encode("there l" + probeCount++ + "\r\n")));
                 }
-                desk.timers.set(this, doubtful ? now + step : Math.max(now + step, since + unusual));
+                dispatcher.timers.set(this, doubtful ? now + step : Math.max(now + step, since + unusual));
             } else if (doubts++ == 1) {
-                desk.timers.set(this, now + UNREAD_MS);
+                dispatcher.timers.set(this, now + UNREAD_MS);
             } else {
-                desk.count.silent++;
+                dispatcher.counters.unresponsive++;
                 LOG.debug("{} says nothing, {} hops are out", node.id, out.size());
-                drop();
+                abort();
                 nodeSilent = nodeToo;
                 closed();
             }
@@ -111,7 +111,7 @@
 
     /** A question about the node itself. */
     private final class Probe extends Timers.Timer {
-        final double askedAt = desk.clock();
+        final double askedAt = dispatcher.clock();
         final String tag;
 
         Probe(String tag) {
@@ -123,8 +123,8 @@
         }
 
         void finish(int outcome, double[] report) {
-            desk.timers.cancel(this);
-            if (probes.remove(tag) != null) desk.probeEnded(node, outcome, desk.clock() - askedAt, report);
+            dispatcher.timers.cancel(this);
+            if (probes.remove(tag) != null) dispatcher.probeCompleted(node, outcome, dispatcher.clock() - askedAt, report);
         }
     }
 
@@ -132,12 +132,12 @@
         super(desk);
         this.node = node;
         node.connections.add(this);
-        desk.connections.add(this);
-        desk.count.connects++;
-        desk.timers.set(notUp, desk.clock() + desk.opening.connectMs);
-        connecting = desk.connector.connect(node.address, (session, future) -> bind(session));
+        desk.nodeConnections.add(this);
+        desk.counters.connects++;
+        desk.timers.set(notUp, desk.clock() + desk.settings.connectMs);
+        connecting = desk.connector.connect(node.address, (session, future) -> bindSession(session));
         connecting.addListener(f -> {
-            if (connecting.getException() != null || connecting.isCanceled()) desk.locked(this::closed);
+            if (connecting.getException() != null || connecting.isCanceled()) desk.runLocked(this::closed);
         });
     }
 
@@ -147,8 +147,8 @@
         boolean coming = false;
         for (NodeConnection c : new ArrayList<>(node.connections)) {
             // The node closes what has been idle for long; not to cross that, it is closed here a little sooner.
-            if (c.up && c.load() == 0 && desk.clock() - c.usedAt > USED_OF_IDLE * desk.opening.idleMs) c.replace();
-            else if (c.load() >= desk.opening.maxStreamsPerConnection) continue;
+            if (c.up && c.load() == 0 && desk.clock() - c.usedAt > USED_OF_IDLE * desk.settings.idleMs) c.retire();
+            else if (c.load() >= desk.settings.maxStreamsPerConnection) continue;
             else if (best == null || c.up && !best.up || c.up == best.up && c.load() < best.load()) best = c;
             coming |= !c.up;
         }
@@ -162,15 +162,15 @@
     }
 
     /** How many hops wait for the connection to come up, or for its socket to take what went before. */
-    int waits() {
+    int waitingHops() {
         return waiting.size();
     }
 
     static void send(Dispatcher desk, Hop h) {
         NodeConnection c = to(desk, h.node);
-        h.on = c;
+        h.connection = c;
         if (c.ended) {
-            desk.end(h, Director.CONNECT_FAILED);
+            desk.endHop(h, Director.CONNECT_FAILED);
             return;
         }
         c.waiting.add(h);
@@ -180,15 +180,15 @@
     /** Writes what waits for as long as the socket takes it; where it does not, the rest stays here. */
     private void flow() {
         while (up && !waiting.isEmpty()) {
-            if (handed != null && !handed.written.isDone()) {
+            if (handed != null && !handed.writeFuture.isDone()) {
                 boolean asked = stuck;
                 stuck = true;                           // before: it may have left by now, and goes on at once
-                if (!asked) handed.written.addListener(f -> desk.locked(this::goesOn));
+                if (!asked) handed.writeFuture.addListener(f -> dispatcher.runLocked(this::goesOn));
                 return;
             }
             Hop h = waiting.poll();
-            if (desk.mayBeSent(h)) write(h);
-            else desk.end(h, Director.NOT_SENT);
+            if (dispatcher.mayBeSent(h)) write(h);
+            else dispatcher.endHop(h, Director.NOT_SENT);
         }
     }
 
@@ -202,54 +202,54 @@
         NodeConnection c = to(desk, node);
         Probe p = c.new Probe("p" + c.probeCount++);
         c.probes.put(p.tag, p);
-        desk.timers.set(p, desk.clock() + desk.opening.connectMs);
+        desk.timers.set(p, desk.clock() + desk.settings.connectMs);
         if (c.up) c.writeProbe(p);
     }
 
     private void writeProbe(Probe p) {
-        session.write(IoBuffer.wrap(Bytes.of("busy " + p.tag + "\r\n")));
+        session.write(IoBuffer.wrap(Bytes.encode("busy " + p.tag + "\r\n")));
     }
 
     private void write(Hop h) {
         Lookup l = h.lookup;
-        double now = desk.clock();
+        double now = dispatcher.clock();
         StringBuilder s = new StringBuilder(96);
-        s.append(",patience=").append(Math.max(1, (long) (h.until - now)));
+        s.append(",patience=").append(Math.max(1, (long) (h.deadline - now)));
         if (h.source != h.node) s.append(",via=").append(h.source.id);
         if (h.rank > 0) s.append(",tier=").append(h.rank);
         if (h.maxAge > 0) s.append(",fresh=").append(Math.max(1, (long) h.maxAge));
         for (int i = 0, first = 1; i < HOW.length; i++) {
-            if ((h.how & 1 << i) == 0) continue;
+            if ((h.fetchOptions & 1 << i) == 0) continue;
             s.append(first == 1 ? ",opts=" : "+").append(HOW[i]);
             first = 0;
         }
         s.append(' ').append(l.body.length).append("\r\n");
-        byte[] orders = Bytes.of(s.toString());
-        if (LOG.isTraceEnabled()) LOG.trace("{} is asked {}{}", node.id, Bytes.text(l.asked), s);
-        int length = l.id.length + l.asked.length + orders.length + l.body.length;
+        byte[] orders = Bytes.encode(s.toString());
+        if (LOG.isTraceEnabled()) LOG.trace("{} is asked {}{}", node.id, Bytes.decode(l.requestFields), s);
+        int length = l.idHex.length + l.requestFields.length + orders.length + l.body.length;
         IoBuffer b = IoBuffer.allocate(WANT.length + 1 + length + END_OF_LINE.length);
-        b.put(WANT).put(l.id).put((byte) ' ').put(l.asked).put(orders).put(l.body).put(END_OF_LINE).flip();
+        b.put(WANT).put(l.idHex).put((byte) ' ').put(l.requestFields).put(orders).put(l.body).put(END_OF_LINE).flip();
         h.writtenAt = usedAt = now;
-        if (out.isEmpty()) desk.timers.set(quiet, now + desk.opening.connectMs / 2);
-        out.put(l.number, h);
+        if (out.isEmpty()) dispatcher.timers.set(quiet, now + dispatcher.settings.connectMs / 2);
+        out.put(l.id, h);
         handed = h;
-        h.written = session.write(b);
+        h.writeFuture = session.write(b);
     }
 
     /** Nobody waits for the hop any more. True where the node has said nothing at all since it was sent. */
-    boolean giveUp(Hop h) {
-        if (h.written == null) {
+    boolean abandon(Hop h) {
+        if (h.writeFuture == null) {
             waiting.remove(h);
             return false;
         }
-        out.remove(h.lookup.number, h);
+        out.remove(h.lookup.id, h);
         if (!up) return false;
         if (bodyFor == h) {
             bodyFor = null;
-            times(Math.max(h.until, desk.clock() + desk.opening.connectMs));
+            times(Math.max(h.deadline, dispatcher.clock() + dispatcher.settings.connectMs));
         }
-        if (desk.opening.cancellation) {
-            session.write(IoBuffer.wrap(Bytes.of("never_mind " + Bytes.text(h.lookup.id) + "\r\n")));
+        if (dispatcher.settings.cancellation) {
+            session.write(IoBuffer.wrap(Bytes.encode("never_mind " + Bytes.decode(h.lookup.idHex) + "\r\n")));
         }
         boolean silent = heardAt < h.writtenAt;
         retireWhenDone();
@@ -257,16 +257,16 @@
     }
 
     /** What has not been written yet and fits goes back: it never ran. */
-    void takeBack(Predicate<Hop> which) {
+    void withdraw(Predicate<Hop> which) {
         waiting.removeIf(h -> {
             if (!which.test(h)) return false;
-            desk.end(h, Director.NOT_SENT);
+            dispatcher.endHop(h, Director.NOT_SENT);
             return true;
         });
     }
 
     /** The next hop gets a new connection; this one ends with what is out on it. */
-    void replace() {
+    void retire() {
         node.connections.remove(this);
         retired = true;
         retireWhenDone();
@@ -283,31 +283,31 @@
             return;
         }
         up = true;
-        desk.count.up++;
-        desk.timers.cancel(notUp);
+        dispatcher.counters.up++;
+        dispatcher.timers.cancel(notUp);
         flow();
         for (Probe p : probes.values()) writeProbe(p);
-        usedAt = desk.clock();
+        usedAt = dispatcher.clock();
         retireWhenDone();
     }
 
     @Override void closed() {
         if (ended) return;
         ended = true;
-        desk.connections.remove(this);
+        dispatcher.nodeConnections.remove(this);
         node.connections.remove(this);
-        desk.timers.cancel(patience);
-        desk.timers.cancel(notUp);
-        desk.timers.cancel(quiet);
+        dispatcher.timers.cancel(patience);
+        dispatcher.timers.cancel(notUp);
+        dispatcher.timers.cancel(quiet);
         endAll(waiting, null);
         endAll(out.values(), bodyFor);
         int outcome = up ? Director.CONNECTION_LOST : Director.CONNECT_FAILED;
         for (Probe p : probes.values()) {
-            desk.timers.set(new Timers.Timer() {              // not at once: the module may be at work
+            dispatcher.timers.set(new Timers.Timer() {              // not at once: the module may be at work
                 @Override void fire() {
                     p.finish(outcome, null);
                 }
-            }, desk.clock());
+            }, dispatcher.clock());
         }
         up = false;
     }
@@ -320,8 +320,8 @@
             if (h != first && !nodeSilent) h.note = Director.COLLATERAL_FAILURE;
             // Guards against an end from here while the write is being made: it may leave after this. Only a write that
             // has failed never ran.
-            boolean ran = h.written != null && (h.written.isWritten() || !h.written.isDone());
-            desk.end(h, ran ? Director.CONNECTION_LOST : Director.CONNECT_FAILED);
+            boolean ran = h.writeFuture != null && (h.writeFuture.isWritten() || !h.writeFuture.isDone());
+            dispatcher.endHop(h, ran ? Director.CONNECTION_LOST : Director.CONNECT_FAILED);
         }
         hops.clear();
     }
@@ -329,15 +329,15 @@
     // ---- answers ----
 
     @Override void received() {
-        heardAt = usedAt = node.heardAt = desk.clock();
+        heardAt = usedAt = node.lastReceivedAt = dispatcher.clock();
         doubts = 0;
         answers();
         if (ended) return;
-        if (left() == 0 && bodyLeft < 0) {
-            desk.timers.cancel(patience);
+        if (remaining() == 0 && bodyLeft < 0) {
+            dispatcher.timers.cancel(patience);
             timed = NOTHING_BEGUN;
         } else if (begun != timed || bodyFor != null) {
-            times(heardAt + desk.opening.connectMs);        // what trickles within a line gets no more time for it
+            times(heardAt + dispatcher.settings.connectMs);        // what trickles within a line gets no more time for it
         }
     }
 
@@ -345,19 +345,19 @@
     private void times(double by) {
         timed = begun;
         suspected = false;
-        desk.timers.set(patience, by);
+        dispatcher.timers.set(patience, by);
     }
 
     private void answers() {
-        while (left() > 0) {
+        while (remaining() > 0) {
             if (bodyLeft >= 0) {
                 takeBody();
                 if (bodyLeft >= 0) return;
                 continue;
             }
-            int end = Bytes.find(bytes, from + scanned, to, '\n');
+            int end = Bytes.indexOf(bytes, from + scanned, to, '\n');
             if (end < 0) {
-                scanned = left();
+                scanned = remaining();
                 if (scanned > LONGEST_LINE) malformed("line too long");
                 return;
             }
@@ -369,19 +369,19 @@
             }
             int start = from;
             from = end + 1;
-            if (LOG.isTraceEnabled()) LOG.trace("{} says {}", node.id, Bytes.text(bytes, start, end - 1));
+            if (LOG.isTraceEnabled()) LOG.trace("{} says {}", node.id, Bytes.decode(bytes, start, end - 1));
             if (!line(start, end - 1)) return;
         }
     }
 
     private void takeBody() {
-        int n = Math.min(left(), bodyLeft - 2);
+        int n = Math.min(remaining(), bodyLeft - 2);
         if (n > 0) {
             if (bodyFor != null) bodyFor.answer.put(bytes, from, n);
             from += n;
             bodyLeft -= n;
         }
-        if (bodyLeft > 2 || left() < 2) return;
+        if (bodyLeft > 2 || remaining() < 2) return;
         if (bytes[from] != '\r' || bytes[from + 1] != '\n') {
             malformed("body does not end in CR LF");
             return;
@@ -392,83 +392,83 @@
         Hop h = bodyFor;
         bodyFor = null;
         if (h != null) {
-            out.remove(h.lookup.number, h);
-            desk.end(h, Director.SUCCEEDED);
+            out.remove(h.lookup.id, h);
+            dispatcher.endHop(h, Director.SUCCEEDED);
         }
         retireWhenDone();
     }
 
     /** {@code ID WORD FIELDS LENGTH}; false where the connection had to be dropped. */
     private boolean line(int start, int end) {
-        int a = Bytes.find(bytes, start, end, ' ');
-        int b = a < 0 ? -1 : Bytes.find(bytes, a + 1, end, ' ');
-        int c = b < 0 ? -1 : Bytes.find(bytes, b + 1, end, ' ');
+        int a = Bytes.indexOf(bytes, start, end, ' ');
+        int b = a < 0 ? -1 : Bytes.indexOf(bytes, a + 1, end, ' ');
+        int c = b < 0 ? -1 : Bytes.indexOf(bytes, b + 1, end, ' ');
         if (a < 0) return malformed("one word");
         int wordEnd = b < 0 ? end : b;
-        boolean fit = Bytes.is(bytes, a + 1, wordEnd, "FIT");
-        if (fit || Bytes.is(bytes, a + 1, wordEnd, "UNFIT")) {
-            long length = c < 0 ? -1 : Bytes.whole(bytes, c + 1, end);
+        boolean fit = Bytes.matches(bytes, a + 1, wordEnd, "FIT");
+        if (fit || Bytes.matches(bytes, a + 1, wordEnd, "UNFIT")) {
+            long length = c < 0 ? -1 : Bytes.parseInteger(bytes, c + 1, end);
             if (c >= 0 && (length < 0 || length > LARGEST_BODY)) return malformed("length");
             bodyLeft = c < 0 ? -1 : (int) length + 2;
-            Probe p = probes.get(Bytes.text(bytes, start, a));
+            Probe p = probes.get(Bytes.decode(bytes, start, a));
             double[] report = b < 0 ? null : report(b + 1, c < 0 ? end : c);
             if (p != null) p.finish(fit ? Director.SUCCEEDED : Director.REJECTED, report);
             return true;
         }
         if (c < 0) return malformed("fewer than four words");
         int outcome = outcome(a + 1, b);
-        long length = Bytes.whole(bytes, c + 1, end);
+        long length = Bytes.parseInteger(bytes, c + 1, end);
         if (outcome < 0 || length < 0 || length > LARGEST_BODY) return malformed("word or length");
         bodyLeft = (int) length + 2;
-        Hop h = Bytes.isHex(bytes, start, a) ? out.get(Bytes.hex(bytes, start, a)) : null;
+        Hop h = Bytes.isHex(bytes, start, a) ? out.get(Bytes.parseHex(bytes, start, a)) : null;
         if (h == null) return true;                     // given up meanwhile, or nobody's
         if (!fields(h, b + 1, c)) {
             bodyFor = h;
             return malformed("fields");
         }
         wrongly = 0;
-        h.unchanged = bytes[a + 1] == 'K';
+        h.notModified = bytes[a + 1] == 'K';
         // Only the copy that the client has named may be called current, and by the node that names it.
-        if (h.unchanged && (length > 0 || h.lookup.known == null || !h.lookup.known.equals(h.tag))) {
+        if (h.notModified && (length > 0 || h.lookup.clientEtag == null || !h.lookup.clientEtag.equals(h.etag))) {
             bodyFor = h;
             return malformed("a copy is kept that nobody has");
         }
         if (outcome == Director.SUCCEEDED) {
-            desk.answerTimes.took(h.lookup.workload, desk.clock() - h.writtenAt);
-            h.answer = IoBuffer.allocate(HEAD_ROOM + (int) length);
-            h.answer.position(HEAD_ROOM);
+            dispatcher.answerTimes.record(h.lookup.workload, dispatcher.clock() - h.writtenAt);
+            h.answer = IoBuffer.allocate(RESPONSE_HEAD_ROOM_BYTES + (int) length);
+            h.answer.position(RESPONSE_HEAD_ROOM_BYTES);
             bodyFor = h;
         } else {
-            out.remove(h.lookup.number);
-            desk.end(h, outcome);
+            out.remove(h.lookup.id);
+            dispatcher.endHop(h, outcome);
         }
         return true;
     }
 
     private int outcome(int a, int b) {
-        if (Bytes.is(bytes, a, b, "DONE") || Bytes.is(bytes, a, b, "KEEP")) return Director.SUCCEEDED;
-        if (Bytes.is(bytes, a, b, "LACK")) return Director.MISS;
-        if (Bytes.is(bytes, a, b, "WAIT")) return Director.REJECTED;
-        if (Bytes.is(bytes, a, b, "BROKE")) return Director.ERROR;
-        return Bytes.is(bytes, a, b, "PAST") ? Director.NOT_SENT : -1;
+        if (Bytes.matches(bytes, a, b, "DONE") || Bytes.matches(bytes, a, b, "KEEP")) return Director.SUCCEEDED;
+        if (Bytes.matches(bytes, a, b, "LACK")) return Director.MISS;
+        if (Bytes.matches(bytes, a, b, "WAIT")) return Director.REJECTED;
+        if (Bytes.matches(bytes, a, b, "BROKE")) return Director.ERROR;
+        return Bytes.matches(bytes, a, b, "PAST") ? Director.NOT_SENT : -1;
     }
 
     private boolean fields(Hop h, int a, int b) {
         if (b - a == 1 && bytes[a] == '-') return true;
         while (a < b) {
-            int comma = Bytes.find(bytes, a, b, ','), end = comma < 0 ? b : comma;
-            int eq = Bytes.find(bytes, a, end, '=');
+            int comma = Bytes.indexOf(bytes, a, b, ','), end = comma < 0 ? b : comma;
+            int eq = Bytes.indexOf(bytes, a, end, '=');
             if (eq <= a) return false;
             int v = eq + 1;
-            if (Bytes.is(bytes, a, eq, "n")) {
-                for (int i = 0; i < NOTES.length; i++) if (Bytes.is(bytes, v, end, NOTES[i])) h.note = i + 1;
-            } else if (Bytes.is(bytes, a, eq, "lag")) {
-                h.sourceWait = Bytes.number(bytes, v, end);
+            if (Bytes.matches(bytes, a, eq, "n")) {
+                for (int i = 0; i < NOTES.length; i++) if (Bytes.matches(bytes, v, end, NOTES[i])) h.note = i + 1;
+            } else if (Bytes.matches(bytes, a, eq, "lag")) {
+                h.sourceWait = Bytes.parseDecimal(bytes, v, end);
                 if (Double.isNaN(h.sourceWait)) return false;
-            } else if (Bytes.is(bytes, a, eq, "l")) {
+            } else if (Bytes.matches(bytes, a, eq, "l")) {
                 h.report = report(v, end);
-            } else if (Bytes.is(bytes, a, eq, "tag")) {
-                h.tag = end - v <= 128 ? Bytes.text(bytes, v, end) : null;
+            } else if (Bytes.matches(bytes, a, eq, "tag")) {
+                h.etag = end - v <= 128 ? Bytes.decode(bytes, v, end) : null;
             }
             a = end + 1;
         }
@@ -478,26 +478,26 @@
     /** {@code name:value;name:value}; what is not known is skipped. */
     private double[] report(int a, int b) {
         if (b - a > 2 && bytes[a] == 'l' && bytes[a + 1] == '=') a += 2;
-        double[] told = new double[desk.opening.reportFields.length];
+        double[] told = new double[dispatcher.settings.reportFields.length];
         Arrays.fill(told, Double.NaN);
         while (a < b) {
-            int semi = Bytes.find(bytes, a, b, ';'), end = semi < 0 ? b : semi;
-            int colon = Bytes.find(bytes, a, end, ':');
+            int semi = Bytes.indexOf(bytes, a, b, ';'), end = semi < 0 ? b : semi;
+            int colon = Bytes.indexOf(bytes, a, end, ':');
             for (int i = 0; colon > a && i < told.length; i++) {
-                if (!Bytes.is(bytes, a, colon, desk.opening.reportFields[i])) continue;
-                told[i] = Bytes.number(bytes, colon + 1, end);
+                if (!Bytes.matches(bytes, a, colon, dispatcher.settings.reportFields[i])) continue;
+                told[i] = Bytes.parseDecimal(bytes, colon + 1, end);
             }
             a = end + 1;
         }
-        return desk.opening.decodeReport(told);
+        return dispatcher.settings.decodeReport(told);
     }
 
     private boolean malformed(String what) {
-        desk.count.badNode++;
-        if (desk.count.mayWarn()) {
+        dispatcher.counters.badNode++;
+        if (dispatcher.counters.mayWarn()) {
             LOG.warn("{} sent what is no answer ({}); its connection is dropped", node.id, what);
         }
-        drop();
+        abort();
         closed();
         bodyLeft = -1;
         bodyFor = null;
--- a/src/main/java/mothcross/net/Nodes.java
+++ b/src/main/java/mothcross/net/Nodes.java
@@ -17,7 +17,7 @@
     private final Map<String, Node> byId = new HashMap<>();
     private final LinkedHashSet<Node> gone = new LinkedHashSet<>();
 
-    Node at(int index) {
+    Node get(int index) {
         return all.get(index);
     }
 
@@ -27,17 +27,17 @@
     }
 
     /** How many are listed, with those gone whose index was not given anew yet. */
-    int listed() {
+    int nodeListed() {
         return byId.size();
     }
 
-    void begins(Director to, int news) {
+    void listStarted(Director to, int news) {
         boolean whole = news != Director.LIST_DELTA;
-        for (Node n : all) n.named = !whole;
+        for (Node n : all) n.inList = !whole;
         to.listStarted(news);
     }
 
-    void listed(Director to, String id, InetSocketAddress address, int place, int kind, int cell,
+    void nodeListed(Director to, String id, InetSocketAddress address, int place, int kind, int cell,
                 int standing, double units, double startedAt) {
         Node n = byId.get(id);
         if (n == null) {
@@ -46,9 +46,9 @@
             all.set(n.index, n);
         }
         gone.remove(n);
-        n.named = true;
-        n.standing = standing;
-        if (!address.equals(n.address)) n.replaceConnections();
+        n.inList = true;
+        n.status = standing;
+        if (!address.equals(n.address)) n.retireConnections();
         n.address = address;
         // All directors must find the same ranking, and each reaches a node at an address of its own.
         to.nodeListed(n.index, id, place, kind, cell, standing, units, startedAt);
@@ -57,7 +57,7 @@
     /** That of the node gone longest of those that no hop names; the module forgets what it knew of that one. */
     private int freeIndex() {
         for (Node n : gone) {
-            if (n.hops > 0) continue;
+            if (n.activeHops > 0) continue;
             gone.remove(n);
             byId.remove(n.id, n);
             return n.index;
@@ -66,12 +66,12 @@
         return all.size() - 1;
     }
 
-    void ends(Director to) {
+    void listFinished(Director to) {
         to.listFinished();
         for (Node n : all) {
-            if (!n.named) n.standing = Director.REMOVED;
-            if (n.standing != Director.REMOVED) continue;
-            n.replaceConnections();
+            if (!n.inList) n.status = Director.REMOVED;
+            if (n.status != Director.REMOVED) continue;
+            n.retireConnections();
             gone.add(n);
         }
     }
--- a/src/main/java/mothcross/net/PersistentMembership.java
+++ b/src/main/java/mothcross/net/PersistentMembership.java
@@ -29,7 +29,7 @@
  * clock of ages, which goes by elapsed time since the start so that a clock set anew ages nothing. Must never decide
  * what is believed, and never wait for the disk under the desk's lock.
  */
-final class PersistentMembership implements DiscoveryListener, HopObserver, Membership.Changes {
+final class PersistentMembership implements DiscoveryListener, HopObserver, Membership.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(PersistentMembership.class);
     private static final double TICK_MS = 500;
     private static final int MOST_LINES = 20;               // of single boxes in a second; the rest is summed up
@@ -56,13 +56,13 @@
     private boolean heardOfDiscovery, silent = true, saidOlder, stayed = true;
     private int lines, trusted, dropped;
     private long linesSince;
-    long writesDone, writesFailed;
+    long writesCompleted, writesFailed;
 
     /** {@code wall} is the system's clock at the start, by which a list from the disk is judged. */
     PersistentMembership(Dispatcher desk, AgeLimits ages, WriteScheduler plan, SnapshotStore keeper, String fleet,
                          String director, double wall) {
         this.desk = desk;
-        this.opening = desk.opening;
+        this.opening = desk.settings;
         this.skewMs = ages.clockSkewMs();
         this.plan = plan;
         this.keeper = keeper;
@@ -70,7 +70,7 @@
         this.director = director;
         this.startedAt = wall;
         this.membership = new Membership(ages, opening.purgeRetentionMs, new SplittableRandom(opening.edgeSeed), this);
-        this.writes = keeper.mayWrite();
+        this.writes = keeper.acquireWriteLock();
         this.writer = new Thread(this::writeAll, "list");
         writer.setDaemon(true);
         writer.start();
@@ -91,7 +91,7 @@
     // ---- the start ----
 
     /** What rests on disk, or what the told file knows ({@code known}, null where it has none), whichever is newer. */
-    void begin(MembershipSnapshot known) {
+    void start(MembershipSnapshot known) {
         double now = now();
         SnapshotFormat.Result disk = keeper.read(now, skewMs);
         MembershipSnapshot kept = disk == null ? null : disk.snapshot();
@@ -111,8 +111,8 @@
         } else {
             LOG.atInfo().log("list: none; all lookups wait for discovery");
         }
-        desk.witness(this);
-        desk.round(to -> {
+        desk.setHopObserver(this);
+        desk.processBatch(to -> {
             to.listStarted(Director.LIST_RESTORED);
             to.listFinished();
             flush(to);
@@ -124,7 +124,7 @@
     private void tick() {
         desk.timers.set(new Timers.Timer() {
             @Override void fire() {
-                desk.round(to -> {
+                desk.processBatch(to -> {
                     membership.tick(now());
                     flush(to);
                 });
@@ -134,26 +134,26 @@
     }
 
     /** The operators' figures anew; the file and the fleet stay until the next start. */
-    void takes(AgeLimits anew, WriteScheduler times) {
+    void reload(AgeLimits anew, WriteScheduler times) {
         plan = times;
         plan.changed(false, now());
-        desk.round(to -> {
-            membership.ages(anew, now());
+        desk.processBatch(to -> {
+            membership.setAgeLimits(anew, now());
             flush(to);
         });
     }
 
     // ---- news ----
 
-    @Override public long last() {
-        return membership.number();
+    @Override public long lastEvent() {
+        return membership.lastEvent();
     }
 
-    @Override public boolean hearsAgain(boolean wholeList) {
-        return wholeList || membership.behind();
+    @Override public boolean acceptsRepeated(boolean wholeList) {
+        return wholeList || membership.discoveryBehind();
     }
 
-    @Override public boolean begins(Director to, long number, int news) {
+    @Override public boolean listStarted(Director to, long number, int news) {
         Membership.UpdateResult taken = membership.listStarted(number, news != Director.LIST_DELTA, now());
         switch (taken) {
             case OLDER -> older(number);
@@ -168,11 +168,11 @@
     private void older(long number) {
         if (saidOlder) return;
         saidOlder = true;
-        LOG.atWarn().addKeyValue("event", number).addKeyValue("known", membership.number())
+        LOG.atWarn().addKeyValue("event", number).addKeyValue("known", membership.lastEvent())
             .log("list: discovery is behind what is known; its list is not taken");
     }
 
-    @Override public void listed(Director to, String id, InetSocketAddress address, int place, int kind, int cell,
+    @Override public void nodeListed(Director to, String id, InetSocketAddress address, int place, int kind, int cell,
                                  int standing, double units, double startedAt) {
         membership.nodeListed(id, address.getHostString(), address.getPort(), name(opening.zones, place),
             name(opening.kinds, kind), cell, standing, units, startedAt, now());
@@ -182,7 +182,7 @@
         return at >= 0 && at < names.size() ? names.get(at) : "?" + at;
     }
 
-    @Override public void ends(Director to) {
+    @Override public void listFinished(Director to) {
         int before = trusted, lost = dropped;
         Membership.UpdateResult taken = membership.listFinished(now());
         if (taken == Membership.UpdateResult.SHRUNK) {
@@ -201,21 +201,21 @@
         flush(to);
     }
 
-    @Override public boolean nothingNew(Director to, long number) {
+    @Override public boolean heartbeat(Director to, long number) {
         int before = trusted, lost = dropped;
         if (!membership.confirmUpTo(number, now())) {
             older(number);
             return membership.resetIfUnusable(number, now());
         }
-        if (number == membership.number()) back(trusted - before, dropped - lost);
+        if (number == membership.lastEvent()) back(trusted - before, dropped - lost);
         flush(to);
         return false;
     }
 
-    @Override public void silent(String why) {
+    @Override public void connectionLost(String why) {
         if (silent) return;
         silent = true;
-        LOG.atInfo().addKeyValue("why", why).addKeyValue("event", membership.number())
+        LOG.atInfo().addKeyValue("why", why).addKeyValue("event", membership.lastEvent())
             .log("list: discovery is silent; the list ages from now on");
     }
 
@@ -223,25 +223,25 @@
         saidOlder = false;
         if (!silent) return;
         silent = false;
-        LOG.atInfo().addKeyValue("event", membership.number()).addKeyValue("first", !heardOfDiscovery)
+        LOG.atInfo().addKeyValue("event", membership.lastEvent()).addKeyValue("first", !heardOfDiscovery)
             .addKeyValue("trusted", trustedNow).addKeyValue("dropped", droppedNow).log("list: discovery is back");
         heardOfDiscovery = true;
     }
 
     // ---- evidence ----
 
-    @Override public void saw(Hop h) {
+    @Override public void hopEnded(Hop h) {
         String source = h.source == h.node ? null : h.source.id;
-        membership.hopEnded(h.node.id, source, h.outcome, h.note, h.node.heardAt < h.sentAt, now());
+        membership.hopEnded(h.node.id, source, h.outcome, h.note, h.node.lastReceivedAt < h.sentAt, now());
     }
 
-    @Override public void roundEnds(Director to) {
+    @Override public void roundFinished(Director to) {
         flush(to);
     }
 
     // ---- what is believed, to the module ----
 
-    @Override public void changed(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
+    @Override public void stateChanged(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
         pending.put(entry.id(), new Change(entry, is, coldSince));
         boolean first = was == null;
         if (is.directorStatus == Director.IN_SERVICE && !first && was.directorStatus != Director.IN_SERVICE) trusted++;
@@ -272,16 +272,16 @@
         if (!pending.isEmpty()) {
             List<Change> all = new ArrayList<>(pending.values());
             pending.clear();
-            desk.listBegins(to, Director.LIST_DELTA);
+            desk.listStarted(to, Director.LIST_DELTA);
             for (Change c : all) {
                 ListedNode t = c.entry;
                 int place = opening.zones.indexOf(t.zone()), kind = opening.kinds.indexOf(t.kind());
                 // A box of a place or kind that the settings no longer have can't be used.
                 int use = place < 0 || kind < 0 ? Director.REMOVED : c.is.directorStatus;
-                desk.listed(to, t.id(), new InetSocketAddress(t.host(), t.port()), place, kind, t.cell(), use,
+                desk.nodeListed(to, t.id(), new InetSocketAddress(t.host(), t.port()), place, kind, t.cell(), use,
                     t.units(), c.coldSince);
             }
-            desk.listEnds(to);
+            desk.listFinished(to);
         }
         double now = now();
         boolean urgent = membership.takeUrgent();
@@ -298,14 +298,14 @@
     };
 
     private void writeWhenDue(double now) {
-        double at = plan.due();
+        double at = plan.nextWriteAt();
         if (!writes || at == Double.POSITIVE_INFINITY) return;
         if (at > now) {
             desk.timers.set(due, desk.clock() + at - now);
             return;
         }
         desk.timers.cancel(due);
-        plan.begins(now);
+        plan.writeStarted(now);
         MembershipSnapshot kept = membership.snapshot(fleet, director, Math.max(now, System.currentTimeMillis()));
         synchronized (this) {
             toWrite = kept;
@@ -336,15 +336,15 @@
                 why = e.getClass().getSimpleName() + ": " + e.getMessage();
             }
             String failed = why;
-            desk.locked(() -> written(failed));
+            desk.runLocked(() -> written(failed));
         }
     }
 
     private void written(String failed) {
         double now = now();
-        plan.ended(failed == null, now);
+        plan.writeEnded(failed == null, now);
         if (failed == null) {
-            writesDone++;
+            writesCompleted++;
             if (!stayed) LOG.atInfo().log("list: written again");
             stayed = true;
         } else {
@@ -356,14 +356,14 @@
     }
 
     /** Writes what is still to be written, then lets go of the file; waits for it no longer than so many ms. */
-    void end(long patienceMs) throws InterruptedException {
-        desk.locked(() -> {
+    void stop(long patienceMs) throws InterruptedException {
+        desk.runLocked(() -> {
             double now = now();
             if (membership.takeDirty()) plan.changed(true, now);
-            boolean left = writes && plan.due() != Double.POSITIVE_INFINITY;
+            boolean left = writes && plan.nextWriteAt() != Double.POSITIVE_INFINITY;
             synchronized (this) {
                 if (left) toWrite = membership.snapshot(fleet, director, Math.max(now, System.currentTimeMillis()));
-                if (left) plan.begins(now);
+                if (left) plan.writeStarted(now);
                 stopped = true;
                 notifyAll();
             }
@@ -386,13 +386,13 @@
     }
 
     /** For the line of counters. */
-    String line() {
+    String counterLine() {
         StringBuilder s = new StringBuilder("; list:");
         for (NodeState x : NodeState.values()) {
             int n = membership.count(x);
-            if (n > 0) s.append(' ').append(x.word()).append(' ').append(n);
+            if (n > 0) s.append(' ').append(x.label()).append(' ').append(n);
         }
-        s.append(", event ").append(membership.number()).append(", written ").append(writesDone).append(" (failed ")
+        s.append(", event ").append(membership.lastEvent()).append(", written ").append(writesCompleted).append(" (failed ")
             .append(writesFailed).append(')');
         for (Membership.UpdateResult t : Membership.UpdateResult.values()) {
             boolean told = t != Membership.UpdateResult.APPLIED && membership.updateCount(t) > 0;
--- a/src/main/java/mothcross/net/Routing.java
+++ b/src/main/java/mothcross/net/Routing.java
@@ -15,7 +15,7 @@
  */
 final class Routing implements Frame.Request {
     private RouteTable table;
-    private double share = 1;
+    private double scaleLimits = 1;
     private String[] headers = new String[0];
     private int[] from = new int[0], to = new int[0];
     private byte[] bytes;
@@ -30,36 +30,36 @@
     }
 
     /** What is being asked goes by the new table from its next lookup on. */
-    void take(RouteTable anew) {
+    void activate(RouteTable anew) {
         table = anew;
-        if (anew != null) anew.scaleLimits(share);
+        if (anew != null) anew.scaleLimits(scaleLimits);
         headers = anew == null ? new String[0] : anew.headers();
         from = new int[headers.length];
         to = new int[headers.length];
     }
 
     /** What membership says of this director's part of each limit, in parts of the fixed one. */
-    void share(double times) {
-        share = times;
+    void scaleLimits(double times) {
+        scaleLimits = times;
         if (table != null) table.scaleLimits(times);
     }
 
     // ---- the head, as it is read ----
 
-    void headBegins() {
+    void headStarted() {
         for (int i = 0; i < from.length; i++) from[i] = -1;
     }
 
     /** The first of a name counts, as sent. */
-    void field(byte[] in, int name, int nameEnd, int v, int e) {
+    void headerField(byte[] in, int name, int nameEnd, int v, int e) {
         for (int i = 0; i < headers.length; i++) {
-            if (from[i] >= 0 || !Bytes.isWord(in, name, nameEnd, headers[i])) continue;
+            if (from[i] >= 0 || !Bytes.matchesIgnoreCase(in, name, nameEnd, headers[i])) continue;
             from[i] = v;
             to[i] = e;
         }
     }
 
-    void target(byte[] in, int begin, int end, int name, int nameEnd, int object, int objectEnd) {
+    void setTarget(byte[] in, int begin, int end, int name, int nameEnd, int object, int objectEnd) {
         bytes = in;
         targetFrom = begin;
         targetTo = end;
@@ -69,7 +69,7 @@
         objectTo = objectEnd;
     }
 
-    void told(ClientConnection by, boolean hasPart, long number, long lot, double kb, double waitMs, boolean again) {
+    void setRequestFields(ClientConnection by, boolean hasPart, long number, long lot, double kb, double waitMs, boolean again) {
         client = by;
         parted = hasPart;
         part = number;
@@ -86,7 +86,7 @@
         return o;
     }
 
-    static RouteConstraints narrowing(RouteTable.Outcome o, int mostHops) {
+    static RouteConstraints constraints(RouteTable.Outcome o, int mostHops) {
         if (!o.hasPlacementKey && o.importanceShare == 1 && o.maxHops == mostHops) return null;
         return new RouteConstraints(o.hasPlacementKey, o.placementKey, o.maxHops, o.importanceShare);
     }
@@ -122,7 +122,7 @@
         }
     }
 
-    static byte[] address(java.net.SocketAddress a) {
+    static byte[] addressBytes(java.net.SocketAddress a) {
         return a instanceof InetSocketAddress i && i.getAddress() != null ? i.getAddress().getAddress() : new byte[4];
     }
 }
--- a/src/main/java/mothcross/net/ServingPermit.java
+++ b/src/main/java/mothcross/net/ServingPermit.java
@@ -7,5 +7,5 @@
     boolean mayStart();
 
     /** When it is worth coming back, in ms, to one that may not. */
-    double comeBackAfter();
+    double retryAfterMs();
 }
--- a/src/main/java/mothcross/net/ShutdownSequence.java
+++ b/src/main/java/mothcross/net/ShutdownSequence.java
@@ -15,21 +15,21 @@
  * </pre>
  */
 final class ShutdownSequence {
-    enum State { SERVING, DRAINING, CLOSING, OUT }
+    enum State { SERVING, DRAINING, CLOSING, TERMINATED }
 
     // The protocol page's figures for a planned restart: how long requests may still come, the longest deadline that
     // is waited for, how long nobody has to have come for none to be waiting. MARGIN: the time of the last answers.
-    static final double STILL_COMES_MS = 700, LONGEST_ANSWER_MS = 3000, MARGIN_MS = 150, QUIET_MS = 50;
+    static final double LATE_ARRIVALS_MS = 700, MAX_ANSWER_MS = 3000, MARGIN_MS = 150, QUIET_MS = 50;
 
     private State state = State.SERVING;
-    private double toldAt, answeredBy;
+    private double toldAt, answerDeadline;
 
     /** {@code longestMs}: the longest that a client waits, by the settings. */
-    void begins(double now, double longestMs) {
+    void start(double now, double longestMs) {
         if (state != State.SERVING) return;
         state = State.DRAINING;
         toldAt = now;
-        answeredBy = now + STILL_COMES_MS + Math.min(LONGEST_ANSWER_MS, longestMs) - MARGIN_MS;
+        answerDeadline = now + LATE_ARRIVALS_MS + Math.min(MAX_ANSWER_MS, longestMs) - MARGIN_MS;
     }
 
     State state() {
@@ -37,16 +37,16 @@
     }
 
     /** When what is still open has to be given up, for its answer to arrive. */
-    double answeredBy() {
-        return answeredBy;
+    double answerDeadline() {
+        return answerDeadline;
     }
 
     /** {@code cameAt}: when the last client was taken; {@code clients}: how many connections are not closed yet. */
     State step(double now, double cameAt, int clients) {
-        boolean nobodyComes = now >= toldAt + STILL_COMES_MS && (now >= cameAt + QUIET_MS || now >= answeredBy);
+        boolean nobodyComes = now >= toldAt + LATE_ARRIVALS_MS && (now >= cameAt + QUIET_MS || now >= answerDeadline);
         if (state == State.DRAINING && nobodyComes) state = State.CLOSING;
         // Half of what is left: the end comes before the platform's, and the last answers before it.
-        if (state == State.CLOSING && (clients == 0 || now >= answeredBy + MARGIN_MS / 2)) state = State.OUT;
+        if (state == State.CLOSING && (clients == 0 || now >= answerDeadline + MARGIN_MS / 2)) state = State.TERMINATED;
         return state;
     }
 }
--- a/src/main/java/mothcross/net/SnapshotFileStore.java
+++ b/src/main/java/mothcross/net/SnapshotFileStore.java
@@ -48,7 +48,7 @@
         }
     }
 
-    @Override public boolean mayWrite() {
+    @Override public boolean acquireWriteLock() {
         if (lock != null) return true;
         try {
             if (locked == null) {
--- a/src/main/java/mothcross/net/SnapshotStore.java
+++ b/src/main/java/mothcross/net/SnapshotStore.java
@@ -13,7 +13,7 @@
     SnapshotFormat.Result read(double now, double skew);
 
     /** False where another director writes there; this one then only reads. */
-    boolean mayWrite();
+    boolean acquireWriteLock();
 
     /** Returns once the list would survive a cut of power. */
     void write(MembershipSnapshot list) throws IOException;
--- a/src/main/java/mothcross/net/StartupConfig.java
+++ b/src/main/java/mothcross/net/StartupConfig.java
@@ -68,7 +68,7 @@
             throw new InvalidConfigException("can't read " + file + ": " + e.getClass().getSimpleName());
         }
         try {
-            return of(JsonParser.parseString(text).getAsJsonObject(), listen, needsKnown, writtenAt);
+            return parse(JsonParser.parseString(text).getAsJsonObject(), listen, needsKnown, writtenAt);
         } catch (FieldMap.MalformedFieldException e) {
             throw new InvalidConfigException(file + ": " + e.getMessage());
         } catch (RuntimeException e) {
@@ -76,7 +76,7 @@
         }
     }
 
-    static StartupConfig of(JsonObject all, String listen, boolean needsKnown, double writtenAt) {
+    static StartupConfig parse(JsonObject all, String listen, boolean needsKnown, double writtenAt) {
         JsonObject settings = need(all, "settings").getAsJsonObject();
         boolean has = needsKnown || all.has("known") && !all.get("known").isJsonNull();
         JsonObject known = has ? need(all, "known").getAsJsonObject() : null;
@@ -89,8 +89,8 @@
         }
         JsonObject limits = need(all, "limits").getAsJsonObject();
         return new StartupConfig(all.has("name") ? all.get("name").getAsString() : "",
-            DiscoveryWatch.socket(listen != null ? listen : need(all, "listen").getAsString()),
-            DiscoveryWatch.socket(need(all, "bulletin").getAsString()), new DirectorSettings(flat, seed),
+            DiscoveryWatch.parseAddress(listen != null ? listen : need(all, "listen").getAsString()),
+            DiscoveryWatch.parseAddress(need(all, "bulletin").getAsString()), new DirectorSettings(flat, seed),
             need(limits, "sockets").getAsInt(), need(limits, "memory_mb").getAsDouble(),
             flat.intValue("Caps.MaxAttempts"), known, writtenAt, settings);
     }
--- a/src/main/java/mothcross/net/Timers.java
+++ b/src/main/java/mothcross/net/Timers.java
@@ -11,8 +11,8 @@
 final class Timers implements Runnable {
     /** What fires: hops, lookups, connections are timers themselves, so none costs another object. */
     abstract static class Timer {
-        private double at;
-        private int place = -1;                         // in the heap; -1: not set
+        private double dueAt;
+        private int heapIndex = -1;                         // in the heap; -1: not set
 
         abstract void fire();
     }
@@ -31,7 +31,7 @@
     /** Under the lock; a timer that is set already is moved. */
     void set(Timer timer, double at) {
         cancel(timer);
-        timer.at = at;
+        timer.dueAt = at;
         if (size == heap.length) heap = Arrays.copyOf(heap, 2 * size);
         settle(timer, size++);
         if (heap[0] == timer) changed.signal();
@@ -39,9 +39,9 @@
 
     /** What is over is waited for no longer, and nothing holds it. */
     void cancel(Timer timer) {
-        int at = timer.place;
+        int at = timer.heapIndex;
         if (at < 0) return;
-        timer.place = -1;
+        timer.heapIndex = -1;
         Timer last = heap[--size];
         heap[size] = null;
         if (last != timer) settle(last, at);
@@ -50,10 +50,10 @@
     /** Puts a timer where it belongs: up from this place, else down from it. */
     private void settle(Timer timer, int from) {
         int i = from;
-        for (int up; i > 0 && heap[up = (i - 1) / 2].at > timer.at; i = up) put(heap[up], i);
+        for (int up; i > 0 && heap[up = (i - 1) / 2].dueAt > timer.dueAt; i = up) put(heap[up], i);
         for (int down; (down = 2 * i + 1) < size; i = down) {
-            if (down + 1 < size && heap[down + 1].at < heap[down].at) down++;
-            if (heap[down].at >= timer.at) break;
+            if (down + 1 < size && heap[down + 1].dueAt < heap[down].dueAt) down++;
+            if (heap[down].dueAt >= timer.dueAt) break;
             put(heap[down], i);
         }
         put(timer, i);
@@ -61,7 +61,7 @@
 
     private void put(Timer timer, int at) {
         heap[at] = timer;
-        timer.place = at;
+        timer.heapIndex = at;
     }
 
     void stop() {
@@ -79,7 +79,7 @@
             try {
                 if (stopped) return;
                 Timer next = heap[0];
-                double wait = next == null ? 1000 : next.at - desk.clock();
+                double wait = next == null ? 1000 : next.dueAt - desk.clock();
                 if (wait <= 0) {
                     cancel(next);
                     next.fire();
@@ -89,7 +89,7 @@
             } catch (InterruptedException e) {
                 return;
             } catch (Throwable e) {                     // without this thread nothing would end in time
-                desk.fault(e);
+                desk.recordInternalError(e);
             } finally {
                 desk.leave();
             }
--- a/src/main/java/mothcross/policy/net/PolicyNode.java
+++ b/src/main/java/mothcross/policy/net/PolicyNode.java
@@ -259,7 +259,7 @@
         return current.stopReason == PolicyReplica.StopReason.NO && now() < current.expiresAt;
     }
 
-    @Override public double comeBackAfter() {
+    @Override public double retryAfterMs() {
         return participant.register().leaseMs() / 2;
     }
 
--- a/src/main/java/mothcross/route/RateLimiter.java
+++ b/src/main/java/mothcross/route/RateLimiter.java
@@ -17,7 +17,7 @@
     private final double fullPerMs, fullAtOnce;
     private final long[] keys;                              // 0: nobody
     private final double[] left, at;
-    private long forgotten;
+    private long evictions;
 
     /** {@code keys} is rounded up to a power of two, {@link #WAYS} at least. */
     public RateLimiter(double perS, double atOnce, int keys) {
@@ -34,32 +34,32 @@
         keys = from.keys;
         left = from.left;
         at = from.at;
-        forgotten = from.forgotten;
+        evictions = from.evictions;
         this.perMs = fullPerMs = perS / 1000;
         this.atOnce = fullAtOnce = atOnce;
     }
 
     /** From now on so many times the part that it was made with; 0: nothing passes. */
-    void times(double share) {
+    void setShare(double share) {
         perMs = fullPerMs * share;
         atOnce = share > 0 ? Math.max(1, fullAtOnce * share) : 0;
     }
 
-    public RateLimiter anew(double perS, double most) {
+    public RateLimiter withRates(double perS, double most) {
         return new RateLimiter(this, perS, most);
     }
 
-    public int room() {
+    public int capacity() {
         return keys.length;
     }
 
     /** How many keys were forgotten while they did not have all of their bucket. */
-    public long forgotten() {
-        return forgotten;
+    public long evictions() {
+        return evictions;
     }
 
     /** 0 where the key may go on, and one of its bucket is taken; else in how many ms it may come back. */
-    public double take(long hash, double now) {
+    public double acquire(long hash, double now) {
         long key = hash == 0 ? 1 : hash;
         int set = (int) (key >>> 32) & keys.length - WAYS, best = -1;
         double most = -1;
@@ -74,7 +74,7 @@
             best = i;
         }
         if (keys[best] != key) {
-            if (keys[best] != 0 && most < atOnce) forgotten++;
+            if (keys[best] != 0 && most < atOnce) evictions++;
             keys[best] = key;
             left[best] = atOnce;
         } else {
@@ -93,7 +93,7 @@
     }
 
     /** How many keys have less than all of their bucket. */
-    public int held(double now) {
+    public int limitedKeys(double now) {
         int n = 0;
         for (int i = 0; i < keys.length; i++) if (keys[i] != 0 && filled(i, now) < atOnce) n++;
         return n;
--- a/src/main/java/mothcross/route/RequestInputs.java
+++ b/src/main/java/mothcross/route/RequestInputs.java
@@ -10,14 +10,14 @@
 public final class RequestInputs {
     public static final int WORKLOAD = 0, OBJECT = 1, PART = 2, TARGET = 3, GROUP = 4, SIZE = 5, WAIT = 6, RETRY = 7,
         CLIENT = 8;
-    static final int LONGEST_NAME = 64;
+    static final int MAX_NAME_BYTES = 64;
 
     private RequestInputs() { }
 
     /** The inputs before the operators declare any. */
     public static Inputs inputs() {
         Inputs.Overflow cut = Inputs.Overflow.TRUNCATE;
-        return new Inputs().add("workload", Type.bytes(LONGEST_NAME), WORKLOAD, cut, true)
+        return new Inputs().add("workload", Type.bytes(MAX_NAME_BYTES), WORKLOAD, cut, true)
             .add("object", Type.bytes(16), OBJECT, cut, true)
             .add("part", Type.INT.asOptional(), PART, cut, true)
             .add("target", Type.bytes(Type.UNBOUNDED), TARGET, cut, true)
--- a/src/main/java/mothcross/route/RouteTable.java
+++ b/src/main/java/mothcross/route/RouteTable.java
@@ -67,19 +67,19 @@
     public static RouteTable compile(RouteRules from, Map<String, Integer> workloads, Workload[] all, int directorsHere,
                                      int mostHops, RouteTable before, List<String> faults) {
         Inputs inputs = RequestInputs.inputs();
-        from.reads().forEach((name, r) -> {
-            Inputs.Overflow past = r.refuse() ? Inputs.Overflow.REJECT : Inputs.Overflow.TRUNCATE;
-            if (name.startsWith("header:")) inputs.header(name.substring(7), r.most(), past, r.same());
-            else if (name.equals("target")) inputs.add(name, Type.bytes(r.most()), RequestInputs.TARGET, past, true);
+        from.inputs().forEach((name, r) -> {
+            Inputs.Overflow past = r.rejectOversized() ? Inputs.Overflow.REJECT : Inputs.Overflow.TRUNCATE;
+            if (name.startsWith("header:")) inputs.header(name.substring(7), r.maxLength(), past, r.sameOnRetry());
+            else if (name.equals("target")) inputs.add(name, Type.bytes(r.maxLength()), RequestInputs.TARGET, past, true);
             else faults.add("routes.reads." + name
                 + " is no input that can be declared; 'target' and 'header:NAME' are");
         });
         Program p = new Program(inputs);
         List<String> notes = new ArrayList<>();
-        from.names().forEach((name, text) -> {
+        from.definitions().forEach((name, text) -> {
             try {
                 if (!name.matches("[a-z_][a-z0-9_]{0,39}")) faults.add("routes.names." + name + " is no name");
-                else p.name(name, text);
+                else p.define(name, text);
             } catch (ExpressionException e) {
                 faults.add("routes.names." + name + ": " + e.describe());
             }
@@ -171,20 +171,20 @@
 
     private static RateLimiter limit(RouteRules.Rule r, RouteTable before, int directorsHere) {
         RouteRules.RateLimit h = r.limit();
-        double perS = h.perS() / directorsHere, atOnce = Math.max(1, h.atOnce() / directorsHere);
+        double perS = h.ratePerSecond() / directorsHere, atOnce = Math.max(1, h.burst() / directorsHere);
         if (before != null) {
             for (Compiled c : before.rules) {
                 boolean same = c.limit != null && c.rule.name().equals(r.name()) && c.rule.limit().key().equals(h.key())
-                    && c.rule.limit().keys() == h.keys();
-                if (same) return c.limit.anew(perS, atOnce);
+                    && c.rule.limit().maxKeys() == h.maxKeys();
+                if (same) return c.limit.withRates(perS, atOnce);
             }
         }
-        return new RateLimiter(perS, atOnce, h.keys());
+        return new RateLimiter(perS, atOnce, h.maxKeys());
     }
 
     /** The limits are this director's part of them, so many times: as others take no part, or this one may not yet. */
     public void scaleLimits(double times) {
-        for (Compiled c : rules) if (c.limit != null) c.limit.times(times);
+        for (Compiled c : rules) if (c.limit != null) c.limit.setShare(times);
     }
 
     // ---- a lookup ----
@@ -204,10 +204,10 @@
             out.reason = null;
             if (i >= 0) take(i, now);
             else passed++;
-            if (frame.past() != null) {
+            if (frame.overflowedInput() != null) {
                 tooLong++;
                 out.status = 431;
-                out.reason = frame.past();
+                out.reason = frame.overflowedInput();
             }
             return out;
         } finally {
@@ -228,8 +228,8 @@
         if (c.rule.status() != 0) {
             out.status = c.rule.status();
             out.reason = "rule";
-        } else if (c.limit != null && frame.past() == null) {
-            double wait = c.limit.take(c.limitKey.hash(frame), now);
+        } else if (c.limit != null && frame.overflowedInput() == null) {
+            double wait = c.limit.acquire(c.limitKey.hash(frame), now);
             if (wait == 0) return;
             limited[i]++;
             out.status = 429;
@@ -265,7 +265,7 @@
 
     public Map<String, Long> costs() {
         Map<String, Long> all = new LinkedHashMap<>();
-        for (Compiled c : rules) all.put(c.rule.name(), c.match.cost());
+        for (Compiled c : rules) all.put(c.rule.name(), c.match.worstCaseSteps());
         return all;
     }
 
@@ -277,7 +277,7 @@
     public List<String> explain(Frame.Request asked, int rule, double now) {
         frame.begin(asked, now);
         Compiled c = rules.get(rule);
-        List<String> all = new ArrayList<>(Program.parts(c.match, frame));
+        List<String> all = new ArrayList<>(Program.explain(c.match, frame));
         if (c.key != null) all.add("key " + c.key.describe(frame));
         if (c.limitKey != null) all.add("limit by " + c.limitKey.describe(frame));
         return all;
--- a/src/test/java/mothcross/BelievedRulesTest.java
+++ b/src/test/java/mothcross/BelievedRulesTest.java
@@ -101,7 +101,7 @@
     private record ListChange(NodeState standing, double startedAt) { }
 
     /** One run of a director, from its start to its kill, with the checks of what it decides. */
-    private static final class DirectorRun implements DecisionWriter, Membership.Changes {
+    private static final class DirectorRun implements DecisionWriter, Membership.Listener {
         final World world;
         final String name;
         final Membership membership;
@@ -178,7 +178,7 @@
         /** Tells this director what discovery has announced since it last heard from it. */
         void hear() {
             for (Event event : List.copyOf(world.log)) {
-                if (event.number() <= membership.number()) continue;
+                if (event.number() <= membership.lastEvent()) continue;
                 process(to -> {
                     if (event.id() == null) hearPurge(event, to);
                     else hearStatus(event);
@@ -219,7 +219,7 @@
                 world.seed + " rule 1: " + lookup.answers + " answers"));
         }
 
-        @Override public void changed(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
+        @Override public void stateChanged(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
             pending.put(entry.id(), new ListChange(is, coldSince));
         }
 
