--- a/src/test/java/mothcross/expr/ExprTest.java
+++ b/src/test/java/mothcross/expr/ExprTest.java
@@ -38,8 +38,8 @@
     }
 
     private static Map<String, Object> sample() {
-        return new HashMap<>(Map.of("target", Slow.bytes("/api/v2/Books/150/piece-3"), "group", 17L, "size", 2500.0,
-            "retry", false, "number", -5L, "client", new byte[] {10, 1, 2, 3}, "header:a", Slow.bytes("Muc-7")));
+        return new HashMap<>(Map.of("target", NaiveEvaluator.bytes("/api/v2/Books/150/piece-3"), "group", 17L, "size", 2500.0,
+            "retry", false, "number", -5L, "client", new byte[] {10, 1, 2, 3}, "header:a", NaiveEvaluator.bytes("Muc-7")));
     }
 
     /** {@code EXPRESSION => VALUE}, or {@code EXPRESSION !! PART AT FAULT !! words of the message ... of the hint}. */
@@ -60,7 +60,7 @@
                 String got = e.describe(f);
                 if (!taken) wrong.add(line + ": taken as " + e.type());
                 else if (!got.equals(yes[1].strip())) wrong.add(line + ": is " + got);
-                if (f.steps() > e.cost()) wrong.add(line + ": " + f.steps() + " steps, foreseen " + e.cost());
+                if (f.steps() > e.worstCaseSteps()) wrong.add(line + ": " + f.steps() + " steps, foreseen " + e.worstCaseSteps());
             } catch (ExpressionException e) {
                 String[] shown = e.describe().split("\n");
                 boolean right = !taken && e.part().equals(no[1].strip().replace("<end>", ""))
@@ -145,9 +145,9 @@
         String[] odd = {"/".repeat(3000), "a".repeat(8000), "", "\u0000\u00ff%2e", "9".repeat(10_000),
             "/api/v2/x/007/piece-1",
             "aaaaaaaaaaaaaab", "-".repeat(500)};
-        m.put("target", Slow.bytes(one(r, odd)));
+        m.put("target", NaiveEvaluator.bytes(one(r, odd)));
         if (r.nextBoolean()) m.remove("header:a");
-        else m.put("header:a", Slow.bytes(one(r, odd)));
+        else m.put("header:a", NaiveEvaluator.bytes(one(r, odd)));
         if (r.nextBoolean()) m.remove("group");
         m.put("number", r.nextInt(3) == 0 ? Long.MIN_VALUE : r.nextLong(-20, 20));
         m.put("retry", r.nextBoolean());
@@ -184,20 +184,20 @@
             for (int i = 0; i < 40; i++) {
                 Map<String, Object> asked = hostile(r);
                 f.begin(request(asked, in), NOW);
-                Object want = new Slow(cut(asked), NOW).value(tree), got = switch (kind) {
+                Object want = new NaiveEvaluator(cut(asked), NOW).value(tree), got = switch (kind) {
                     case BOOL -> e.evaluateBoolean(f);
-                    case INT -> e.whole(f);
-                    case DOUBLE -> e.number(f) + 0.0;
+                    case INT -> e.evaluateLong(f);
+                    case DOUBLE -> e.evaluateDouble(f) + 0.0;
                     default -> {
                         e.hash(f);
                         yield Arrays.copyOfRange(f.bytes[e.root.slot], f.from[e.root.slot], f.to[e.root.slot]);
                     }
                 };
-                String where = "seed " + seed + ": " + text + " for " + Slow.text(asked.get("target"));
-                if (want instanceof byte[] b) assertEquals(Slow.text(got), Slow.text(b), where);
+                String where = "seed " + seed + ": " + text + " for " + NaiveEvaluator.text(asked.get("target"));
+                if (want instanceof byte[] b) assertEquals(NaiveEvaluator.text(got), NaiveEvaluator.text(b), where);
                 else assertEquals(got, want instanceof Double d ? d + 0.0 : want, where);
-                assertTrue(f.steps() <= e.cost() && f.steps() <= p.worstCaseSteps(), where + ": " + f.steps()
-                    + " steps of " + e.cost());
+                assertTrue(f.steps() <= e.worstCaseSteps() && f.steps() <= p.worstCaseSteps(), where + ": " + f.steps()
+                    + " steps of " + e.worstCaseSteps());
                 pairs++;
             }
         }
@@ -259,7 +259,7 @@
                 f.begin(request(asked, in), NOW);
                 int fast = d.first(f);
                 f.begin(request(asked, in), NOW);
-                assertEquals(fast, d.plainly(f), "seed " + seed + " request " + i);
+                assertEquals(fast, d.firstByLinearScan(f), "seed " + seed + " request " + i);
                 if (fast >= 0) hits++;
             }
         }
--- a/src/test/java/mothcross/expr/Slow.java
+++ b/src/test/java/mothcross/expr/NaiveEvaluator.java
@@ -8,11 +8,11 @@
  * from
  * the operators' page of the language, not from the compiler.
  */
-final class Slow {
+final class NaiveEvaluator {
     private final Map<String, Object> request;
     private final double now;
 
-    Slow(Map<String, Object> request, double now) {
+    NaiveEvaluator(Map<String, Object> request, double now) {
         this.request = request;
         this.now = now;
     }
--- a/src/test/java/mothcross/membership/MembershipTest.java
+++ b/src/test/java/mothcross/membership/MembershipTest.java
@@ -34,7 +34,7 @@
     }
 
     /** A membership and what it has told the module. */
-    private static final class Play implements Membership.Changes {
+    private static final class Play implements Membership.Listener {
         AgeLimits ages;
         Membership m;
         final Map<String, NodeState> module = new HashMap<>();
@@ -45,7 +45,7 @@
             m = new Membership(ages, PURGES_RUN, new SplittableRandom(seed), this);
         }
 
-        @Override public void changed(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
+        @Override public void stateChanged(ListedNode entry, NodeState was, NodeState is, double coldSince, String why) {
             NodeState had = module.get(entry.id());
             assertEquals(had == NodeState.GONE && was == null ? null : had, was, "what the module was told of "
                 + entry.id());
@@ -106,9 +106,9 @@
                 case "behind" -> play.m.resetIfUnusable(Long.parseLong(first), t);
                 case "purge" -> play.m.purged(Long.parseLong(first), -1, Integer.parseInt(p.get(3)),
                     Double.parseDouble(p.get(4)), t);
-                case "answers" -> play.m.answered(first, t);
-                case "refuses" -> play.m.failed(first, true, t);
-                case "resets" -> play.m.failed(first, false, t);
+                case "answers" -> play.m.nodeAnswered(first, t);
+                case "refuses" -> play.m.nodeFailed(first, true, t);
+                case "resets" -> play.m.nodeFailed(first, false, t);
                 case "tick" -> play.m.tick(t);
                 case "restart" -> play.restart(t);
                 default -> throw new IllegalArgumentException(where);
@@ -120,7 +120,7 @@
     private static void check(String where, Play play, List<String> p) {
         switch (p.get(1)) {
             case "purges" -> assertEquals(play.m.purges().size(), Integer.parseInt(p.get(2)), where);
-            case "event" -> assertEquals(play.m.number(), Long.parseLong(p.get(2)), where);
+            case "event" -> assertEquals(play.m.lastEvent(), Long.parseLong(p.get(2)), where);
             case "took" -> assertEquals(play.m.updateCount(Membership.UpdateResult.valueOf(p.get(2))),
                 Long.parseLong(p.get(3)), where);
             case "urgent" -> assertEquals(play.m.takeUrgent(), Boolean.parseBoolean(p.get(2)), where);
@@ -129,7 +129,7 @@
                 assertEquals(play.m.stateOf(p.get(1)), s, where + ": " + play.m.reason(p.get(1)));
                 if (s != null) assertEquals(play.module.get(p.get(1)), s, where + ", as the module has it");
                 if (p.size() < 4) return;
-                double cold = p.get(3).equals("long") ? NodeEntry.LONG : Double.parseDouble(p.get(3));
+                double cold = p.get(3).equals("long") ? NodeEntry.WARM : Double.parseDouble(p.get(3));
                 assertEquals(play.cold.get(p.get(1)), cold, where);
             }
         }
@@ -183,11 +183,11 @@
                 } else if (what == 2) {
                     play.restart(t);
                 } else if (what <= 5) {
-                    play.m.answered(id, t);
-                    if (what == 5) for (String s : List.of("older", "fresher")) play.m.answered(s, t);
+                    play.m.nodeAnswered(id, t);
+                    if (what == 5) for (String s : List.of("older", "fresher")) play.m.nodeAnswered(s, t);
                 } else if (what <= 7) {
-                    play.m.failed(id, what == 6, t);
-                    if (chance.nextInt(4) == 0) for (String s : List.of("older", "fresher")) play.m.failed(s, false, t);
+                    play.m.nodeFailed(id, what == 6, t);
+                    if (chance.nextInt(4) == 0) for (String s : List.of("older", "fresher")) play.m.nodeFailed(s, false, t);
                 } else if (what == 8) {
                     play.list(t, false, event, List.of("a,gone", "b,gone"));     // known already: nothing of it counts
                 }
@@ -199,8 +199,8 @@
                         + " " + s);
                     assertEquals(play.module.get(e.getKey()), s == null ? play.module.get(e.getKey()) : s, where);
                 }
-                assertTrue(play.m.number() >= highest && play.m.number() == event, where);
-                highest = play.m.number();
+                assertTrue(play.m.lastEvent() >= highest && play.m.lastEvent() == event, where);
+                highest = play.m.lastEvent();
                 for (Map.Entry<Integer, Double> e : purges.entrySet()) {
                     boolean kept = play.m.purges().stream().anyMatch(p -> p.group() == e.getKey());
                     if (t - e.getValue() < PURGES_RUN - 1) assertTrue(kept, where + " purge " + e);
@@ -268,18 +268,18 @@
                     if (urgent && Double.isNaN(urgentSince)) urgentSince = t;
                 }
                 if (t >= endsAt) {
-                    plan.ended(true, t);
+                    plan.writeEnded(true, t);
                     endsAt = Double.NaN;
                     freeSince = t;
                 }
-                if (plan.due() > t) {
+                if (plan.nextWriteAt() > t) {
                     double waits = t - Math.max(urgentSince, Math.max(freeSince, began + 50));
                     assertTrue(Double.isNaN(urgentSince) || !Double.isNaN(endsAt) || waits <= 0, seed + " waits "
                         + waits);
                     continue;
                 }
                 assertTrue(t - began >= 50, seed + ": writes " + (t - began) + " ms apart");
-                plan.begins(t);
+                plan.writeStarted(t);
                 writes++;
                 began = t;
                 urgentSince = Double.NaN;
@@ -291,9 +291,9 @@
         full.changed(true, 0);
         double t = 0;
         for (int i = 0; i < 10; i++) {
-            full.begins(t = full.due());
-            full.ended(false, t);
-            assertTrue(full.due() - t >= Math.min(60_000, 1000 << i), "after failure " + i);
+            full.writeStarted(t = full.nextWriteAt());
+            full.writeEnded(false, t);
+            assertTrue(full.nextWriteAt() - t >= Math.min(60_000, 1000 << i), "after failure " + i);
         }
     }
 }
--- a/src/test/java/mothcross/net/DrainPathsTest.java
+++ b/src/test/java/mothcross/net/DrainPathsTest.java
@@ -33,7 +33,7 @@
     private static DirectorServer told(Map<String, String> start, Map<String, Outside> parties, String listen)
         throws Exception {
         String told = Outside.told(start, parties);
-        return new DirectorServer(StartupConfig.of(JsonParser.parseString(told).getAsJsonObject(), listen, true, 0));
+        return new DirectorServer(StartupConfig.parse(JsonParser.parseString(told).getAsJsonObject(), listen, true, 0));
     }
 
     private static String drains(long event, Outside who, int index, int kind) {
@@ -121,14 +121,14 @@
             life.start();
             Outside n1 = parties.get("n1"), bulletin = parties.get("bulletin");
             for (int i = 0; i < REQUESTS; i++) clients.add(ask(life, i));
-            Fleet.until("all asked, and some wait for a full socket", () -> waits(life) > 0
-                && life.desk().openLookups() == REQUESTS);
+            Fleet.awaitTrue("all asked, and some wait for a full socket", () -> waits(life) > 0
+                && life.dispatcher().openLookupCount() == REQUESTS);
             assertEquals(bulletin.read(), "2");
             bulletin.write(drains(3, n1, 1, 0), false);
-            Fleet.until("what waits goes back", () -> waits(life) == 0);
+            Fleet.awaitTrue("what waits goes back", () -> waits(life) == 0);
             long back = notSent(life);
             assertTrue(back > 0 && back < REQUESTS, "went back: " + back);
-            Fleet.until("the module has decided anew: the link is full", () -> life.desk().count.bounced == back);
+            Fleet.awaitTrue("the module has decided anew: the link is full", () -> life.dispatcher().counters.rejected == back);
             for (long i = back; i < REQUESTS; i++) assertTrue(n1.read().startsWith("want "), "begun before the news");
             life.release();
             assertTrue(n1.gone(), "nothing begun after it");
@@ -152,7 +152,7 @@
             "probing", "true"), parties, null);
         Outside node = parties.get("n1");
         FirstAttempts attempts = new FirstAttempts(node.port());
-        life.desk().locked(() -> life.desk().witness(attempts));
+        life.dispatcher().runLocked(() -> life.dispatcher().setHopObserver(attempts));
         List<Outside> clients = new ArrayList<>();
         try {
             life.start();
@@ -160,17 +160,17 @@
                 clients.add(ask(life, i));
                 node.write(ALIVE, false);               // the silence that ends the connection starts after the last
             }
-            Fleet.until("all asked, and some wait for a full socket", () -> waits(life) > 0
-                && life.desk().openLookups() == REQUESTS);
-            Fleet.until("the silent node's connection is ended", () -> attempts.ended() == REQUESTS);
+            Fleet.awaitTrue("all asked, and some wait for a full socket", () -> waits(life) > 0
+                && life.dispatcher().openLookupCount() == REQUESTS);
+            Fleet.awaitTrue("the silent node's connection is ended", () -> attempts.ended() == REQUESTS);
             List<FirstAttempt> handed = attempts.handed(true), neverHanded = attempts.handed(false);
             for (FirstAttempt a : handed) assertEquals(a.outcome, Director.CONNECTION_LOST, "may have run: " + a);
             for (FirstAttempt a : neverHanded) assertEquals(a.outcome, Director.CONNECT_FAILED, "never ran: " + a);
             assertFalse(neverHanded.isEmpty(), "some still wait when the connection ends");
             Set<String> written = ids(handed.stream().filter(FirstAttempt::written).toList());
             assertEquals(handed.size() - written.size(), 1, "one write is under way when the connection ends");
-            Fleet.until("all have their answer", () -> life.desk().openLookups() <= neverHanded.size());
-            assertEquals(life.desk().count.givenUp, handed.size());
+            Fleet.awaitTrue("all have their answer", () -> life.dispatcher().openLookupCount() <= neverHanded.size());
+            assertEquals(life.dispatcher().counters.failed, handed.size());
             String received = node.readToEnd();
             assertTrue(ids(WHOLE_REQUEST, received).containsAll(written), "what was written reaches the node");
             assertTrue(ids(handed).containsAll(ids(BEGUN_REQUEST, received)), "nothing else reaches the node");
@@ -193,14 +193,14 @@
             this.nodePort = nodePort;
         }
 
-        @Override public synchronized void saw(Hop hop) {
+        @Override public synchronized void hopEnded(Hop hop) {
             if (hop.number > 0 || hop.node.address.getPort() != nodePort) return;
-            boolean handed = hop.written != null;
-            boolean written = handed && hop.written.isWritten();
-            ended.add(new FirstAttempt(Bytes.text(hop.lookup.id), hop.outcome, handed, written));
+            boolean handed = hop.writeFuture != null;
+            boolean written = handed && hop.writeFuture.isWritten();
+            ended.add(new FirstAttempt(Bytes.decode(hop.lookup.idHex), hop.outcome, handed, written));
         }
 
-        @Override public void roundEnds(Director to) { }
+        @Override public void roundFinished(Director to) { }
 
         synchronized int ended() {
             return ended.size();
@@ -231,20 +231,20 @@
     }
 
     private static long ends(DirectorServer life, int how) {
-        life.desk().enter();
+        life.dispatcher().enter();
         try {
-            return life.desk().count.ends[how];
+            return life.dispatcher().counters.outcomes[how];
         } finally {
-            life.desk().leave();
+            life.dispatcher().leave();
         }
     }
 
     private static int waits(DirectorServer life) {
-        life.desk().enter();
+        life.dispatcher().enter();
         try {
-            return life.desk().connections.stream().mapToInt(NodeConnection::waits).sum();
+            return life.dispatcher().nodeConnections.stream().mapToInt(NodeConnection::waitingHops).sum();
         } finally {
-            life.desk().leave();
+            life.dispatcher().leave();
         }
     }
 }
--- a/src/test/java/mothcross/net/EndingsTest.java
+++ b/src/test/java/mothcross/net/EndingsTest.java
@@ -27,7 +27,7 @@
         parties.put("n1", Outside.listening("node", "cache", 1));
         String told = Outside.told(start, parties);
         DirectorServer life = new DirectorServer(
-            StartupConfig.of(JsonParser.parseString(told).getAsJsonObject(), null, true, 0));
+            StartupConfig.parse(JsonParser.parseString(told).getAsJsonObject(), null, true, 0));
         life.start();
         return life;
     }
@@ -70,15 +70,15 @@
                 c.write("GET /-/healthy HTTP/1.1||", false);
                 assertTrue(c.read().startsWith("HTTP/1.1 200 "));
             }
-            life.desk().enter();
+            life.dispatcher().enter();
             try {
                 b.write("GET /-/healthy HTTP/1.1||", false);    // the one thread that reads now waits for the lock
-                Dispatcher d = life.desk();
-                Fleet.until("it waits", () -> waits(d));
+                Dispatcher d = life.dispatcher();
+                Fleet.awaitTrue("it waits", () -> waits(d));
                 a.write(String.format(ASK, 10, 10, 29_000), false);
                 a.close(false);
             } finally {
-                life.desk().leave();
+                life.dispatcher().leave();
             }
             assertTrue(b.read().startsWith("HTTP/1.1 200 "));
             b.write(String.format(ASK, 11, 11, 2900), false);
@@ -104,22 +104,22 @@
             }
             asked.write("GET /api/v2/books/0a HTTP/1.1|Req-Id: 000000000000000a|Connection: close||", false);
             assertTrue(parties.get("n1").read().startsWith("want 000000000000000a "));
-            Dispatcher d = life.desk();
+            Dispatcher d = life.dispatcher();
             d.enter();
             try {
                 b.write("GET /-/healthy HTTP/1.1||", false);    // the one thread that reads now waits for the lock
-                Fleet.until("it waits", () -> waits(d));
+                Fleet.awaitTrue("it waits", () -> waits(d));
                 asked.write(String.format(ASK, 11, 11, 2900), false);
                 rests.write(String.format(ASK, 11, 12, 2900), false);
-                d.endResting();
-                d.endAll();
+                d.closeIdleClients();
+                d.stopSending();
             } finally {
                 d.leave();
             }
             assertTrue(asked.read().startsWith("HTTP/1.1 503 "));
             for (Outside c : List.of(asked, rests)) assertTrue(c.ends(), "reset");
             // Closed over them, they are never read, and the connection is reset.
-            Fleet.until("what crossed has been read", () -> counters(life).crossed >= 2);
+            Fleet.awaitTrue("what crossed has been read", () -> counters(life).receivedAfterClose >= 2);
             assertEquals(counters(life).lookups, 1, "what crossed is not taken");
         } finally {
             release(life);
@@ -133,11 +133,11 @@
     }
 
     private static Counters counters(DirectorServer life) {
-        life.desk().enter();
+        life.dispatcher().enter();
         try {
-            return life.desk().count;
+            return life.dispatcher().counters;
         } finally {
-            life.desk().leave();
+            life.dispatcher().leave();
         }
     }
 
@@ -181,11 +181,11 @@
             Outside old = parties.get("bulletin"), n1 = parties.get("n1"), a = client("a", life);
             assertEquals(old.read(), "2");
             String told = Outside.told(Map.of("bulletin", Integer.toString(next.port())), parties);
-            life.reload(StartupConfig.of(JsonParser.parseString(told).getAsJsonObject(), null, true, 0));
+            life.reload(StartupConfig.parse(JsonParser.parseString(told).getAsJsonObject(), null, true, 0));
             assertTrue(old.gone());
-            next.numbersFrom(3);
-            next.open();
-            next.purge(17, System.currentTimeMillis());
+            next.restartNumbering(3);
+            next.startListening();
+            next.sendPurge(17, System.currentTimeMillis());
             for (int i = 1, known = 0; known == 0; i++) {
                 a.write("GET /api/v2/books/0a HTTP/1.1|X-Lot: 17|Req-Id: " + String.format("%016x", i) + "||", false);
                 String want = n1.read();
@@ -229,7 +229,7 @@
             } catch (IOException e) {
                 assertTrue(clients(life) <= 1, "closed on it");
             }
-            Fleet.until("the connection has ended", () -> clients(life) == 0);
+            Fleet.awaitTrue("the connection has ended", () -> clients(life) == 0);
             assertTrue(System.nanoTime() - began < 6_000_000_000L, "took too long");
         } finally {
             release(life);
@@ -237,11 +237,11 @@
     }
 
     private static int clients(DirectorServer life) {
-        life.desk().enter();
+        life.dispatcher().enter();
         try {
-            return life.desk().clients();
+            return life.dispatcher().clientCount();
         } finally {
-            life.desk().leave();
+            life.dispatcher().leave();
         }
     }
 
@@ -254,16 +254,16 @@
                 client("c" + i, life).write("PUT /api/v2/books/0a HTTP/1.1|Req-Id: " + String.format("%016x", i + 1)
                     + "|Content-Length: 200000||" + most, false);
             }
-            Dispatcher d = life.desk();
-            Fleet.until("all is read", () -> d.ahead > 0 && clients(life) < 30);
+            Dispatcher d = life.dispatcher();
+            Fleet.awaitTrue("all is read", () -> d.readAheadBytes > 0 && clients(life) < 30);
             for (int i = 0; i < 30; i++) {
                 Outside c = parties.get("c" + i);
                 c.write(most.substring(0, 10_000), false);  // who is still read is looked at again
             }
-            Fleet.until("what is held is bounded", () -> d.ahead <= (16 << 20) / 8 + 160_000);
+            Fleet.awaitTrue("what is held is bounded", () -> d.readAheadBytes <= (16 << 20) / 8 + 160_000);
             List<Outside> all = new ArrayList<>();
             for (int i = 0; i < 30; i++) all.add(parties.get("c" + i));
-            Fleet.until("one has its refusal", () -> all.stream().anyMatch(Outside::answered));
+            Fleet.awaitTrue("one has its refusal", () -> all.stream().anyMatch(Outside::answered));
             for (Outside c : all) if (c.answered()) assertTrue(c.read().startsWith("HTTP/1.1 503 "));
         } finally {
             release(life);
@@ -274,22 +274,22 @@
     @Test public void theProcessEndsWhenNothingIsOwed() {
         ShutdownSequence e = new ShutdownSequence();
         assertEquals(e.state(), ShutdownSequence.State.SERVING);
-        e.begins(1000, 60_000);
-        assertEquals(e.answeredBy(), 1000 + 700 + 3000 - 150.0, "the page's longest deadline");
+        e.start(1000, 60_000);
+        assertEquals(e.answerDeadline(), 1000 + 700 + 3000 - 150.0, "the page's longest deadline");
         assertEquals(e.step(1699, 0, 0), ShutdownSequence.State.DRAINING, "who may still come finds somebody");
         assertEquals(e.step(1710, 1700, 3), ShutdownSequence.State.DRAINING,
             "somebody has just come: more may be waiting");
         assertEquals(e.step(1760, 1700, 3), ShutdownSequence.State.CLOSING);
-        assertEquals(e.step(e.answeredBy(), 1700, 3), ShutdownSequence.State.CLOSING,
+        assertEquals(e.step(e.answerDeadline(), 1700, 3), ShutdownSequence.State.CLOSING,
             "the last answers are on their way");
-        assertEquals(e.step(e.answeredBy() + 100, 1700, 3), ShutdownSequence.State.OUT, "before it is killed");
+        assertEquals(e.step(e.answerDeadline() + 100, 1700, 3), ShutdownSequence.State.TERMINATED, "before it is killed");
         ShutdownSequence quick = new ShutdownSequence();
-        quick.begins(0, 500);
-        assertEquals(quick.answeredBy(), 1050.0, "no client waits for longer");
+        quick.start(0, 500);
+        assertEquals(quick.answerDeadline(), 1050.0, "no client waits for longer");
         assertEquals(quick.step(700, 100, 1), ShutdownSequence.State.CLOSING);
-        assertEquals(quick.step(701, 100, 0), ShutdownSequence.State.OUT, "nobody is left");
+        assertEquals(quick.step(701, 100, 0), ShutdownSequence.State.TERMINATED, "nobody is left");
         ShutdownSequence busy = new ShutdownSequence();
-        busy.begins(0, 500);
+        busy.start(0, 500);
         assertEquals(busy.step(1060, 1059, 9), ShutdownSequence.State.CLOSING, "they never stop coming");
     }
 
@@ -351,9 +351,9 @@
             node.start();
             assertTrue(answer(port, "GET /-/healthy HTTP/1.1||").startsWith("HTTP/1.1 200 "));
             assertTrue(answer(port, String.format(ASK, 10, 10, 2900)).endsWith("||ok"));
-            back.numbersFrom(3);
-            back.open();
-            back.purge(17, System.currentTimeMillis());
+            back.restartNumbering(3);
+            back.startListening();
+            back.sendPurge(17, System.currentTimeMillis());
             for (int i = 11; !purged.get(); i++) {
                 answer(port, String.format(ASK, 10, i, 2900).replace("||", "|X-Lot: 17||"));
             }
--- a/src/test/java/mothcross/net/Fleet.java
+++ b/src/test/java/mothcross/net/Fleet.java
@@ -24,9 +24,9 @@
     final FakeDiscovery discovery = new FakeDiscovery();
     final List<FakeNode> caches = new ArrayList<>();
     final FakeNode parent = new FakeNode(900, FakeNode.PARENT), origin = new FakeNode(901, FakeNode.ORIGIN);
-    final Path dir = Files.createTempDirectory("mothcross");
-    final Map<String, String> start = new TreeMap<>(Map.of("straight", "false"));
-    final List<DirectorServer> lives = new ArrayList<>();
+    final Path directory = Files.createTempDirectory("mothcross");
+    final Map<String, String> configParameters = new TreeMap<>(Map.of("straight", "false"));
+    final List<DirectorServer> directors = new ArrayList<>();
     private final List<FakeNode> others = new ArrayList<>();
     static final double MINUTE = 60_000, DAY = 86_400_000;
     /** Recent is ten minutes, old a day; what waits in tests waits briefly. */
@@ -44,13 +44,13 @@
     }
 
     /** One more box that is closed with the fleet. */
-    FakeNode also(FakeNode b) {
+    FakeNode closeWithFleet(FakeNode b) {
         others.add(b);
         return b;
     }
 
     /** What {@code name} kept, as told so long ago; boxes in {@code old} longer. */
-    Path keeps(String name, double ageMs, double oldMs, List<FakeNode> old, FakeNode... boxes) throws Exception {
+    Path writeSnapshot(String name, double ageMs, double oldMs, List<FakeNode> old, FakeNode... boxes) throws Exception {
         double now = System.currentTimeMillis();
         Map<String, ListedNode> told = new HashMap<>();
         for (FakeNode b : boxes) {
@@ -58,21 +58,21 @@
             told.put(b.id(), new ListedNode(b.id(), "127.0.0.1", b.port(), "here", List.of("cache", "parent", "origin")
                 .get(b.kind()), 0, Director.IN_SERVICE, b.units(), 0, at, 0, false));
         }
-        return keeps(name, new MembershipSnapshot("fleet", name, now - ageMs, 10, now - ageMs, HashTreePMap.from(told),
+        return writeSnapshot(name, new MembershipSnapshot("fleet", name, now - ageMs, 10, now - ageMs, HashTreePMap.from(told),
             List.<Purge>of()));
     }
 
-    Path keeps(String name, MembershipSnapshot kept) throws Exception {
-        return Files.write(file(name), SnapshotFormat.encode(kept));
+    Path writeSnapshot(String name, MembershipSnapshot kept) throws Exception {
+        return Files.write(snapshotFile(name), SnapshotFormat.encode(kept));
     }
 
-    Path file(String name) {
-        return dir.resolve(name + ".list");
+    Path snapshotFile(String name) {
+        return directory.resolve(name + ".list");
     }
 
     /** What a director is told, without any list. */
-    String toldText(String name) throws Exception {
-        Map<String, String> all = new LinkedHashMap<>(start);
+    String startupConfigText(String name) throws Exception {
+        Map<String, String> all = new LinkedHashMap<>(configParameters);
         all.put("list", "");
         all.put("sockets", "400");
         all.put("bulletin", Integer.toString(discovery.port()));
@@ -85,38 +85,38 @@
         return o.toString();
     }
 
-    StartupConfig told(String name) throws Exception {
-        return StartupConfig.of(JsonParser.parseString(toldText(name)).getAsJsonObject(), null, false, 0);
+    StartupConfig startupConfig(String name) throws Exception {
+        return StartupConfig.parse(JsonParser.parseString(startupConfigText(name)).getAsJsonObject(), null, false, 0);
     }
 
-    MembershipSettings remembering(String name, AgeLimits ages) {
-        return new MembershipSettings(file(name), "fleet", ages, 100, 1000);
+    MembershipSettings membershipSettings(String name, AgeLimits ages) {
+        return new MembershipSettings(snapshotFile(name), "fleet", ages, 100, 1000);
     }
 
     DirectorServer director(String name) throws Exception {
-        return director(name, remembering(name, AGES));
+        return director(name, membershipSettings(name, AGES));
     }
 
     DirectorServer director(String name, MembershipSettings r) throws Exception {
-        DirectorServer l = new DirectorServer(told(name), r);
-        lives.add(l);
+        DirectorServer l = new DirectorServer(startupConfig(name), r);
+        directors.add(l);
         l.start();
         return l;
     }
 
     /** One that is told the list by discovery, with these rules. */
-    DirectorServer routed(String name, RouteRules rules) throws Exception {
-        DirectorServer l = new DirectorServer(told(name), remembering(name, AGES), rules);
-        lives.add(l);
+    DirectorServer directorWithRoutes(String name, RouteRules rules) throws Exception {
+        DirectorServer l = new DirectorServer(startupConfig(name), membershipSettings(name, AGES), rules);
+        directors.add(l);
         l.start();
-        long event = discovery.whole(all());
-        discovery.open();
-        until("told", () -> event(l) == event);
+        long event = discovery.sendSnapshot(all());
+        discovery.startListening();
+        awaitTrue("told", () -> lastEvent(l) == event);
         return l;
     }
 
     /** Waits, without sleeping, until it holds; fails after some seconds. */
-    static void until(String what, BooleanSupplier holds) {
+    static void awaitTrue(String what, BooleanSupplier holds) {
         long end = System.nanoTime() + 10_000_000_000L;
         while (!holds.getAsBoolean()) {
             if (System.nanoTime() > end) throw new AssertionError("not within 10 s: " + what);
@@ -124,26 +124,26 @@
         }
     }
 
-    static long event(DirectorServer l) {
-        l.desk().enter();
+    static long lastEvent(DirectorServer l) {
+        l.dispatcher().enter();
         try {
-            return l.remembered().last();
+            return l.persistentMembership().lastEvent();
         } finally {
-            l.desk().leave();
+            l.dispatcher().leave();
         }
     }
 
-    static String standing(DirectorServer l, FakeNode b) {
-        l.desk().enter();
+    static String status(DirectorServer l, FakeNode b) {
+        l.dispatcher().enter();
         try {
-            return String.valueOf(l.remembered().membership().stateOf(b.id()));
+            return String.valueOf(l.persistentMembership().membership().stateOf(b.id()));
         } finally {
-            l.desk().leave();
+            l.dispatcher().leave();
         }
     }
 
     @Override public void close() throws java.io.IOException {
-        for (DirectorServer l : lives) l.release();
+        for (DirectorServer l : directors) l.release();
         discovery.close();
         for (FakeNode b : all()) b.close();
         for (FakeNode b : others) b.close();
--- a/src/test/java/mothcross/net/KilledTest.java
+++ b/src/test/java/mothcross/net/KilledTest.java
@@ -60,17 +60,17 @@
     private static int kill(int seed) throws Exception {
         SplittableRandom chance = new SplittableRandom(seed);
         try (Fleet f = new Fleet(5)) {
-            Path told = Files.writeString(f.dir.resolve("told.json"), f.toldText("d1"));
+            Path told = Files.writeString(f.directory.resolve("told.json"), f.startupConfigText("d1"));
             List<Map<String, Integer>> after = new ArrayList<>(List.of(new TreeMap<>()));   // by event: the list
-            f.discovery.whole(f.all());
+            f.discovery.sendSnapshot(f.all());
             Map<String, Integer> list = new TreeMap<>();
             for (FakeNode b : f.all()) list.put(b.id(), Director.IN_SERVICE);
             after.add(new TreeMap<>(list));
-            f.discovery.open();
+            f.discovery.startListening();
             String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
             Process p = new ProcessBuilder(java, "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-cp",
                 System.getProperty("java.class.path"), Victim.class.getName(), told.toString(),
-                f.file("d1").toString()).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+                f.snapshotFile("d1").toString()).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
             long killed;
             try (var err = p.errorReader()) {
                 for (String l; !(l = err.readLine()).contains(" serves on ");) assertTrue(l != null);
@@ -78,9 +78,9 @@
                 while (System.nanoTime() < until) {
                     FakeNode b = f.caches.get(chance.nextInt(5));
                     int standing = chance.nextInt(3);
-                    if (standing == FakeDiscovery.GONE && !list.containsKey(b.id())) continue;
-                    f.discovery.changes(standing, b);
-                    if (standing == FakeDiscovery.GONE) list.remove(b.id());
+                    if (standing == FakeDiscovery.REMOVED && !list.containsKey(b.id())) continue;
+                    f.discovery.sendChanges(standing, b);
+                    if (standing == FakeDiscovery.REMOVED) list.remove(b.id());
                     else list.put(b.id(), standing);
                     after.add(new TreeMap<>(list));
                     long next = System.nanoTime() + chance.nextInt(30) * 1_000_000L;
@@ -90,12 +90,12 @@
             } finally {
                 p.destroyForcibly().waitFor();
             }
-            SnapshotFormat.Result r = new SnapshotFileStore(f.file("d1"), "fleet", "d1")
+            SnapshotFormat.Result r = new SnapshotFileStore(f.snapshotFile("d1"), "fleet", "d1")
                 .read(System.currentTimeMillis(), 5000);
             assertTrue(r != null && r.snapshot() != null, "seed " + seed + ": " + r);
             MembershipSnapshot k = r.snapshot();
             int due = 0;
-            for (Map.Entry<Long, Long> e : f.discovery.writtenAt.entrySet()) {
+            for (Map.Entry<Long, Long> e : f.discovery.sentAtNanos.entrySet()) {
                 if (killed - e.getValue() <= STATED_MS * 1e6) continue;
                 due++;
                 assertTrue(k.lastEvent() >= e.getKey(), "seed " + seed + ": event " + e.getKey() + ", told "
--- a/src/test/java/mothcross/net/MeasureMembership.java
+++ b/src/test/java/mothcross/net/MeasureMembership.java
@@ -67,36 +67,36 @@
 
     private static double[] run(String mix, int withheld, AgeLimits ages, boolean list) throws Exception {
         try (Fleet f = new Fleet(8)) {
-            f.start.put("directors", "2");
+            f.configParameters.put("directors", "2");
             boolean mixed = mix.startsWith("mixed");
             List<FakeNode> old = mixed ? f.caches.subList(0, 4) : List.of();
             double age = mix.startsWith("old") ? HOUR : 60_000;
             List<String> names = List.of("d1", "d2");
-            if (list) for (String n : names) f.keeps(n, age, HOUR, old, f.all());
+            if (list) for (String n : names) f.writeSnapshot(n, age, HOUR, old, f.all());
             List<FakeNode> there = new ArrayList<>(List.of(f.all()));
             if (mixed) {
-                there.remove(f.caches.get(0).gone());
-                there.remove(f.caches.get(4).vanished());
+                there.remove(f.caches.get(0).stop());
+                there.remove(f.caches.get(4).stopAnsweringConnects());
             }
             List<FakeNode> cold = new ArrayList<>();
             if (mix.endsWith("cold")) {
                 for (FakeNode b : f.caches) {
                     double now = System.currentTimeMillis();
-                    cold.add(f.also(b.replacedBy(b.number(), now, (long) now).lookupsOf(250)));
+                    cold.add(f.closeWithFleet(b.replacedBy(b.number(), now, (long) now).setLookupSize(250)));
                     there.set(there.indexOf(b), cold.get(cold.size() - 1));
                 }
             }
-            f.discovery.numbersFrom(11);
-            f.discovery.whole(there.toArray(FakeNode[]::new));
-            if (withheld == 0) f.discovery.open();
+            f.discovery.restartNumbering(11);
+            f.discovery.sendSnapshot(there.toArray(FakeNode[]::new));
+            if (withheld == 0) f.discovery.startListening();
             List<FakeClients> load = new ArrayList<>();
-            for (String n : names) load.add(new FakeClients(f.director(n, f.remembering(n, ages)).port(), 6, 10, 250,
+            for (String n : names) load.add(new FakeClients(f.director(n, f.membershipSettings(n, ages)).port(), 6, 10, 250,
                 5000 * load.size()));
             long begun = System.nanoTime();
             boolean open = withheld == 0;
             for (long t; (t = System.nanoTime() - begun) < 10_000_000_000L; Thread.sleep(5)) {
                 if (open || t < withheld * 1_000_000_000L) continue;
-                f.discovery.open();
+                f.discovery.startListening();
                 open = true;
             }
             double handled = 0, asked = 0;
@@ -105,15 +105,15 @@
                 asked += c.handled.get() + c.refused.get() + c.failed.get();
                 c.close();
             }
-            return new double[] {handled / asked, cold.stream().filter(FakeNode::fell).count()};
+            return new double[] {handled / asked, cold.stream().filter(FakeNode::overloaded).count()};
         }
     }
 
     /** From when a drain had been written to the director to the last lookup that came to the box. */
     private static void drains(int n) throws Exception {
         try (Fleet f = new Fleet(4)) {
-            f.discovery.whole(f.all());
-            f.discovery.open();
+            f.discovery.sendSnapshot(f.all());
+            f.discovery.startListening();
             DirectorServer d = f.director("d1");
             double[] last = new double[n];
             int sentAfter = 0;
@@ -121,15 +121,15 @@
                 load.awaitHandled(2000);
                 for (int i = 0; i < n; i++) {
                     FakeNode b = f.caches.get(i % 4);
-                    long event = f.discovery.changes(FakeDiscovery.DRAINING, b);
-                    long told = f.discovery.writtenAt.get(event);
-                    Fleet.until("event", () -> Fleet.event(d) == event);
+                    long event = f.discovery.sendChanges(FakeDiscovery.DRAINING, b);
+                    long told = f.discovery.sentAtNanos.get(event);
+                    Fleet.awaitTrue("event", () -> Fleet.lastEvent(d) == event);
                     Thread.sleep(30);
                     List<FakeNode.Arrival> all = b.arrivals();
                     double late = all.isEmpty() ? 0 : (all.get(all.size() - 1).nano() - told) / 1e6;
                     last[i] = Math.max(0, late);
                     if (late > 0) sentAfter++;
-                    f.discovery.changes(FakeDiscovery.READY, b);
+                    f.discovery.sendChanges(FakeDiscovery.READY, b);
                 }
                 Arrays.sort(last);
                 System.out.printf(Locale.ROOT, "%d drains under %d lookups: p50 %.2f ms, p99 %.2f ms, most %.2f ms; "
@@ -195,13 +195,13 @@
             l.startsWith("run ")).findFirst()
             .orElseThrow().replaceAll("^run = \"|\"$", "");
         try (Fleet f = new Fleet(3)) {
-            f.discovery.whole(f.all());
-            f.discovery.open();
-            com.google.gson.JsonObject o = com.google.gson.JsonParser.parseString(f.toldText("d1")).getAsJsonObject();
+            f.discovery.sendSnapshot(f.all());
+            f.discovery.startListening();
+            com.google.gson.JsonObject o = com.google.gson.JsonParser.parseString(f.startupConfigText("d1")).getAsJsonObject();
             o.add("known", com.google.gson.JsonParser.parseString("{\"no\": 0, \"items\": []}"));
-            Path told = Files.writeString(f.dir.resolve("told.json"), o.toString());
-            Path features = Files.writeString(f.dir.resolve("operators.jsonnet"),
-                "{membership: {file: '" + f.file("d1") + "', fleet: 'fleet'}}");
+            Path told = Files.writeString(f.directory.resolve("told.json"), o.toString());
+            Path features = Files.writeString(f.directory.resolve("operators.jsonnet"),
+                "{membership: {file: '" + f.snapshotFile("d1") + "', fleet: 'fleet'}}");
             Map<String, String> ways = new java.util.LinkedHashMap<>();
             if (before != null) ways.put("before", run.replace("target/mothcross.jar", before));
             ways.put("run", run);
--- a/src/test/java/mothcross/net/MeasureRoutes.java
+++ b/src/test/java/mothcross/net/MeasureRoutes.java
@@ -55,7 +55,7 @@
         for (int round = 0; round < 2; round++) {
             for (int n : new int[] {0, 10, 1000}) {
                 try (Fleet f = new Fleet(4)) {
-                    DirectorServer d = n == 0 ? f.routed("d1", (RouteRules) null) : f.routed("d1", table(n));
+                    DirectorServer d = n == 0 ? f.directorWithRoutes("d1", (RouteRules) null) : f.directorWithRoutes("d1", table(n));
                     double rate;
                     try (FakeClients load = new FakeClients(d.port(), 16, 0, 1, 0)) {
                         load.awaitHandled(20_000);
@@ -65,11 +65,11 @@
                         rate = (load.handled.get() - before) / ((System.nanoTime() - begun) / 1e9);
                     }
                     double[] hop = new double[2000];
-                    try (FakeClients.One c = new FakeClients.One(d.port())) {
+                    try (FakeClients.Client c = new FakeClients.Client(d.port())) {
                         for (int i = 0; i < hop.length; i++) {
                             int seen = total(f);
                             long t = System.nanoTime();
-                            c.write(500_000 + i, 1, 3);
+                            c.send(500_000 + i, 1, 3);
                             while (total(f) == seen) Thread.onSpinWait();
                             hop[i] = (System.nanoTime() - t) / 1e6;
                             c.status();
@@ -86,7 +86,7 @@
 
     private static int total(Fleet f) {
         int n = 0;
-        for (FakeNode b : f.caches) n += b.count();
+        for (FakeNode b : f.caches) n += b.arrivalCount();
         return n;
     }
 
@@ -101,10 +101,10 @@
             RouteRules rules = rules(List.of(new RouteRules.Rule("office", "has(header('X-Office'))", null, null, 1,
                 -1, 0, limited ? held : null)));
             try (Fleet f = new Fleet(2)) {
-                f.start.put("directors", "3");
-                for (FakeNode b : f.caches) b.paced(110);
-                List<DirectorServer> three = List.of(f.routed("d1", rules), f.routed("d2", rules),
-                    f.routed("d3", rules));
+                f.configParameters.put("directors", "3");
+                for (FakeNode b : f.caches) b.limitRate(110);
+                List<DirectorServer> three = List.of(f.directorWithRoutes("d1", rules), f.directorWithRoutes("d2", rules),
+                    f.directorWithRoutes("d3", rules));
                 List<Office> others = new ArrayList<>();
                 for (int i = 0; i < 9; i++) others.add(new Office("office-" + i, three, 20));
                 Thread.sleep(2000);
@@ -145,7 +145,7 @@
         }
 
         private void run(String name, int port, double everyNs, int me) {
-            try (FakeClients.One c = new FakeClients.One(port)) {
+            try (FakeClients.Client c = new FakeClients.Client(port)) {
                 c.header = "X-Office: " + name + "\r\n";
                 double due = System.nanoTime() + everyNs * new SplittableRandom(me).nextDouble();
                 for (int i = 0; !over; i++, due += everyNs) {
@@ -214,8 +214,8 @@
                 slowest = i < 10 ? 0 : Math.max(slowest, ns);
             }
             System.out.printf(Locale.ROOT, "| `%s` | %d | %d | %.2f | %.0f | %.2f |%n", text.replace("|", "\\|"),
-                e.cost(), most,
-                most / (double) e.cost(), slowest, slowest / e.cost());
+                e.worstCaseSteps(), most,
+                most / (double) e.worstCaseSteps(), slowest, slowest / e.worstCaseSteps());
         }
     }
 }
--- a/src/test/java/mothcross/net/RoutesTest.java
+++ b/src/test/java/mothcross/net/RoutesTest.java
@@ -36,7 +36,7 @@
 
     public void clientsGetWhatTheRulesSay() throws Exception {
         try (Fleet f = new Fleet(3)) {
-            DirectorServer d = f.routed("d1", rules(rule("shut", "starts(object, 'ff')", null, -1, 403, null),
+            DirectorServer d = f.directorWithRoutes("d1", rules(rule("shut", "starts(object, 'ff')", null, -1, 403, null),
                 rule("one", "starts(object, 'aa')", "first(object, 2)", -1, 0, null),
                 rule("held", "(header('X-Office') ?? '') != ''", null, -1, 0,
                     new RouteRules.RateLimit("header('X-Office') ?? ''", 0.5, 2, 64))));
@@ -67,13 +67,13 @@
     /** No further hop where a rule takes them all: the failure of the first is the end. */
     public void furtherHopsAreNarrowed() throws Exception {
         try (Fleet f = new Fleet(2)) {
-            DirectorServer d = f.routed("d1", rules(rule("none", "true", "'x'", 0, 0, null)));
+            DirectorServer d = f.directorWithRoutes("d1", rules(rule("none", "true", "'x'", 0, 0, null)));
             assertTrue(ask(d.port(), "/api/v2/books/01", "").startsWith("HTTP/1.1 200 "));
-            FakeNode first = f.caches.get(0).count() > 0 ? f.caches.get(0) : f.caches.get(1);
-            first.gone();
+            FakeNode first = f.caches.get(0).arrivalCount() > 0 ? f.caches.get(0) : f.caches.get(1);
+            first.stop();
             String answer = ask(d.port(), "/api/v2/books/01", "");
             assertTrue(answer.startsWith("HTTP/1.1 503 "), answer);
-            assertEquals(f.caches.get(0).count() + f.caches.get(1).count(), 1);
+            assertEquals(f.caches.get(0).arrivalCount() + f.caches.get(1).arrivalCount(), 1);
         }
     }
 
@@ -90,32 +90,32 @@
                 rule("odd", "true", null, -1, 404, null));
             RouteRules bad = rules(rule("even", "starts(object, 7)", null, -1, 0, null), rule("odd",
                 "contains(target, 'x')", null, -1, 0, null));
-            DirectorServer d = f.routed("d1", a);
-            StartupConfig told = f.told("d1");
+            DirectorServer d = f.directorWithRoutes("d1", a);
+            StartupConfig told = f.startupConfig("d1");
             try (FakeClients load = new FakeClients(d.port(), 6, 0, 10, 0)) {
                 load.awaitHandled(0);
-                Fleet.until("asked", () -> load.asked.get() > 100);
+                Fleet.awaitTrue("asked", () -> load.asked.get() > 100);
                 for (int i = 0; i < 100; i++) {
                     RouteRules next = i % 3 == 2 ? bad : i % 3 == 1 ? b : a;
                     String fault = "";
                     try {
-                        d.reload(told, f.remembering("d1", Fleet.AGES), next);
+                        d.reload(told, f.membershipSettings("d1", Fleet.AGES), next);
                     } catch (StartupConfig.InvalidConfigException e) {
                         fault = e.getMessage();
                     }
                     assertEquals(fault.contains("rules[0].match") && fault.contains("rules[1].match"), next == bad,
                         "all faults: " + fault);
                     int asked = load.asked.get();
-                    Fleet.until("more are asked", () -> load.asked.get() >= asked + 20);
+                    Fleet.awaitTrue("more are asked", () -> load.asked.get() >= asked + 20);
                 }
                 // Objects are numbered from 0 in eight digits, so all begin with 0000 until 65,536 were asked.
                 assertEquals(load.refused.get(), 0, "neither table turns anything away for load");
                 assertTrue(load.handled.get() > 100 && load.failed.get() > 100, load.handled + " " + load.failed);
-                String line = d.desk().rules.line();
+                String line = d.dispatcher().activeRoutes.line();
                 assertTrue(line.contains("even ") && !line.contains("odd "), line);
             }
             for (String c : List.of("faults", "broken", "unanswered")) {
-                assertEquals(Counters.class.getDeclaredField(c).getLong(d.desk().count), 0, c);
+                assertEquals(Counters.class.getDeclaredField(c).getLong(d.dispatcher().counters), 0, c);
             }
         }
     }
--- a/src/test/java/mothcross/net/ServeTest.java
+++ b/src/test/java/mothcross/net/ServeTest.java
@@ -133,7 +133,7 @@
         private Thread ending;
 
         Run(Map<String, String> start, Map<String, Outside> parties) throws Exception {
-            life = new DirectorServer(StartupConfig.of(
+            life = new DirectorServer(StartupConfig.parse(
                 com.google.gson.JsonParser.parseString(Outside.told(start, parties)).getAsJsonObject(), null, true, 0));
             life.start();
             port = life.port();
@@ -148,12 +148,12 @@
                 }
             });
             ending.start();
-            while (life.desk().ready) Thread.onSpinWait();
+            while (life.dispatcher().ready) Thread.onSpinWait();
         }
 
         /** Of the node listed first. */
         void probe() {
-            life.desk().locked(() -> life.desk().probe(0));
+            life.dispatcher().runLocked(() -> life.dispatcher().probe(0));
         }
 
         void ended() throws InterruptedException {
@@ -169,15 +169,15 @@
         }
 
         private long counted(String name) throws Exception {
-            life.desk().enter();
+            life.dispatcher().enter();
             try {
-                Counters c = life.desk().count;
-                if (name.equals("nodes")) return life.desk().nodes.size();
-                if (name.equals("timers")) return life.desk().timers.size();
-                return name.startsWith("end") ? c.ends[name.charAt(3) - '0']
+                Counters c = life.dispatcher().counters;
+                if (name.equals("nodes")) return life.dispatcher().nodes.size();
+                if (name.equals("timers")) return life.dispatcher().timers.size();
+                return name.startsWith("end") ? c.outcomes[name.charAt(3) - '0']
                     : Counters.class.getDeclaredField(name).getLong(c);
             } finally {
-                life.desk().leave();
+                life.dispatcher().leave();
             }
         }
 
@@ -194,29 +194,29 @@
     }
 
     @Test public void readsNumbersAndWordsInPlace() {
-        byte[] b = Bytes.of("x12.5yFfG 900000000000000000");
-        assertEquals(Bytes.number(b, 1, 5), 12.5);
-        assertEquals(Bytes.hex(b, 6, 8), 255);
+        byte[] b = Bytes.encode("x12.5yFfG 900000000000000000");
+        assertEquals(Bytes.parseDecimal(b, 1, 5), 12.5);
+        assertEquals(Bytes.parseHex(b, 6, 8), 255);
         assertTrue(Bytes.isHex(b, 6, 8) && !Bytes.isHex(b, 6, 9) && !Bytes.isHex(b, 6, 6));
-        assertEquals(Bytes.whole(b, 1, 3), 12);
-        assertEquals(Bytes.whole(b, 10, b.length), -1, "too long for a number");
-        assertTrue(Double.isNaN(Bytes.number(b, 0, 5)) && Bytes.whole(b, 3, 3) == -1);
+        assertEquals(Bytes.parseInteger(b, 1, 3), 12);
+        assertEquals(Bytes.parseInteger(b, 10, b.length), -1, "too long for a number");
+        assertTrue(Double.isNaN(Bytes.parseDecimal(b, 0, 5)) && Bytes.parseInteger(b, 3, 3) == -1);
     }
 
     /** Who owes an answer is asked whether it is there when that is unusual, and ever later while it is. */
     @Test public void silenceIsUnusualByWhatAnswersTake() {
         AnswerTimes t = new AnswerTimes(2);
-        assertEquals(t.unusual(0, 0), 1000.0, "nothing is known");
-        t.took(0, 400);
-        assertEquals(t.unusual(0, 0), 400 + 4 * 200.0);
-        for (int i = 0; i < 200; i++) t.took(0, i % 10 == 0 ? 1800 : 300);
-        double at = t.unusual(0, 0);
+        assertEquals(t.unusualAfterMs(0, 0), 1000.0, "nothing is known");
+        t.record(0, 400);
+        assertEquals(t.unusualAfterMs(0, 0), 400 + 4 * 200.0);
+        for (int i = 0; i < 200; i++) t.record(0, i % 10 == 0 ? 1800 : 300);
+        double at = t.unusualAfterMs(0, 0);
         assertTrue(at > 900 && at < 3600, "one in ten takes six times as long: " + at);
-        assertEquals(t.unusual(0, 2), 4 * at);
-        assertEquals(t.unusual(0, 100), 64 * at, "bounded");
-        assertEquals(t.unusual(1, 0), 1000.0, "another workload");
-        for (int i = 0; i < 100; i++) t.took(0, 50);
-        assertTrue(t.unusual(0, 0) < 60, "as quick as it has become");
+        assertEquals(t.unusualAfterMs(0, 2), 4 * at);
+        assertEquals(t.unusualAfterMs(0, 100), 64 * at, "bounded");
+        assertEquals(t.unusualAfterMs(1, 0), 1000.0, "another workload");
+        for (int i = 0; i < 100; i++) t.record(0, 50);
+        assertTrue(t.unusualAfterMs(0, 0) < 60, "as quick as it has become");
     }
 
     /** The program itself: bad starts end it with one plain line, SIGTERM with 0 after the last answer. */
--- a/src/test/java/mothcross/route/RouteBench.java
+++ b/src/test/java/mothcross/route/RouteBench.java
@@ -8,7 +8,7 @@
 import mothcross.expr.Frame;
 import mothcross.expr.Inputs;
 import mothcross.expr.Program;
-import mothcross.expr.Reference;
+import mothcross.expr.ReferenceExpression;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -43,14 +43,14 @@
     private final Frame.Request[] asked = new Frame.Request[REQUESTS];
     private final List<String> texts = new ArrayList<>();
     private final List<Map<String, Object>> values = new ArrayList<>();
-    private Reference[] trees;
+    private ReferenceExpression[] trees;
     private int next;
 
     @Setup(Level.Trial)
     public void prepare() throws ExpressionException {
         Inputs in = RequestInputs.inputs().header("X-Office", 32, Inputs.Overflow.TRUNCATE, true);
         Program p = new Program(in);
-        p.name("volume", "hex(object) ?? -1");
+        p.define("volume", "hex(object) ?? -1");
         List<Program.Expression> all = new ArrayList<>();
         for (int i = 0; i < rules; i++) {
             String text = switch (i % 4) {
@@ -77,9 +77,9 @@
             if (office != null) v.put("header:x-office", office);
             values.add(v);
         }
-        trees = new Reference[rules];
+        trees = new ReferenceExpression[rules];
         for (int i = 0; i < rules; i++) {
-            trees[i] = new Reference(texts.get(i).replace("volume", "(hex(object) ?? -1)"));
+            trees[i] = new ReferenceExpression(texts.get(i).replace("volume", "(hex(object) ?? -1)"));
         }
     }
 
@@ -99,13 +99,13 @@
 
     @Benchmark
     public int inPlainOrder() {
-        return dispatch.plainly(begin());
+        return dispatch.firstByLinearScan(begin());
     }
 
     @Benchmark
     public int byWalkingTrees() {
         Map<String, Object> v = values.get(next++ & REQUESTS - 1);
-        for (int i = 0; i < trees.length; i++) if (trees[i].truth(v)) return i;
+        for (int i = 0; i < trees.length; i++) if (trees[i].evaluateBoolean(v)) return i;
         return -1;
     }
 }
--- a/src/test/java/mothcross/route/RouteTest.java
+++ b/src/test/java/mothcross/route/RouteTest.java
@@ -117,7 +117,7 @@
         assertNull(RouteTable.compile(many, NAMES, ALL, 1, 6, null, all));
         assertEquals(all.size(), 7, "all at once: " + String.join("\n", all));
         List<String> dear = new ArrayList<>();
-        RouteRules costly = new RouteRules(2000, 300, rules().reads(), rules().names(),
+        RouteRules costly = new RouteRules(2000, 300, rules().inputs(), rules().definitions(),
             List.of(rule("a", "volume == 1", null, null)));
         assertNull(RouteTable.compile(costly, NAMES, ALL, 1, 6, null, dear));
         assertTrue(dear.get(0).startsWith("routes: one request could cost "), dear.toString());
@@ -175,16 +175,16 @@
     /** A part of a part: none passes, then as many at once and a second as the part says; what was used stays used. */
     @Test public void limitsFollowTheirPart() {
         RateLimiter l = new RateLimiter(10, 8, 64);
-        l.times(0);
-        assertEquals(l.take(7, 0), Double.POSITIVE_INFINITY, "nothing passes");
-        l.times(1.25);
+        l.setShare(0);
+        assertEquals(l.acquire(7, 0), Double.POSITIVE_INFINITY, "nothing passes");
+        l.setShare(1.25);
         int passed = 0;
-        for (int i = 0; i < 1000; i++) if (l.take(9, 1000) == 0) passed++;
+        for (int i = 0; i < 1000; i++) if (l.acquire(9, 1000) == 0) passed++;
         assertEquals(passed, 10, "at once");
-        for (int i = 0; i < 1000; i++) if (l.take(9, 1000 + i) == 0) passed++;
+        for (int i = 0; i < 1000; i++) if (l.acquire(9, 1000 + i) == 0) passed++;
         assertEquals(passed, 22, "12.5 a second");
-        l.times(1);
-        for (int i = 0; i < 1000; i++) if (l.take(9, 2000 + i) == 0) passed++;
+        l.setShare(1);
+        for (int i = 0; i < 1000; i++) if (l.acquire(9, 2000 + i) == 0) passed++;
         assertTrue(passed >= 31 && passed <= 33, "10 a second again: " + passed);
     }
 
@@ -194,18 +194,18 @@
         int greedy = 0, modest = 0, modestAsked = 0;
         double t = 0;
         for (int i = 0; i < 1_000_000; i++, t += 0.1) {
-            l.take(r.nextLong(), t);
-            if (i % 1000 == 0 && l.take(77, t) == 0) greedy++;           // 10 a second
+            l.acquire(r.nextLong(), t);
+            if (i % 1000 == 0 && l.acquire(77, t) == 0) greedy++;           // 10 a second
             if (i % 20_000 == 0) {                                       // one every two seconds
                 modestAsked++;
-                if (l.take(78L << 40, t) == 0) modest++;
+                if (l.acquire(78L << 40, t) == 0) modest++;
             }
         }
         double allowed = t / 1000 + 5;
-        assertEquals(l.room(), 4096);
+        assertEquals(l.capacity(), 4096);
         assertTrue(greedy >= allowed - 3 && greedy <= 1.05 * allowed, greedy + " of " + allowed);
         assertEquals(modest, modestAsked, "held back though within its rate");
-        assertTrue(l.forgotten() > 100_000 && l.held(t) <= 4096, l.forgotten() + " forgotten, held " + l.held(t));
+        assertTrue(l.evictions() > 100_000 && l.limitedKeys(t) <= 4096, l.evictions() + " forgotten, held " + l.limitedKeys(t));
     }
 
     /** Every key within its rate is served, whatever the others do: random histories against exact buckets. */
@@ -222,7 +222,7 @@
                 double[] b = exact.computeIfAbsent(key, k -> new double[] {3, 0});
                 b[0] = Math.min(3, b[0] + (t - b[1]) * 5 / 1000);
                 b[1] = t;
-                boolean may = b[0] >= 1 + 1e-9, did = l.take(key, t) == 0;
+                boolean may = b[0] >= 1 + 1e-9, did = l.acquire(key, t) == 0;
                 assertTrue(did || !may, "seed " + seed + ": held back within its rate");
                 if (did) b[0]--;                            // also what was let through too much counts
                 if (did && !may) more++;
--- a/src/test/java/mothcross/standin/FakeClients.java
+++ b/src/test/java/mothcross/standin/FakeClients.java
@@ -33,7 +33,7 @@
 
     private void ask(int port, int pauseMs, int kb, AtomicInteger next) {
         while (!over) {
-            try (One c = new One(port)) {
+            try (Client c = new Client(port)) {
                 while (!over) {
                     asked.incrementAndGet();
                     int status = c.status(next.getAndIncrement(), kb, 3);
@@ -62,20 +62,20 @@
     }
 
     /** One connection. */
-    public static final class One implements AutoCloseable {
+    public static final class Client implements AutoCloseable {
         private final Socket socket;
         private final InputStream in;
         /** Whole lines that go with each request. */
         public String header = "";
 
-        public One(int port) throws IOException {
+        public Client(int port) throws IOException {
             socket = new Socket("127.0.0.1", port);
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(8000);
             in = new BufferedInputStream(socket.getInputStream());
         }
 
-        public void write(int object, int kb, int group) throws IOException {
+        public void send(int object, int kb, int group) throws IOException {
             socket.getOutputStream().write(String.format("GET /api/v2/books/%08x HTTP/1.1\r\nHost: o\r\nReq-Id: "
                 + "%016x\r\nReq-Wait-Ms: 2900\r\nReq-Kb: %d\r\nX-Lot: %d\r\n%s\r\n", object, IDS.incrementAndGet(), kb,
                 group, header)
@@ -83,7 +83,7 @@
         }
 
         public int status(int object, int kb, int group) throws IOException {
-            write(object, kb, group);
+            send(object, kb, group);
             return status();
         }
 
--- a/src/test/java/mothcross/standin/FakeDiscovery.java
+++ b/src/test/java/mothcross/standin/FakeDiscovery.java
@@ -15,7 +15,7 @@
  */
 public final class FakeDiscovery implements AutoCloseable {
     /** Standing as the frames have it. */
-    public static final int READY = 0, DRAINING = 1, GONE = 2;
+    public static final int READY = 0, DRAINING = 1, REMOVED = 2;
     private static final int PULSE_MS = 50;
 
     private final ReservedPort held;
@@ -25,9 +25,9 @@
     private final TreeMap<Long, byte[]> events = new TreeMap<>();
     private final Map<String, ByteBuffer> list = new LinkedHashMap<>();     // by id: the record as it stands
     private long last;
-    private boolean silent;
+    private boolean unresponsive;
     /** When each event had been written to every director that was there, by System.nanoTime. */
-    public final Map<Long, Long> writtenAt = new TreeMap<>();
+    public final Map<Long, Long> sentAtNanos = new TreeMap<>();
 
     public FakeDiscovery() throws IOException {
         held = new ReservedPort(0);
@@ -41,7 +41,7 @@
     // ---- the script ----
 
     /** From now on it listens; a director that asks from a number it no longer has gets the whole list. */
-    public synchronized void open() throws IOException {
+    public synchronized void startListening() throws IOException {
         if (server != null) return;
         ServerSocket s = held.listen(50);
         server = s;
@@ -49,41 +49,41 @@
     }
 
     /** Ends all connections and listens no more. */
-    public synchronized void withhold() throws IOException {
+    public synchronized void stopListening() throws IOException {
         if (server != null) server.close();
         server = null;
-        cut();
+        closeConnections();
     }
 
-    public synchronized void cut() throws IOException {
+    public synchronized void closeConnections() throws IOException {
         for (Socket f : feeds) f.close();
         feeds.clear();
     }
 
     /** Connections stay open and say nothing. */
-    public synchronized void silent(boolean on) {
-        silent = on;
+    public synchronized void setUnresponsive(boolean on) {
+        unresponsive = on;
     }
 
     /** As after a restore from an older backup: its numbers and its list are those of {@code number}. */
-    public synchronized void fallBackTo(long number) {
+    public synchronized void revertTo(long number) {
         events.tailMap(number, false).clear();
         last = number;
     }
 
     /** The next event under this number; what came before is forgotten, as by a log that was cut. */
-    public synchronized void numbersFrom(long number) {
+    public synchronized void restartNumbering(long number) {
         events.clear();
         last = number - 1;
     }
 
-    public synchronized long whole(FakeNode... boxes) throws IOException {
+    public synchronized long sendSnapshot(FakeNode... boxes) throws IOException {
         list.clear();
         return records(1, READY, boxes);
     }
 
     /** So many boxes take on this standing; the list of later whole ones follows. */
-    public synchronized long changes(int standing, FakeNode... boxes) throws IOException {
+    public synchronized long sendChanges(int standing, FakeNode... boxes) throws IOException {
         return records(2, standing, boxes);
     }
 
@@ -92,7 +92,7 @@
         for (FakeNode b : boxes) {
             ByteBuffer r = record(b, standing);
             all.put(r.duplicate());
-            if (standing == GONE) list.remove(b.id());
+            if (standing == REMOVED) list.remove(b.id());
             else list.put(b.id(), r);
         }
         return tell(kind, all.array());
@@ -102,17 +102,17 @@
         ByteBuffer r = ByteBuffer.allocate(27);
         r.putInt(b.number()).put(new byte[] {127, 0, 0, 1}).putShort((short) b.port()).put((byte) standing);
         r.put((byte) 0).put((byte) b.kind()).putShort((short) 0).putInt((int) (b.units() * 1000));
-        return r.putLong(b.toldStart()).flip();
+        return r.putLong(b.listedStart()).flip();
     }
 
-    public synchronized long purge(int group, long at) throws IOException {
+    public synchronized long sendPurge(int group, long at) throws IOException {
         return tell(4, ByteBuffer.allocate(10).putShort((short) group).putLong(at).array());
     }
 
     private long tell(int kind, byte[] payload) throws IOException {
         events.put(++last, frame(last, kind, payload));
         for (Socket f : List.copyOf(feeds)) write(f, events.get(last));
-        writtenAt.put(last, System.nanoTime());
+        sentAtNanos.put(last, System.nanoTime());
         return last;
     }
 
@@ -124,7 +124,7 @@
     }
 
     private void write(Socket to, byte[] bytes) {
-        if (silent) return;
+        if (unresponsive) return;
         try {
             OutputStream out = to.getOutputStream();
             out.write(bytes);
@@ -181,7 +181,7 @@
     }
 
     @Override public void close() throws IOException {
-        withhold();
+        stopListening();
         held.close();
     }
 }
--- a/src/test/java/mothcross/standin/FakeNode.java
+++ b/src/test/java/mothcross/standin/FakeNode.java
@@ -26,7 +26,7 @@
 
     private final int number, kind;
     private final double units, startedAt;
-    private final long toldStart;
+    private final long listedStart;
     private final ReservedPort held;                        // its address stays its own while it is gone
     private final int port;
     private ServerSocket server;
@@ -34,19 +34,19 @@
     private final List<Socket> open = new ArrayList<>();
     private final List<Arrival> arrivals = new ArrayList<>();
     private final ArrayDeque<double[]> work = new ArrayDeque<>();
-    private double lately, most;
-    private boolean mute, fell;
+    private double lately, maxLoadShare;
+    private boolean unresponsive, overloaded;
     private double gapNs, freeAt, lookupKb = 1000;
 
     /** A box that runs since {@code startedAt} (Unix ms,
-        0: for long); {@code toldStart}: what discovery says of that. */
+        0: for long); {@code listedStart}: what discovery says of that. */
     public FakeNode(int number, int kind, double units, double startedAt, long toldStart, int atPort)
         throws IOException {
         this.number = number;
         this.kind = kind;
         this.units = units;
         this.startedAt = startedAt;
-        this.toldStart = toldStart;
+        this.listedStart = toldStart;
         held = new ReservedPort(atPort);
         port = held.port;
         serve(held.listen(50));
@@ -94,14 +94,14 @@
         return units;
     }
 
-    public long toldStart() {
-        return toldStart;
+    public long listedStart() {
+        return listedStart;
     }
 
     // ---- the script ----
 
     /** Its process has ended: connections are reset, new ones refused. */
-    public synchronized FakeNode gone() throws IOException {
+    public synchronized FakeNode stop() throws IOException {
         server.close();
         for (Socket s : open) {
             try {
@@ -116,8 +116,8 @@
     }
 
     /** Its machine is cut off: connections never come up. */
-    public synchronized FakeNode vanished() throws IOException {
-        gone();
+    public synchronized FakeNode stopAnsweringConnects() throws IOException {
+        stop();
         server = held.listen(1);
         for (int i = 0; i < 2; i++) crowd.add(new Socket(server.getInetAddress(), port));
         return this;
@@ -125,21 +125,21 @@
 
     /** Another box takes over the address of this one, which has gone. */
     public FakeNode replacedBy(int otherNumber, double started, long told) throws IOException {
-        gone();
+        stop();
         return new FakeNode(otherNumber, kind, units, started, told, port);
     }
 
-    public synchronized void mute(boolean on) {
-        mute = on;
+    public synchronized void setUnresponsive(boolean on) {
+        unresponsive = on;
     }
 
     /** From now on so many lookups a second are answered, the others wait their turn. */
-    public synchronized void paced(double perS) {
+    public synchronized void limitRate(double perS) {
         gapNs = 1e9 / perS;
     }
 
     /** How much each of the test's lookups is, for what a cold box bears; 1,000 KB unless told. */
-    public synchronized FakeNode lookupsOf(double kb) {
+    public synchronized FakeNode setLookupSize(double kb) {
         lookupKb = kb;
         return this;
     }
@@ -148,17 +148,17 @@
         return List.copyOf(arrivals);
     }
 
-    public synchronized int count() {
+    public synchronized int arrivalCount() {
         return arrivals.size();
     }
 
-    public synchronized boolean fell() {
-        return fell;
+    public synchronized boolean overloaded() {
+        return overloaded;
     }
 
     /** The most that came within a span, as a share of what it takes to fall over. */
-    public synchronized double most() {
-        return most;
+    public synchronized double maxLoadShare() {
+        return maxLoadShare;
     }
 
     // ---- the wire ----
@@ -179,8 +179,8 @@
                 synchronized (this) {
                     arrivals.add(new Arrival(System.nanoTime(), System.currentTimeMillis(), l));
                     pushed();
-                    if (fell) return;
-                    if (mute) continue;
+                    if (overloaded) return;
+                    if (unresponsive) continue;
                 }
                 double turn;
                 synchronized (this) {
@@ -208,12 +208,12 @@
         lately += cost;
         while (work.peek()[0] < now - SPAN_MS) lately -= work.poll()[1];
         double share = Math.min(1, FLOOR + (1 - FLOOR) * Math.max(0, now - startedAt) / WARM_MS);
-        most = Math.max(most, lately / (BREAKS_AT * units * share * SPAN_MS));
-        fell |= most > 1;
+        maxLoadShare = Math.max(maxLoadShare, lately / (BREAKS_AT * units * share * SPAN_MS));
+        overloaded |= maxLoadShare > 1;
     }
 
     @Override public synchronized void close() throws IOException {
-        gone();
+        stop();
         for (Socket s : crowd) s.close();
         held.close();
     }
