--- a/src/main/java/mothcross/net/DirectorServer.java
+++ b/src/main/java/mothcross/net/DirectorServer.java
@@ -114,7 +114,7 @@
         applyLimits();
         persistentMembership = membershipSettings == null ? null : new PersistentMembership(dispatcher,
             membershipSettings.ages(),
-            new WriteScheduler(membershipSettings.urgentMs(), membershipSettings.gatherMs()),
+            new WriteScheduler(membershipSettings.urgentWriteDelayMs(), membershipSettings.writeIntervalMs()),
             store, membershipSettings.fleet(), config.name, System.currentTimeMillis());
         DiscoveryListener listener = persistentMembership == null ? new DiscoveryListener.Direct(dispatcher)
             : persistentMembership;
@@ -269,7 +269,7 @@
             if (!membershipNeedsRestart && newMembershipSettings != null
                 && !newMembershipSettings.equals(membershipSettings)) {
                 persistentMembership.reload(newMembershipSettings.ages(),
-                    new WriteScheduler(newMembershipSettings.urgentMs(), newMembershipSettings.gatherMs()));
+                    new WriteScheduler(newMembershipSettings.urgentWriteDelayMs(), newMembershipSettings.writeIntervalMs()));
                 membershipSettings = newMembershipSettings;
             }
             config = newConfig;
--- a/src/test/java/mothcross/experiment/ExperimentTest.java
+++ b/src/test/java/mothcross/experiment/ExperimentTest.java
@@ -12,7 +12,10 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** Plans, rows that outlive a kill, statistics against known cases, and reports made of nothing but the rows. */
+/**
+ * Tests experiment plans, result rows that survive a killed process, statistics against known cases, and reports,
+ * which are computed from the rows alone.
+ */
 public class ExperimentTest {
     private static final String SMALL = "{town: {seconds: 4, places: 1, caches: 2, objects: 300}, "
         + "factors: {load: [0.3, 0.6]}, "
@@ -23,10 +26,11 @@
         return ExperimentPlan.of(JsonParser.parseString(json).getAsJsonObject());
     }
 
-    @Test public void plansAreRefusedWithTheirField() {
+    @Test public void invalidPlansAreRejected() {
         String[][] cases = {{"{sedes: 3}", "sedes is not known"}, {"{seeds: 1.5}", "seeds = 1.5 is no whole"},
             {"{seeds: 0}", "seeds"},
-            {"{town: {cashes: 3}}", "town.cashes a town has no"}, {"{factors: {load: [-1]}}", "factors.load"},
+            {"{town: {cashes: 3}}", "town.cashes unknown scenario parameter 'cashes'"},
+            {"{factors: {load: [-1]}}", "factors.load"},
             {"{policies: ['best']}", "has no 'best'"}, {"{metrics: ['speed']}", "has no 'speed'"},
             {"{faults: {a: '1 melt'}}", "faults.a line 1"}, {"{factors: {load: [1, 2, 3], zipf: [1], kb: [5]}}", null}};
         for (String[] c : cases) {
@@ -40,19 +44,24 @@
         assertEquals(plan(String.format(SMALL, "")).cells.size(), 8);
     }
 
-    /** Killed in the middle of a line: what is whole stays, the rest is played, and the rows are those of one go. */
-    @Test public void rowsOutliveAKill() throws Exception {
-        Path dir = Files.createTempDirectory("mothcross"), one = dir.resolve("one.csv"), two = dir.resolve("two.csv");
-        ExperimentPlan p = plan(String.format(SMALL, ""));
-        assertEquals(Sweep.play(p, new ResultRows(one, "h"), 4, s -> { }), 24);
-        String[] whole = sorted(one);
+    /**
+     * A process killed while it writes a row: complete rows are kept, the remaining runs are run, and the result
+     * equals that of one uninterrupted sweep.
+     */
+    @Test public void rowsSurviveKilledProcess() throws Exception {
+        Path dir = Files.createTempDirectory("mothcross");
+        Path one = dir.resolve("one.csv");
+        Path two = dir.resolve("two.csv");
+        ExperimentPlan plan = plan(String.format(SMALL, ""));
+        assertEquals(Sweep.run(plan, new ResultRows(one, "h"), 4, s -> { }), 24);
+        String[] expected = sorted(one);
         String text = Files.readString(one);
         Files.writeString(two, text.substring(0, text.length() * 2 / 3));
-        ResultRows again = new ResultRows(two, "h");
-        int played = Sweep.play(p, again, 2, s -> { });
-        assertTrue(played > 0 && played < 24, "played " + played);
-        assertEquals(sorted(two), whole, "the same rows, whoever played them");
-        assertEquals(Sweep.play(p, new ResultRows(two, "h"), 2, s -> { }), 0);
+        ResultRows reopened = new ResultRows(two, "h");
+        int runs = Sweep.run(plan, reopened, 2, s -> { });
+        assertTrue(runs > 0 && runs < 24, "played " + runs);
+        assertEquals(sorted(two), expected, "the same rows, whoever played them");
+        assertEquals(Sweep.run(plan, new ResultRows(two, "h"), 2, s -> { }), 0);
         try {
             new ResultRows(two, "other");
             fail("rows of another plan are taken");
@@ -67,46 +76,52 @@
         return lines;
     }
 
-    /** With a width that all meet, only the least number of seeds is played. */
-    @Test public void stopsWhenKnownWellEnough() throws Exception {
+    /** With an interval width that every cell meets, only the minimum number of seeds is run. */
+    @Test public void stopsAtNarrowInterval() throws Exception {
         Path file = Files.createTempDirectory("mothcross").resolve("rows.csv");
-        ExperimentPlan p = plan(String.format(SMALL, ", stop: {half_width: 1, least_seeds: 1}"));
-        assertEquals(Sweep.play(p, new ResultRows(file, "h"), 4, s -> { }), 8);
+        ExperimentPlan plan = plan(String.format(SMALL, ", stop: {half_width: 1, least_seeds: 1}"));
+        assertEquals(Sweep.run(plan, new ResultRows(file, "h"), 4, s -> { }), 8);
     }
 
-    /** Intervals of 200 samples of 30 hold the true mean about 95 times in a hundred; equal values have none. */
-    @Test public void intervalsHoldTheTruth() {
-        SplittableRandom r = new SplittableRandom(11);
-        int held = 0;
+    /**
+     * The intervals of 200 samples of 30 values contain the true mean about 95 % of the time; equal values have a
+     * width of 0.
+     */
+    @Test public void intervalsContainTrueMean() {
+        SplittableRandom random = new SplittableRandom(11);
+        int covered = 0;
         for (int i = 0; i < 200; i++) {
-            double[] v = new double[30];
-            for (int k = 0; k < v.length; k++) v[k] = 5 + (r.nextDouble() + r.nextDouble() + r.nextDouble() - 1.5);
-            Sample s = Sample.of(v);
-            if (s.low() <= 5 && s.high() >= 5) held++;
-            assertEquals(Sample.of(v), s, "the same numbers, the same interval");
+            double[] values = new double[30];
+            for (int k = 0; k < values.length; k++) {
+                values[k] = 5 + (random.nextDouble() + random.nextDouble() + random.nextDouble() - 1.5);
+            }
+            Sample sample = Sample.of(values);
+            if (sample.low() <= 5 && sample.high() >= 5) covered++;
+            assertEquals(Sample.of(values), sample, "the same numbers, the same interval");
         }
-        assertTrue(held >= 178 && held <= 199, "held " + held);
+        assertTrue(covered >= 178 && covered <= 199, "held " + covered);
         assertEquals(Sample.of(new double[] {2, 2, 2}).halfWidth(), 0.0);
-        assertTrue(Sample.of(new double[] {1, 2}).few());
-        assertEquals(Sample.effect(new double[] {1, 3}), Math.sqrt(2), 1e-9);
+        assertTrue(Sample.of(new double[] {1, 2}).isTooSmall());
+        assertEquals(Sample.effectSize(new double[] {1, 3}), Math.sqrt(2), 1e-9);
     }
 
-    @Test public void reportsAreMadeOfTheRows() throws Exception {
+    @Test public void reportsAreComputedFromRows() throws Exception {
         System.setProperty("java.awt.headless", "true");
         Path dir = Files.createTempDirectory("mothcross");
-        ExperimentPlan p = plan(String.format(SMALL, ""));
+        ExperimentPlan plan = plan(String.format(SMALL, ""));
         ResultRows rows = new ResultRows(dir.resolve("rows.csv"), "h");
-        Sweep.play(p, rows, 4, s -> { });
-        Report r = new Report(p, rows, "h", "c0ffee");
-        r.write(dir);
+        Sweep.run(plan, rows, 4, s -> { });
+        Report report = new Report(plan, rows, "h", "c0ffee");
+        report.write(dir);
         assertEquals(Files.readString(dir.resolve("table.csv")).lines().count(), 9);
         assertTrue(Files.readString(dir.resolve("table.json")).contains("\"commit\": \"c0ffee\""));
         assertTrue(Files.readString(dir.resolve("in_time.svg")).contains("<svg")
             && Files.size(dir.resolve("in_time.png")) > 1000);
         assertTrue(Files.readString(dir.resolve("index.html")).contains("in_time.svg"));
-        String lines = String.join("\n", r.compare("decide", "random"));
+        String lines = String.join("\n", report.compare("decide", "random"));
         assertEquals(lines.lines().count(), 2 + 4 * 2, lines);
         assertTrue(lines.contains("too few seeds to tell"), lines);
-        assertTrue(String.join("\n", r.compare("decide", "decide")).contains("+0.0000"), "no difference to itself");
+        assertTrue(String.join("\n", report.compare("decide", "decide")).contains("+0.0000"),
+            "no difference to itself");
     }
 }
