--- a/src/main/java/mothcross/cli/ExprShell.java
+++ b/src/main/java/mothcross/cli/ExprShell.java
@@ -110,8 +110,8 @@
             RequestHead request = new RequestHead(target + "\n" + String.join("\n", headers), inputs.headers());
             frame.begin(request, System.currentTimeMillis());
             String value = expression.describe(frame);
-            return value + "   " + expression.type() + ", " + frame.steps() + " of at most " + expression.worstCaseSteps()
-                + " steps" + (expression.notes().isEmpty() ? "" : "\n" + String.join("\n", expression.notes()));
+            return value + "   " + expression.type() + ", " + frame.steps() + " of at most "
+                + expression.worstCaseSteps() + " steps" + (expression.notes().isEmpty() ? "" : "\n" + String.join("\n", expression.notes()));
         } catch (ExpressionException e) {
             return e.describe();
         }
--- a/src/main/java/mothcross/net/DirectorServer.java
+++ b/src/main/java/mothcross/net/DirectorServer.java
@@ -269,7 +269,8 @@
             if (!membershipNeedsRestart && newMembershipSettings != null
                 && !newMembershipSettings.equals(membershipSettings)) {
                 persistentMembership.reload(newMembershipSettings.ages(),
-                    new WriteScheduler(newMembershipSettings.urgentWriteDelayMs(), newMembershipSettings.writeIntervalMs()));
+                    new WriteScheduler(newMembershipSettings.urgentWriteDelayMs(),
+                        newMembershipSettings.writeIntervalMs()));
                 membershipSettings = newMembershipSettings;
             }
             config = newConfig;
--- a/src/test/java/mothcross/net/DrainPathsTest.java
+++ b/src/test/java/mothcross/net/DrainPathsTest.java
@@ -146,7 +146,8 @@
             Fleet.awaitTrue("what waits goes back", () -> waits(life) == 0);
             long back = notSent(life);
             assertTrue(back > 0 && back < REQUESTS, "went back: " + back);
-            Fleet.awaitTrue("the module has decided anew: the link is full", () -> life.dispatcher().counters.rejected == back);
+            Fleet.awaitTrue("the module has decided anew: the link is full",
+                () -> life.dispatcher().counters.rejected == back);
             Set<String> begun = new HashSet<>();
             for (long i = back; i < REQUESTS; i++) begun.add(begunRequest(n1.read()));
             assertEquals(begun.size(), REQUESTS - back, "each begun once");
--- a/src/test/java/mothcross/net/EndingsTest.java
+++ b/src/test/java/mothcross/net/EndingsTest.java
@@ -295,7 +295,8 @@
         assertEquals(e.step(1760, 1700, 3), ShutdownSequence.State.CLOSING);
         assertEquals(e.step(e.answerDeadline(), 1700, 3), ShutdownSequence.State.CLOSING,
             "the last answers are being sent");
-        assertEquals(e.step(e.answerDeadline() + 100, 1700, 3), ShutdownSequence.State.TERMINATED, "exits before it is killed");
+        assertEquals(e.step(e.answerDeadline() + 100, 1700, 3), ShutdownSequence.State.TERMINATED,
+            "exits before it is killed");
         ShutdownSequence quick = new ShutdownSequence();
         quick.start(0, 500);
         assertEquals(quick.answerDeadline(), 1050.0, "no client waits for longer than its 500 ms");
--- a/src/test/java/mothcross/net/RememberedTest.java
+++ b/src/test/java/mothcross/net/RememberedTest.java
@@ -408,7 +408,7 @@
             Object[][] cases = {{"verify", list, 0, "usable: recent 3"}, {"verify", old, 1,
                 "nothing usable: too_old 3"},
                 {"verify", none, 3, ""}, {"verify", damaged, 3, ""}, {"show", list, 0,
-                    "s-00000001 .* recent .* not long ago"}};
+                    "s-00000001 .* recent .* confirmed by discovery recently, before the restart"}};
             for (Object[] example : cases) {
                 ProcessBuilder builder = ServeTest.Outside.builder("list", (String) example[0], example[1].toString());
                 Process command = builder.redirectOutput(ProcessBuilder.Redirect.PIPE).start();
