--- a/src/main/java/mothcross/cli/ExprShell.java
+++ b/src/main/java/mothcross/cli/ExprShell.java
@@ -111,7 +111,8 @@
             frame.begin(request, System.currentTimeMillis());
             String value = expression.describe(frame);
             return value + "   " + expression.type() + ", " + frame.steps() + " of at most "
-                + expression.worstCaseSteps() + " steps" + (expression.notes().isEmpty() ? "" : "\n" + String.join("\n", expression.notes()));
+                + expression.worstCaseSteps() + " steps"
+                + (expression.notes().isEmpty() ? "" : "\n" + String.join("\n", expression.notes()));
         } catch (ExpressionException e) {
             return e.describe();
         }
